--- a/lab/models/include/wrenusher/lab/state_service.hpp
+++ b/lab/models/include/wrenusher/lab/state_service.hpp
@@ -27,6 +27,9 @@
 
   void serve(const std::string& from, const Request& r, const Answer& answer);
 
+  /// Told of each change once it is durable, before it is visible.
+  std::function<void(const Batch&)> on_saved;
+
   // Troubles
   void outage(bool on);
   /// Only this party gets 503.
--- a/lab/models/state_service.cpp
+++ b/lab/models/state_service.cpp
@@ -95,6 +95,7 @@
     return false;
   }
   trouble_.clear();
+  if (on_saved) on_saved(b);
   revision_ = b.revision;
   for (const std::string& key : b.deletes) {
     if (keys_.erase(key) > 0) past_.push_back({b.revision, key, std::nullopt});
--- a/lab/sim/day.cpp
+++ b/lab/sim/day.cpp
@@ -260,6 +260,7 @@
   f["starts"] = static_cast<double>(w.checker.starts());
   f["rules_broken"] = static_cast<double>(w.checker.notes().size());
   out.broken = w.checker.notes();
+  out.digests = w.digests();
   return out;
 }
 
@@ -363,10 +364,36 @@
   return out + (broken == 0 ? "no rule broken\n" : std::to_string(broken) + " rules broken\n");
 }
 
+namespace {
+
+/// A digest as two whole numbers of 32 bits, which a reader that has only doubles keeps exactly.
+nlohmann::json digests_json(const Digests& digests) {
+  nlohmann::json out = nlohmann::json::object();
+  for (const auto& [name, d] : digests)
+    out[name] = {{"count", d.count}, {"digest", {d.digest >> 32U, d.digest & 0xffffffffU}}};
+  return out;
+}
+
+Digests read_digests(const nlohmann::json& day) {
+  Digests out;
+  if (!day.contains("digests")) return out;
+  for (const auto& [name, d] : day.at("digests").items()) {
+    const auto& parts = d.at("digest");
+    out[name] = {d.at("count").get<std::uint64_t>(),
+                 parts.at(0).get<std::uint64_t>() << 32U | parts.at(1).get<std::uint64_t>()};
+  }
+  return out;
+}
+
+}  // namespace
+
 nlohmann::json day_json(const Site& site, const std::vector<DayResult>& days) {
   nlohmann::json list = nlohmann::json::array();
   for (const DayResult& d : days)
-    list.push_back({{"seed", d.seed}, {"figures", d.figures}, {"broken", d.broken}});
+    list.push_back({{"seed", d.seed},
+                    {"figures", d.figures},
+                    {"broken", d.broken},
+                    {"digests", digests_json(d.digests)}});
   return {{"site", site.name}, {"seconds", to_seconds(site.length)}, {"days", std::move(list)}};
 }
 
@@ -376,7 +403,7 @@
     const nlohmann::json all = nlohmann::json::parse(text);
     for (const auto& d : all.at("days"))
       out.push_back({d.at("seed").get<std::uint64_t>(), d.at("figures").get<Figures>(),
-                     d.at("broken").get<std::vector<std::string>>()});
+                     d.at("broken").get<std::vector<std::string>>(), read_digests(d)});
     return out;
   } catch (const nlohmann::json::exception& e) {
     throw SiteError(file + ": not what 'wrenlab day --json' writes: " + e.what());
--- a/lab/sim/include/wrenusher/lab/day.hpp
+++ b/lab/sim/include/wrenusher/lab/day.hpp
@@ -5,6 +5,7 @@
 #include <map>
 #include <nlohmann/json_fwd.hpp>
 
+#include "wrenusher/lab/message_digest.hpp"
 #include "wrenusher/lab/site.hpp"
 
 namespace wrenusher::lab {
@@ -16,6 +17,7 @@
   std::uint64_t seed = 0;
   Figures figures;
   std::vector<std::string> broken;  ///< rules, a line each
+  Digests digests;  ///< of all messages and stored values; empty in results of earlier versions
 };
 
 /// Plays the site's day once; everything follows from the seed. Of each takeover the figures are named by its
--- a/lab/sim/include/wrenusher/lab/world.hpp
+++ b/lab/sim/include/wrenusher/lab/world.hpp
@@ -8,6 +8,7 @@
 
 #include "wrenusher/controller/controller.hpp"
 #include "wrenusher/lab/cloud.hpp"
+#include "wrenusher/lab/message_digest.hpp"
 #include "wrenusher/lab/state_service.hpp"
 #include "wrenusher/lab/users.hpp"
 
@@ -24,7 +25,12 @@
   std::mt19937_64& random() override { return random_; }
   void send(const std::string& from, const Endpoint& to, Request request, Micros timeout, Done done) override;
   std::optional<Endpoint> serve(const std::string& who, Handler handler) override;
-  void serve_at(const Endpoint& at, const std::string& who, Handler handler);
+  /// `transport`: of what is sent there. What others than users send to a client endpoint is the workers'.
+  void serve_at(const Endpoint& at, const std::string& who, Transport transport, Handler handler);
+  /// As a worker, which needs no transport said.
+  void serve_at(const Endpoint& at, const std::string& who, Handler handler) {
+    serve_at(at, who, Transport::worker, std::move(handler));
+  }
   void unserve(const Endpoint& at) override { handlers_.erase(at); }
 
   /// Runs all events until then.
@@ -61,9 +67,15 @@
   int lose_answers(LostAnswers l);
   void answer_again(int number) { losing_.erase(number); }
   int lost_answers() const { return lost_answers_; }
+  /// Every message that is sent and every response that is given, delivered or not.
+  MessageDigests digests;
 
  private:
   Micros delay();
+  Transport transport_of(const std::string& from, const Endpoint& to) const;
+  /// Has the request carried out by whoever serves there, and its response noted in the digest; false
+  /// where nobody serves.
+  bool deliver(const std::string& from, const Endpoint& to, const Request& request, const Answer& answer);
   /// The keys that a request to the state service is about, and whether it only reads them.
   struct Asked {
     bool reads = false;
@@ -86,6 +98,7 @@
   std::priority_queue<Event, std::vector<Event>, std::greater<>> events_;
   std::mt19937_64 random_;
   std::map<Endpoint, std::string> names_;
+  std::map<Endpoint, Transport> transports_;
   std::map<Endpoint, Handler> handlers_;
   std::vector<std::function<void()>> held_;
   Copies copies_;
@@ -193,6 +206,8 @@
 
   const Site& site() const { return site_; }
   const Users& users() const { return users_; }
+  /// Of all messages and stored values so far.
+  Digests digests() const { return wires_.digests.summaries(); }
   const StateService& state() const { return state_; }
   Machines& machines() { return machines_; }
   const Cloud& cloud() const { return cloud_; }
--- /dev/null
+++ b/lab/sim/message_digest.cpp
@@ -0,0 +1,104 @@
+#include "wrenusher/lab/message_digest.hpp"
+
+#include <new>
+
+namespace wrenusher::lab {
+
+namespace {
+
+/// So that a request cannot be taken for a response.
+constexpr std::uint64_t kRequest = 1;
+constexpr std::uint64_t kResponse = 2;
+constexpr std::uint64_t kDelete = 3;
+constexpr std::uint64_t kPut = 4;
+
+}  // namespace
+
+std::string to_text(Transport transport) {
+  switch (transport) {
+    case Transport::client:
+      return "client";
+    case Transport::worker:
+      return "worker";
+    case Transport::peer:
+      return "peer";
+    case Transport::state:
+      return "state";
+    case Transport::cloud:
+      return "cloud";
+  }
+  return "unknown";
+}
+
+SequenceDigest::SequenceDigest() : state_(XXH3_createState()) {
+  if (!state_) throw std::bad_alloc();
+  XXH3_64bits_reset(state_.get());
+}
+
+void SequenceDigest::begin_item(Instant at) {
+  ++count_;
+  add(static_cast<std::uint64_t>(at.time_since_epoch().count()));
+}
+
+void SequenceDigest::add(std::string_view field) {
+  add(std::uint64_t{field.size()});
+  XXH3_64bits_update(state_.get(), field.data(), field.size());
+}
+
+void SequenceDigest::add(std::uint64_t number) {
+  XXH3_64bits_update(state_.get(), &number, sizeof number);
+}
+
+void MessageDigests::request(Transport transport, Instant at, std::string_view from, std::string_view to,
+                             const base::Request& request) {
+  SequenceDigest& sequence = messages_[transport];
+  sequence.begin_item(at);
+  sequence.add(kRequest);
+  sequence.add(from);
+  sequence.add(to);
+  sequence.add(request.method);
+  sequence.add(request.target);
+  sequence.add(request.body);
+  sequence.add(std::uint64_t{request.once});
+}
+
+void MessageDigests::response(Transport transport, Instant at, std::string_view from, std::string_view to,
+                              const base::Response& response) {
+  SequenceDigest& sequence = messages_[transport];
+  sequence.begin_item(at);
+  sequence.add(kResponse);
+  sequence.add(from);
+  sequence.add(to);
+  sequence.add(static_cast<std::uint64_t>(response.status));
+  sequence.add(response.body);
+  sequence.add(static_cast<std::uint64_t>(response.retry_after_s));
+}
+
+void MessageDigests::stored(Instant at, const Batch& batch) {
+  for (const std::string& key : batch.deletes) {
+    stored_.begin_item(at);
+    stored_.add(kDelete);
+    stored_.add(batch.revision);
+    stored_.add(key);
+  }
+  for (const Batch::Put& put : batch.puts) {
+    stored_.begin_item(at);
+    stored_.add(kPut);
+    stored_.add(batch.revision);
+    stored_.add(put.key);
+    stored_.add(put.entry.tenancy);
+    stored_.add(encode(put.entry.value));
+  }
+}
+
+Digests MessageDigests::summaries() const {
+  Digests out;
+  for (const Transport transport : kTransports) {
+    const auto sequence = messages_.find(transport);
+    out[to_text(transport)] = sequence == messages_.end() ? DigestSummary{} : sequence->second.summary();
+  }
+  out["stored"] = stored_.summary();
+  return out;
+}
+
+}  // namespace wrenusher::lab
--- a/lab/sim/sim_wires.cpp
+++ b/lab/sim/sim_wires.cpp
@@ -10,6 +10,8 @@
 /// One message in so many takes long; one answer in so many is lost.
 constexpr int kSlowMessage = 100;
 constexpr int kLostAnswer = 200;
+/// The name of all users.
+constexpr std::string_view kUser = "user";
 
 }  // namespace
 
@@ -59,8 +61,9 @@
   return at;
 }
 
-void SimWires::serve_at(const Endpoint& at, const std::string& who, Handler handler) {
+void SimWires::serve_at(const Endpoint& at, const std::string& who, Transport transport, Handler handler) {
   names_[at] = who;
+  transports_[at] = transport;
   handlers_[at] = std::move(handler);
 }
 
@@ -113,16 +116,33 @@
   return false;
 }
 
+Transport SimWires::transport_of(const std::string& from, const Endpoint& to) const {
+  const auto found = transports_.find(to);
+  // An address at which nobody ever served is a worker's that is not known here.
+  const Transport transport = found == transports_.end() ? Transport::worker : found->second;
+  return transport == Transport::client && from != kUser ? Transport::worker : transport;
+}
+
+bool SimWires::deliver(const std::string& from, const Endpoint& to, const Request& request,
+                       const Answer& answer) {
+  const auto h = handlers_.find(to);
+  if (h == handlers_.end()) return false;
+  h->second(from, request,
+            [this, from, name = names_[to], transport = transport_of(from, to), answer](Response r) {
+              digests.response(transport, now_, name, from, r);
+              answer(std::move(r));
+            });
+  return true;
+}
+
 void SimWires::send(const std::string& from, const Endpoint& to, Request request, Micros timeout, Done done) {
+  digests.request(transport_of(from, to), now_, from, names_[to], request);
   if (copies_.share > 0 && uniform(0, 1) < copies_.share &&
       (copies_.paths.empty() || std::any_of(copies_.paths.begin(), copies_.paths.end(),
                                             [&](const auto& p) { return request.target.starts_with(p); }))) {
     const Micros late{static_cast<std::int64_t>(
         uniform(static_cast<double>(copies_.least.count()), static_cast<double>(copies_.most.count())))};
-    at(late, [this, from, to, request] {
-      if (const auto h = handlers_.find(to); h != handlers_.end())
-        h->second(from, request, [](const Response&) {});
-    });
+    at(late, [this, from, to, request] { deliver(from, to, request, [](const Response&) {}); });
   }
   struct Call {
     bool settled = false;
@@ -144,8 +164,7 @@
   if (late_writes_ > 0 && request.target == "/multi" && uniform(0, 1) < late_writes_) {
     at(timeout, [call] { call->settle({false, true, {}}); });
     at(from_seconds(uniform(2, 12)), [this, from, to, request = std::move(request)] {
-      if (const auto h = handlers_.find(to); h != handlers_.end())
-        h->second(from, request, [](const Response&) {});
+      deliver(from, to, request, [](const Response&) {});
     });
     return;
   }
@@ -155,14 +174,13 @@
   if (!sent) return;
   carry(state, [this, call, from, to, name, request = std::move(request)] {
     const std::size_t most = request.most;
-    const auto h = handlers_.find(to);
-    if (h == handlers_.end()) {
+    if (!handlers_.contains(to)) {
       call->settle({false, true, {}});
       return;
     }
     const bool lose = pick(kLostAnswer) == 0;
     const auto asked = losing_.empty() ? std::nullopt : asked_of(request);
-    h->second(from, request, [this, call, from, name, lose, most, asked](Response r) {
+    deliver(from, to, request, [this, call, from, name, lose, most, asked](Response r) {
       const bool carried_out = r.status == 200 || r.status == 404 || r.status == 409;
       if (asked && carried_out && loses_answer(from, *asked)) return;  // its time runs out
       if (lose) {                                                      // executed, but the answer never comes
--- a/lab/sim/world.cpp
+++ b/lab/sim/world.cpp
@@ -167,12 +167,13 @@
     }
     return machines_.zone_of(name);
   };
-  wires_.serve_at(kState, "state", [this](const std::string& from, const Request& r, const Answer& a) {
-    state_.serve(from, r, a);
-  });
-  wires_.serve_at(kCloud, "cloud", [this](const std::string& from, const Request& r, const Answer& a) {
-    cloud_.serve(from, r, a);
-  });
+  wires_.serve_at(
+      kState, "state", Transport::state,
+      [this](const std::string& from, const Request& r, const Answer& a) { state_.serve(from, r, a); });
+  wires_.serve_at(
+      kCloud, "cloud", Transport::cloud,
+      [this](const std::string& from, const Request& r, const Answer& a) { cloud_.serve(from, r, a); });
+  state_.on_saved = [this](const Batch& batch) { wires_.digests.stored(now(), batch); };
   machines_.on_end = [this](const std::string& ref) { users_.ended(ref); };
   machines_.controllers(controllers(site_.controllers));
   cloud_.furnish();
@@ -203,17 +204,19 @@
   node = std::make_unique<Node>(wires_, name, 1.0 + uniform(0, 0.0005), s,
                                 [this](const std::string&) { return std::optional(site_.topology_text); });
   Node* n = node.get();
-  wires_.serve_at(client_of(i), name, [this, n](const std::string&, const Request& r, const Answer& a) {
-    n->runtime.run([this, n, r, a] {
-      n->controller.serve_client(r, [this, n, r, a](const Response& given) {
-        checker.given(now(), n->name, r, given);
-        a(given);
-      });
-    });
-  });
-  wires_.serve_at(peer_of(i), name, [n](const std::string&, const Request& r, const Answer& a) {
-    n->runtime.run([n, r, a] { n->controller.serve_peer(r, a); });
-  });
+  wires_.serve_at(client_of(i), name, Transport::client,
+                  [this, n](const std::string&, const Request& r, const Answer& a) {
+                    n->runtime.run([this, n, r, a] {
+                      n->controller.serve_client(r, [this, n, r, a](const Response& given) {
+                        checker.given(now(), n->name, r, given);
+                        a(given);
+                      });
+                    });
+                  });
+  wires_.serve_at(peer_of(i), name, Transport::peer,
+                  [n](const std::string&, const Request& r, const Answer& a) {
+                    n->runtime.run([n, r, a] { n->controller.serve_peer(r, a); });
+                  });
   n->controller.taken_over().connect(n->runtime, [this](const mail::TakenOver& t) {
     takeovers_.push_back({now() - t.told_after, t});
   });
--- a/tests/lab_test.cpp
+++ b/tests/lab_test.cpp
@@ -285,13 +285,58 @@
   const auto again = read_days(day_json(s, {a, c}).dump(), "days.json");
   ASSERT_EQ(again.size(), 2U);
   EXPECT_EQ(again[0].figures, a.figures);
+  EXPECT_EQ(again[0].digests, a.digests);
   EXPECT_THROW(read_days("{}", "days.json"), SiteError);
   EXPECT_NE(day_table(s, {a, c}).find("no rule broken"), std::string::npos);
 }
 
+TEST(Lab, DigestsOfADayRepeatExactlyAndDifferBetweenSeeds) {
+  const Site s = troubled_site();
+  const DayResult first = play_day(s, 3);
+  EXPECT_EQ(play_day(s, 3).digests, first.digests);
+  const DayResult other = play_day(s, 4);
+  ASSERT_EQ(first.digests.size(), 6U);
+  for (const char* name : {"client", "worker", "peer", "state", "cloud", "stored"}) {
+    EXPECT_GT(first.digests.at(name).count, 0U) << name;
+    EXPECT_NE(first.digests.at(name).digest, other.digests.at(name).digest) << name;
+  }
+}
+
+TEST(Lab, DigestsOfADayAreWrittenAsNumbersThatADoubleKeeps) {
+  DayResult day;
+  day.digests["peer"] = {7, 0xfedcba9876543211U};
+  const std::string text = day_json(Site{}, {day}).dump();
+  const auto written = nlohmann::json::parse(text).at("days").at(0).at("digests").at("peer");
+  EXPECT_EQ(written.at("count"), 7);
+  EXPECT_EQ(written.at("digest"), nlohmann::json({0xfedcba98U, 0x76543211U}));
+  EXPECT_EQ(read_days(text, "days.json").at(0).digests, day.digests);
+}
+
+TEST(Lab, DaysWrittenBeforeThereWereDigestsAreRead) {
+  const auto days =
+      read_days(R"({"days": [{"seed": 1, "figures": {"money": 2}, "broken": []}]})", "old.json");
+  ASSERT_EQ(days.size(), 1U);
+  EXPECT_TRUE(days[0].digests.empty());
+}
+
+TEST(SequenceDigest, DependsOnTheOrderTheTimeAndTheBoundsOfTheFields) {
+  const auto digest_of = [](Instant at, std::initializer_list<std::string_view> fields) {
+    SequenceDigest d;
+    d.begin_item(at);
+    for (const std::string_view f : fields) d.add(f);
+    return d.summary();
+  };
+  const DigestSummary one = digest_of(Instant{}, {"ab", "c"});
+  EXPECT_EQ(one.count, 1U);
+  EXPECT_EQ(digest_of(Instant{}, {"ab", "c"}), one);
+  EXPECT_NE(digest_of(Instant{}, {"c", "ab"}), one);
+  EXPECT_NE(digest_of(Instant{}, {"a", "bc"}), one);
+  EXPECT_NE(digest_of(Instant{} + millis(1), {"ab", "c"}), one);
+}
+
 TEST(Lab, ComparingTellsWhatMovedBeyondTheSpread) {
   const auto day = [](std::uint64_t seed, double wait, double money) {
-    return DayResult{seed, {{"wait", wait}, {"money", money}, {"same", 1}}, {}};
+    return DayResult{seed, {{"wait", wait}, {"money", money}, {"same", 1}}, {}, {}};
   };
   const std::vector<DayResult> before = {day(1, 10, 5), day(2, 20, 6), day(3, 30, 7), day(9, 0, 0)};
   // Waits fell on every day by about as much; money went up and down.
