--- /dev/null
+++ b/tests/golden_values.hpp
@@ -0,0 +1,52 @@
+#pragma once
+// Values of every stored record, heartbeat and hint, and the bytes in which this build writes them. The
+// golden test compares these with files that the production version wrote; golden_writer.cpp writes such
+// files.
+
+#include <map>
+#include <string>
+
+#include "wrenusher/mail/mail.hpp"
+#include "wrenusher/records/records.hpp"
+#include "wrenusher/settings/settings.hpp"
+#include "wrenusher/topology/topology.hpp"
+
+namespace wrenusher::golden {
+
+using namespace base;
+using namespace protocol;
+
+/// Settings of one of the three controllers c0, c1 and c2.
+settings::Settings settings_of(const std::string& node);
+std::shared_ptr<const topology::Topology> topology_in_use();
+
+// Records
+JobSpec array_job();
+JobSpec gang_job();
+JobSpec service_job();
+inline constexpr WallTime kAccepted{millis(1764676800123)};
+inline constexpr std::uint32_t kTasksPerBlock = 358;
+inline constexpr std::uint32_t kSlot = 7;
+std::vector<records::BlockAt> blocks();
+Catalog catalog();
+
+// Heartbeats
+inline constexpr std::uint64_t kTerm = 6;
+mail::Progress progress();
+
+// Hints
+mail::MachineHint machine_hint();
+mail::QueueHint queue_hint();
+mail::JobHint job_hint();
+mail::RentalHint rental_hint();
+mail::BookingHint booking_hint();
+
+/// All of them by name, encoded by this build: the name of the file that holds the production version's
+/// bytes.
+std::map<std::string, std::string> encoded_by_this_build();
+
+/// Bytes as lines of 64 hexadecimal digits, and back.
+std::string to_hex(const std::string& bytes);
+std::string from_hex(const std::string& text);
+
+}  // namespace wrenusher::golden
