--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -9,7 +9,8 @@
 
 namespace {
 constexpr Micros kTick = millis(250);
-constexpr std::size_t kMostGone = 2000;
+/// Departed machines whose late reports are ignored: every machine of the largest deployment (11,000), twice.
+constexpr std::size_t kMostGone = 22000;
 /// A report may be this late without anything being wrong.
 constexpr Micros kReportDelay = from_seconds(1.5);
 /// With fewer machines than this nothing is told from how many are silent.
@@ -18,8 +19,9 @@
 constexpr double kStarved = 0.5;
 constexpr Micros kStarvedMemory = from_seconds(6);
 /// Workers asked for their word at a time. Whoever is short of processor gets the answers later and asks
-/// less.
+/// less. Of many workers this part at a time, so that those that time out hold up the rest no longer.
 constexpr std::size_t kMostCalls = 24;
+constexpr std::size_t kCallsPart = 40;
 constexpr Micros kCallTimeout = from_seconds(1);
 constexpr int kCallTries = 3;
 /// A machine is asked for its newest word no more often than this.
@@ -363,7 +365,7 @@
 }
 
 void Fleet::call_over() {
-  while (calling_ < kMostCalls && !calls_.empty()) {
+  while (calling_ < std::max(kMostCalls, to_call_ / kCallsPart) && !calls_.empty()) {
     const Call c = std::move(calls_.front());
     calls_.pop_front();
     // It has come by itself, or is no more.
