--- a/apps/wrenusher/main.cpp
+++ b/apps/wrenusher/main.cpp
@@ -7,6 +7,7 @@
 #include "wrenusher/controller/controller.hpp"
 #include "wrenusher/log/log.hpp"
 #include "wrenusher/net/net.hpp"
+#include "wrenusher/net/open_files.hpp"
 
 namespace {
 
@@ -78,6 +79,7 @@
   }
   wrenusher::log::set_up("wrenusher",
                          log_format == "json" ? wrenusher::log::Format::json : wrenusher::log::Format::text);
+  wrenusher::net::report_open_file_limit(wrenusher::net::raise_open_file_limit(settings.max_sockets));
   try {
     wrenusher::net::UvRuntime runtime(settings.max_sockets);
     wrenusher::controller::Controller controller(runtime, settings);
--- a/src/net/net.cpp
+++ b/src/net/net.cpp
@@ -22,6 +22,9 @@
 constexpr Micros kInboundLinger = from_seconds(2);
 /// What must stay free for outgoing connections, and so for workers' orders, peers, store and cloud.
 constexpr int kReservedSockets = 32;
+/// Connections that may wait to be accepted: every machine of the largest deployment (11,000) at once, as
+/// after a leader's end. The kernel takes net.core.somaxconn where that is less.
+constexpr int kListenBacklog = 16384;
 
 // One thread, one loop: bytes are consumed within the read callback, so one buffer serves all.
 std::array<char, 64 * 1024> read_buffer;
@@ -269,27 +272,28 @@
   const sockaddr_in addr = address(at);
   int rc = uv_tcp_bind(&l->tcp, reinterpret_cast<const sockaddr*>(&addr), 0);
   if (rc == 0) {
-    rc = uv_listen(reinterpret_cast<uv_stream_t*>(&l->tcp), 256, [](uv_stream_t* server, int status) {
-      auto* listener = static_cast<Listener*>(server->data);
-      if (status < 0) return;
-      auto in = std::make_shared<Inbound>();
-      in->owner = listener;
-      uv_tcp_init(&listener->rt->loop_, &in->tcp);
-      in->tcp.data = in.get();
-      in->last = listener->rt->now();
-      http_parser_init(&in->parser, HTTP_REQUEST);
-      in->parser.data = in.get();
-      in->place = listener->open.insert(listener->open.end(), in);
-      ++listener->rt->open_sockets_;
-      if (uv_accept(server, reinterpret_cast<uv_stream_t*>(&in->tcp)) != 0) {
-        in->close();
-        return;
-      }
-      uv_tcp_nodelay(&in->tcp, 1);
-      in->refusing = static_cast<int>(listener->open.size()) > listener->most ||
-                     listener->rt->open_sockets_ > listener->rt->max_sockets_ - kReservedSockets;
-      uv_read_start(reinterpret_cast<uv_stream_t*>(&in->tcp), take_buffer, Inbound::on_read);
-    });
+    rc = uv_listen(
+        reinterpret_cast<uv_stream_t*>(&l->tcp), kListenBacklog, [](uv_stream_t* server, int status) {
+          auto* listener = static_cast<Listener*>(server->data);
+          if (status < 0) return;
+          auto in = std::make_shared<Inbound>();
+          in->owner = listener;
+          uv_tcp_init(&listener->rt->loop_, &in->tcp);
+          in->tcp.data = in.get();
+          in->last = listener->rt->now();
+          http_parser_init(&in->parser, HTTP_REQUEST);
+          in->parser.data = in.get();
+          in->place = listener->open.insert(listener->open.end(), in);
+          ++listener->rt->open_sockets_;
+          if (uv_accept(server, reinterpret_cast<uv_stream_t*>(&in->tcp)) != 0) {
+            in->close();
+            return;
+          }
+          uv_tcp_nodelay(&in->tcp, 1);
+          in->refusing = static_cast<int>(listener->open.size()) > listener->most ||
+                         listener->rt->open_sockets_ > listener->rt->max_sockets_ - kReservedSockets;
+          uv_read_start(reinterpret_cast<uv_stream_t*>(&in->tcp), take_buffer, Inbound::on_read);
+        });
   }
   if (rc != 0) {
     // The loop knows the handle: it must live until it is closed.
