--- a/apps/wrenlab/main.cpp
+++ b/apps/wrenlab/main.cpp
@@ -15,6 +15,7 @@
 #include "wrenusher/lab/day.hpp"
 #include "wrenusher/lab/live_lab.hpp"
 #include "wrenusher/lab/verdict.hpp"
+#include "wrenusher/net/open_files.hpp"
 
 namespace {
 
@@ -24,8 +25,6 @@
 
 constexpr int kBadInput = 2;
 constexpr int kFailed = 1;
-constexpr int kMostSockets = 60000;
-constexpr int kPool = 512;
 constexpr int kPort = 7400;
 
 lab::Site site_of(const std::string& file) {
@@ -57,7 +56,8 @@
 // ---------------------------------------------------------------- up
 
 int up(const lab::LabOptions& options) {
-  UvRuntime rt(kMostSockets, kPool);
+  wrenusher::net::raise_open_file_limit(lab::kLabSockets);
+  UvRuntime rt(lab::kLabSockets, lab::kLabPool);
   lab::LiveLab l(rt, options);
   Signals signals(rt, [&] {
     std::cout << "stopping" << std::endl;
@@ -193,7 +193,8 @@
 int demo(lab::LabOptions options) {
   options.site = site_of("");
   options.data.clear();
-  UvRuntime rt(kMostSockets, kPool);
+  wrenusher::net::raise_open_file_limit(lab::kLabSockets);
+  UvRuntime rt(lab::kLabSockets, lab::kLabPool);
   lab::LiveLab l(rt, options);
   Demo d(rt, l);
   bool interrupted = false;
--- a/lab/live/include/wrenusher/lab/live_wires.hpp
+++ b/lab/live/include/wrenusher/lab/live_wires.hpp
@@ -8,6 +8,12 @@
 
 namespace wrenusher::lab {
 
+/// Sockets of a process of the lab, which holds both ends of most connections.
+inline constexpr int kLabSockets = 60000;
+/// Connections that a process of the lab keeps to one address: a report of every machine at once, none of
+/// which waits for another's connection.
+inline constexpr int kLabPool = 12000;
+
 /// What went over the links of one kind, bodies alone: HTTP's heads are not counted.
 struct Traffic {
   std::uint64_t requests = 0;
--- a/lab/live/live_wires.cpp
+++ b/lab/live/live_wires.cpp
@@ -7,7 +7,6 @@
 
 namespace {
 
-constexpr int kMostConnections = 4000;
 constexpr int kMostPort = 65000;
 /// Ports in a row that others may hold.
 constexpr int kTriedPorts = 200;
@@ -71,7 +70,7 @@
 
 void LiveWires::serve_at(const Endpoint& at, const std::string& who, const std::string& from,
                          Handler handler) {
-  rt_.listen(at, kMostConnections,
+  rt_.listen(at, kLabSockets,
              [this, who, from, handler = std::move(handler)](const Request& r, const Answer& answer) {
                const Cut cut = links.asking(from, who);
                if (cut == Cut::none) {
--- a/lab/scale/cell_processes.cpp
+++ b/lab/scale/cell_processes.cpp
@@ -8,15 +8,12 @@
 #include <iostream>
 
 #include "wrenusher/lab/cell_run.hpp"
+#include "wrenusher/net/open_files.hpp"
 
 namespace wrenusher::lab {
 
 namespace {
 
-constexpr int kMostSockets = 60000;
-/// Every worker has a report under way now and then, and none waits for another's connection.
-constexpr int kPool = 4000;
-
 nlohmann::json read_json(const std::string& file) {
   std::ifstream in(file);
   return nlohmann::json::parse(in);
@@ -113,7 +110,8 @@
   try {
     const auto load = read_json(load_file).get<CellLoad>();
     result.load = load;
-    net::UvRuntime rt(kMostSockets, kPool);
+    net::raise_open_file_limit(kLabSockets);
+    net::UvRuntime rt(kLabSockets, kLabPool);
     CellRun run(rt, load);
     run.start([&](const CellResult& r) {
       result = r;
