--- a/src/desk/frontdesk.cpp
+++ b/src/desk/frontdesk.cpp
@@ -11,16 +11,18 @@
 
 namespace {
 
-constexpr std::size_t kMostFinals = 4000;
+/// Final states and live records in memory. Jobs grow with machines: 0.65 live ones a machine, so some 7,200
+/// at 11,000 machines. What is dropped is read again.
+constexpr std::size_t kMostFinals = 12000;
 constexpr Micros kFreshPeer = from_seconds(2);
-constexpr std::size_t kMostKnown = 4000;
+constexpr std::size_t kMostKnown = 12000;
 constexpr int kWithdrawTries = 4;
 /// The state service is asked so often for an answer that may be given.
 constexpr int kAskTries = 3;
 /// Polls that come this close together share a comparison from the start; more gather while it is under way.
 constexpr Micros kGather = millis(10);
 /// Questions that wait for a comparison; what is over is refused at once.
-constexpr std::size_t kMostChecks = 500;
+constexpr std::size_t kMostChecks = 12000;
 
 constexpr int kSoon = 1;
 
@@ -62,17 +64,23 @@
 
 void Frontdesk::on_peer(const PeerNews& news) {
   if (!news.reached) return;
-  auto& seen_here = peers_[news.node];
-  seen_here = {std::max(seen_here.first, *news.reached), news.store};
+  PeerSeen& peer = peers_[news.node];
+  peer.reached = std::max(peer.reached, *news.reached);
+  peer.store = news.store;
+  if (news.announced_all) peer.announced = std::max(peer.announced, *news.reached);
   // What they had announced by then came before, in the order of the mail.
   if (peers_.size() < settings_.peers.size()) return;
   Instant all = Instant::max();
-  for (const auto& [node, seen] : peers_) all = std::min(all, seen.first);
+  for (const auto& [node, seen] : peers_) all = std::min(all, seen.announced);
   order_.in_touch(all);
 }
 
 void Frontdesk::on_progress(const std::shared_ptr<const Progress>& p) {
-  counts_.clear();
+  if (p->part) {
+    std::erase_if(counts_, [&](const auto& c) { return p->part->contains(c.first); });
+  } else {
+    counts_.clear();
+  }
   for (const Progress::Row& r : p->rows) counts_[r.ref] = {r.done, r.running};
 }
 
@@ -80,7 +88,7 @@
   if (store_.reachable()) return true;
   // In an outage that all share, leaving the balancer would only lengthen its pause.
   for (const auto& [node, seen] : peers_) {
-    if (seen.second && rt_.now() - seen.first < kFreshPeer) return false;
+    if (seen.store && rt_.now() - seen.reached < kFreshPeer) return false;
   }
   return true;
 }
--- a/src/desk/include/wrenusher/desk/frontdesk.hpp
+++ b/src/desk/include/wrenusher/desk/frontdesk.hpp
@@ -93,7 +93,12 @@
   Store& store_;
   std::shared_ptr<const Catalog> catalog_;
   TopologyInForce topology_;
-  std::map<std::string, std::pair<Instant, bool>> peers_;
+  struct PeerSeen {
+    Instant reached{};                   ///< the newest question that it answered
+    bool store = false;                  ///< it has the state service
+    Instant announced = Instant::min();  ///< what it had announced by then is known here
+  };
+  std::map<std::string, PeerSeen> peers_;
   /// Done and running tasks of live jobs.
   std::unordered_map<std::string, std::pair<std::uint64_t, std::uint64_t>> counts_;
   /// Final states never change, so an old answer is as good as a new one.
--- a/src/desk/include/wrenusher/desk/job_index.hpp
+++ b/src/desk/include/wrenusher/desk/job_index.hpp
@@ -35,7 +35,7 @@
   using Done = std::function<void(const Answer&)>;
 
   /// Questions that wait at the most; what is over is refused.
-  static constexpr std::size_t kMostQuestions = 4000;
+  static constexpr std::size_t kMostQuestions = 12000;
 
   JobIndex(Runtime& rt, Store& store) : rt_(rt), store_(store) {}
 
--- a/src/mail/include/wrenusher/mail/mail.hpp
+++ b/src/mail/include/wrenusher/mail/mail.hpp
@@ -61,6 +61,8 @@
   /// When the question went out that this answers: the peer was there then. Nothing: it came by itself.
   std::optional<Instant> reached;
   std::string successor;  ///< whom it wants to lead now; empty: nobody
+  /// Everything that it had announced when it said this is known here; otherwise the rest follows.
+  bool announced_all = true;
 };
 
 /// A worker or a peer showed an epoch above ours, or a write failed on the `leader` key.
@@ -286,7 +288,14 @@
     std::uint64_t done = 0;
     std::uint64_t running = 0;
   };
+  /// The jobs that a page is about: names beyond the first, up to the second; empty: to the end.
+  struct Part {
+    std::string after;
+    std::string through;
+    bool contains(const std::string& ref) const { return ref > after && (through.empty() || ref <= through); }
+  };
   std::vector<Row> rows;
+  std::optional<Part> part;  ///< nothing: the rows are all there are
 };
 
 /// The machine types, as the cloud or the state service last gave them.
--- a/src/membership/cancellations.cpp
+++ b/src/membership/cancellations.cpp
@@ -10,7 +10,7 @@
 }  // namespace
 
 Cancellations::Cancellations(std::uint64_t life, const std::vector<std::string>& peers)
-    : log_(life, peers, {{"withdrawn", "log", "got"}, "jobs", valid_ref, kMostKept}) {
+    : log_(life, peers, {{"withdrawn", "log", "got"}, "jobs", valid_ref, kMostKept, {}}) {
   for (const std::string& p : peers) peers_[p];
 }
 
@@ -27,7 +27,7 @@
   if (!told_.insert(ref).second) return false;
   told_order_.emplace_back(now, ref);
   if (!log_.has_peers()) return false;
-  log_.add(ref);
+  log_.add(ref, now);
   return true;
 }
 
--- a/src/membership/include/wrenusher/membership/numbered_log.hpp
+++ b/src/membership/include/wrenusher/membership/numbered_log.hpp
@@ -29,17 +29,19 @@
     const char* what;  ///< what a row is, for people
     std::function<bool(const std::string& row)> valid;
     std::size_t most_kept;  ///< for a peer that is away; older ones it never gets
+    Micros fresh{};         ///< rows younger than this are kept beyond `most_kept`
   };
   /// `life`: of this process, never 0, another for each.
   NumberedLog(std::uint64_t life, const std::vector<std::string>& peers, Options options);
 
-  void add(std::string row);
+  void add(std::string row, Instant now);
   /// Those that every peer has confirmed since this was last asked. What was dropped is not among them.
   std::vector<std::string> take_confirmed();
   bool has_peers() const { return !peers_.empty(); }
   std::size_t kept() const { return rows_.size(); }
 
-  /// The fields of a heartbeat to that peer: what it has not confirmed yet, and what this node has of it.
+  /// The fields of a heartbeat to that peer: what it has not confirmed yet, and what this node has of it. At
+  /// most one page of rows; the next heartbeat goes on from what the peer has confirmed by then.
   void write(const std::string& peer, Value::Map& out) const;
   struct Taken {
     std::vector<std::string> rows;  ///< some of them known before
@@ -57,12 +59,17 @@
     std::uint64_t got = 0;  ///< every row up to this number of that life, or of before it was met
     std::uint64_t has = 0;  ///< what the peer has of this node's rows
   };
+  struct Row {
+    std::string text;
+    Instant added{};
+  };
   std::uint64_t last() const { return first_ + rows_.size() - 1; }
+  /// Drops what every peer has, and what is beyond the rows to keep at the time of the newest row.
   void trim();
 
   std::uint64_t life_;
   Options options_;
-  std::deque<std::string> rows_;
+  std::deque<Row> rows_;
   std::uint64_t first_ = 1;  ///< number of rows_.front()
   std::vector<std::string> confirmed_;
   std::map<std::string, PeerLog> peers_;
--- a/src/membership/include/wrenusher/membership/peer.hpp
+++ b/src/membership/include/wrenusher/membership/peer.hpp
@@ -32,7 +32,7 @@
   void on_announce(const Announcement& a);
   void on_topology(const TopologyRead& t);
   void on_force(const TopologyInForce& t) { force_ = t.edition; }
-  void on_progress(const std::shared_ptr<const Progress>& p) { untold_ = p; }
+  void on_progress(const std::shared_ptr<const Progress>& p);
   void on_ready(const Readiness& r) { ready_ = r; }
   void on_ceding(const Ceding& c);
   void on_aside(const Aside& a) { asides_[a.peer] = a.value; }
@@ -52,9 +52,12 @@
   /// nothing.
   void send(bool only_news = false);
   Value describe(const std::string& peer);
-  void write_progress(Value::Map& out) const;
+  void write_progress(const std::string& peer, Value::Map& out);
+  bool progress_told() const;
+  void take_progress(const Value& v);
   void push();
-  void take_announcements(const std::string& node, const Value& v);
+  /// Whether there are no more announcements of the peer than are known here by now.
+  bool take_announcements(const std::string& node, const Value& v);
   void refuse(const std::string& node, const std::string& fault);
   void take_cancellations(const std::string& node, const Value& v, std::optional<Instant> asked);
   void tell_known();
@@ -78,8 +81,15 @@
   Instant pushed_{};                        ///< when the peers were last told at once
   bool pushing_ = false;                    ///< they will be in a moment
   std::set<std::string> refused_;           ///< peer and field of what was refused, each told once
-  std::shared_ptr<const Progress> untold_;  ///< goes out with the next beat
-  std::map<std::string, Value> asides_;     ///< by peer: likewise
+  std::shared_ptr<const Progress> untold_;  ///< goes out with the next beats
+  bool untold_in_order_ = false;            ///< its rows are sorted by job
+  /// How far a peer has been sent the task counts: up to this job, or all of them.
+  struct ProgressCursor {
+    std::string after;
+    bool told = false;
+  };
+  std::map<std::string, ProgressCursor> progress_cursors_;
+  std::map<std::string, Value> asides_;  ///< by peer: likewise
   Readiness ready_ = Readiness::cold;
   Instant abstains_until_{};
   std::string successor_;
--- a/src/membership/numbered_log.cpp
+++ b/src/membership/numbered_log.cpp
@@ -7,8 +7,12 @@
 namespace wrenusher::membership {
 
 namespace {
-/// Rows of one heartbeat, which may have 64 KiB; the next brings the rest.
+/// A page: rows of one heartbeat, which may have 64 KiB for all that it carries, and their bytes. The next
+/// brings the rest.
 constexpr std::size_t kMostRows = 1000;
+constexpr std::size_t kMostRowBytes = 16 * 1024;
+/// A row's length, before its text.
+constexpr std::size_t kRowHead = 2;
 
 std::optional<std::vector<std::uint64_t>> counts(const Value& v, std::size_t n) {
   const Value::List* l = v.list();
@@ -28,8 +32,8 @@
   for (const std::string& p : peers) peers_[p];
 }
 
-void NumberedLog::add(std::string row) {
-  rows_.push_back(std::move(row));
+void NumberedLog::add(std::string row, Instant now) {
+  rows_.push_back({std::move(row), now});
   trim();
 }
 
@@ -40,8 +44,11 @@
 void NumberedLog::trim() {
   std::uint64_t all_have = last();
   for (const auto& [name, p] : peers_) all_have = std::min(all_have, p.has);
-  while (!rows_.empty() && (first_ <= all_have || rows_.size() > options_.most_kept)) {
-    if (first_ <= all_have) confirmed_.push_back(std::move(rows_.front()));
+  const auto beyond = [this] {
+    return rows_.size() > options_.most_kept && rows_.back().added - rows_.front().added >= options_.fresh;
+  };
+  while (!rows_.empty() && (first_ <= all_have || beyond())) {
+    if (first_ <= all_have) confirmed_.push_back(std::move(rows_.front().text));
     rows_.pop_front();
     ++first_;
   }
@@ -52,8 +59,12 @@
   if (p == peers_.end()) return;
   const std::uint64_t from = std::max(first_, std::min(p->second.has, last()) + 1);
   Value::List rows;
-  for (std::size_t i = from - first_; i < rows_.size() && rows.size() < kMostRows; ++i)
-    rows.emplace_back(rows_[i]);
+  std::size_t bytes = 0;
+  for (std::size_t i = from - first_; i < rows_.size() && rows.size() < kMostRows; ++i) {
+    bytes += rows_[i].text.size() + kRowHead;
+    if (bytes > kMostRowBytes) break;
+    rows.emplace_back(rows_[i].text);
+  }
   out.emplace_back(options_.fields.rows, std::move(rows));
   out.emplace_back(options_.fields.log, Value::List{life_, from, last()});
   out.emplace_back(options_.fields.got, Value::List{p->second.life, p->second.got});
--- a/src/membership/peer.cpp
+++ b/src/membership/peer.cpp
@@ -13,9 +13,18 @@
 constexpr Micros kPushPause = millis(50);
 /// A peer that has so many heartbeats to answer gets no more than the regular ones.
 constexpr int kMostUnanswered = 3;
-/// Announcements that a peer has not confirmed; after two seconds nobody waits for that any more. No more
-/// than go with one heartbeat, so that each tells all there are.
+/// Announcements that a peer has not confirmed: so many are kept of those that nobody waits for any more, and
+/// all that are younger than this, however many machines there are. Twice the time that an answer waits at
+/// the most.
 constexpr std::size_t kMostAnnounced = 1000;
+constexpr Micros kAnnouncedFresh = from_seconds(4);
+/// A page of task counts: jobs and bytes of one heartbeat. The next brings the rest.
+constexpr std::size_t kProgressRows = 1000;
+constexpr std::size_t kProgressBytes = 24 * 1024;
+/// A row's own bytes beside its job's name: heads, and two counts up to 100,000.
+constexpr std::size_t kProgressRowBytes = 12;
+/// What a heartbeat may have in all, some way below the limit of a request's body.
+constexpr std::size_t kBeatBytes = 60 * 1024;
 /// A node that gave the lead away says for so long whom it wants to lead, and that it does not itself.
 constexpr Micros kAbstains = from_seconds(4);
 std::vector<std::string> names_of(const std::vector<PeerAddress>& peers) {
@@ -37,6 +46,20 @@
   return {row.substr(2), row.front() == 'o' ? Level::over : Level::accepted};
 }
 
+std::size_t bytes_of(const Progress::Row& r) {
+  return r.ref.size() + kProgressRowBytes;
+}
+
+std::size_t bytes_of(const std::vector<Progress::Row>& rows) {
+  std::size_t out = 0;
+  for (const Progress::Row& r : rows) out += bytes_of(r);
+  return out;
+}
+
+/// The field that says between which jobs a page of task counts lies: beyond the first, up to the second,
+/// which is empty for the last page. A whole list has none.
+constexpr const char* kProgressPart = "progress_part";
+
 }  // namespace
 
 Peer::Peer(Runtime& rt, const Settings& settings)
@@ -44,9 +67,12 @@
       settings_(settings),
       life_(rt.random()() | 1U),
       cancellations_(life_, names_of(settings.peers)),
-      announcements_(
-          life_, names_of(settings.peers),
-          {{"told", "told_log", "told_got"}, "announcements", valid_announcement, kMostAnnounced}) {}
+      announcements_(life_, names_of(settings.peers),
+                     {{"told", "told_log", "told_got"},
+                      "announcements",
+                      valid_announcement,
+                      kMostAnnounced,
+                      kAnnouncedFresh}) {}
 
 void Peer::start() {
   cancellations_.begin(rt_.now(), settings_.cancel);
@@ -56,7 +82,7 @@
 
 void Peer::beat() {
   send();
-  untold_.reset();
+  if (progress_told()) untold_.reset();
   sent(BeatSent{});
   rt_.after(kBeat, [this] { beat(); });
 }
@@ -68,7 +94,7 @@
     ++unanswered;
     Value::Map all = *describe(p.name).map();
     if (auto a = asides_.extract(p.name)) all.emplace_back("aside", std::move(a.mapped()));
-    if (!only_news) write_progress(all);
+    if (!only_news) write_progress(p.name, all);
     const std::string body = encode(Value(std::move(all)));
     rt_.fetch(p.at, {"POST", "/beat", body}, kTimeout,
               [this, name = p.name, asked = rt_.now()](const Outcome& o) {
@@ -90,18 +116,19 @@
     confirmed(a);
     return;
   }
-  announcements_.add(write_announcement(a));
+  announcements_.add(write_announcement(a), rt_.now());
   push();
 }
 
-void Peer::take_announcements(const std::string& node, const Value& v) {
+bool Peer::take_announcements(const std::string& node, const Value& v) {
   const NumberedLog::Taken t = announcements_.take(node, v);
   if (!t.fault.empty()) {
     refuse(node, t.fault);
-    return;
+    return true;
   }
   for (const std::string& row : t.rows) announced(read_announcement(row));
   for (const std::string& row : announcements_.take_confirmed()) confirmed(read_announcement(row));
+  return !t.numbered || t.whole;
 }
 
 /// The peers are told at once, since the leader may be without the state service.
@@ -186,12 +213,79 @@
   return out;
 }
 
-void Peer::write_progress(Value::Map& out) const {
+void Peer::on_progress(const std::shared_ptr<const Progress>& p) {
+  untold_ = p;
+  untold_in_order_ = false;
+  for (auto& [peer, cursor] : progress_cursors_) {
+    if (cursor.told) cursor = {};
+  }
+}
+
+/// Whether every peer was sent all of it.
+bool Peer::progress_told() const {
+  return std::all_of(progress_cursors_.begin(), progress_cursors_.end(),
+                     [](const auto& c) { return c.second.told; });
+}
+
+/// All task counts where they fit, and otherwise the next page of them, in the order of the jobs' names. A
+/// newer list goes on where the last one was left, so that every job has its turn.
+void Peer::write_progress(const std::string& peer, Value::Map& out) {
   if (!untold_) return;
+  ProgressCursor& cursor = progress_cursors_[peer];
+  const std::size_t bytes = bytes_of(untold_->rows);
+  std::size_t room = kProgressBytes;
+  // Only a list of some size can meet with so much else that both do not fit.
+  if (bytes > room / 4) {
+    const std::size_t used = encode(Value(out)).size();
+    room = used < kBeatBytes ? std::min(room, kBeatBytes - used) : 0;
+  }
+  const auto write_row = [](Value::List& rows, const Progress::Row& r) {
+    rows.emplace_back(Value::List{r.ref, r.done, r.running});
+  };
   Value::List rows;
-  rows.reserve(untold_->rows.size());
-  for (const Progress::Row& r : untold_->rows) rows.emplace_back(Value::List{r.ref, r.done, r.running});
+  if (cursor.after.empty() && untold_->rows.size() <= kProgressRows && bytes <= room) {
+    rows.reserve(untold_->rows.size());
+    for (const Progress::Row& r : untold_->rows) write_row(rows, r);
+    out.emplace_back("progress", std::move(rows));
+    cursor.told = true;
+    return;
+  }
+  if (cursor.told) return;
+  const auto by_ref = [](const Progress::Row& a, const Progress::Row& b) { return a.ref < b.ref; };
+  if (!untold_in_order_) {
+    auto sorted = std::make_shared<Progress>(*untold_);
+    std::sort(sorted->rows.begin(), sorted->rows.end(), by_ref);
+    untold_ = std::move(sorted);
+    untold_in_order_ = true;
+  }
+  const std::string after = cursor.after;
+  auto it = std::upper_bound(untold_->rows.begin(), untold_->rows.end(), Progress::Row{after, 0, 0}, by_ref);
+  for (std::size_t written = 0; it != untold_->rows.end() && rows.size() < kProgressRows; ++it) {
+    written += bytes_of(*it);
+    if (written > room) break;
+    write_row(rows, *it);
+    cursor.after = it->ref;
+  }
+  cursor.told = it == untold_->rows.end();
+  if (rows.empty() && !cursor.told) return;  // no room in this heartbeat
   out.emplace_back("progress", std::move(rows));
+  out.emplace_back(kProgressPart, Value::List{after, cursor.told ? std::string() : cursor.after});
+}
+
+/// The task counts of a heartbeat: all of them, or a page.
+void Peer::take_progress(const Value& v) {
+  const Value::List* l = v["progress"].list();
+  if (l == nullptr) return;
+  auto p = std::make_shared<Progress>();
+  for (const Value& row : *l) {
+    const Value::List* f = row.list();
+    if (f == nullptr || f->size() != 3 || (*f)[0].text() == nullptr) continue;
+    p->rows.push_back({*(*f)[0].text(), (*f)[1].count().value_or(0), (*f)[2].count().value_or(0)});
+  }
+  if (const Value::List* part = v[kProgressPart].list();
+      part != nullptr && part->size() == 2 && (*part)[0].text() != nullptr && (*part)[1].text() != nullptr)
+    p->part = {*(*part)[0].text(), *(*part)[1].text()};
+  progress(std::move(p));
 }
 
 /// Whether this is a peer's newest word. Heartbeats may come twice, long after, and mixed with those of an
@@ -226,16 +320,8 @@
   n.abstains = v["abstains"].boolean().value_or(false);
   if (const std::string* s = v["successor"].text()) n.successor = *s;
   take_cancellations(n.node, v, asked);
-  take_announcements(n.node, v);
-  if (const Value::List* l = v["progress"].list()) {
-    auto p = std::make_shared<Progress>();
-    for (const Value& row : *l) {
-      const Value::List* f = row.list();
-      if (f == nullptr || f->size() != 3 || (*f)[0].text() == nullptr) continue;
-      p->rows.push_back({*(*f)[0].text(), (*f)[1].count().value_or(0), (*f)[2].count().value_or(0)});
-    }
-    progress(std::move(p));
-  }
+  n.announced_all = take_announcements(n.node, v);
+  take_progress(v);
   news(n);
   if (v["aside"].map() != nullptr) aside(Aside{n.node, v["aside"]});
 }
--- a/src/rounds/rounds.cpp
+++ b/src/rounds/rounds.cpp
@@ -18,7 +18,6 @@
 constexpr Micros kPlanAnyway = from_seconds(1);
 constexpr Micros kWorkloadEvery = millis(500);
 constexpr Micros kProgressEvery = from_seconds(1);
-constexpr std::size_t kMostProgress = 1000;
 /// A type that some job could not do without is kept for such jobs this long after the last one was seen.
 constexpr Micros kSoughtMemory = from_seconds(300);
 /// An estimate is followed once it has moved by more than one part in so many.
@@ -600,7 +599,6 @@
   next_progress_ = rt_.now() + kProgressEvery;
   auto out = std::make_shared<Progress>();
   for (const auto& [ref, job] : book_.jobs()) {
-    if (out->rows.size() == kMostProgress) break;
     if (job.done.empty() && job.claims.empty()) continue;
     out->rows.push_back({ref, job.done.size(), job.claims.size()});
   }
