--- a/tests/answers_test.cpp
+++ b/tests/answers_test.cpp
@@ -267,13 +267,13 @@
   ASSERT_EQ(d.states, std::vector<std::string>{"done"});
   d.rt.pass(millis(1));
   const std::string ref = d.ref;
-  for (int i = 0; i < 4100; ++i) {
+  for (int i = 0; i < 12100; ++i) {
     d.ref = "req-" + std::to_string(200000 + i);
     d.poll();
     for (int k = 0; k < 50 && d.rt.calls.empty(); ++k) d.rt.pass(wrenusher::base::Micros{50});
     DeskByHand::answer(d.sent(), 404, DeskByHand::none(10));
     DeskByHand::answer(d.sent(), 200, d.over());
-    d.rt.pass(wrenusher::base::Micros{300});
+    d.rt.pass(wrenusher::base::Micros{100});
   }
   d.ref = ref;
   d.states.clear();
