--- a/apps/wrenlab/main.cpp
+++ b/apps/wrenlab/main.cpp
@@ -34,10 +34,10 @@
 /// Calls `f` once at the first SIGINT, SIGTERM or SIGHUP.
 class Signals {
  public:
-  Signals(UvRuntime& rt, std::function<void()> f) : f_(std::move(f)) {
+  Signals(UvRuntime& runtime, std::function<void()> f) : f_(std::move(f)) {
     const int numbers[] = {SIGINT, SIGTERM, SIGHUP};
     for (int i = 0; i < 3; ++i) {
-      uv_signal_init(rt.loop(), &handles_[i]);
+      uv_signal_init(runtime.loop(), &handles_[i]);
       handles_[i].data = this;
       uv_signal_start(
           &handles_[i],
@@ -55,24 +55,24 @@
 
 // ---------------------------------------------------------------- up
 
-int up(const lab::LabOptions& options) {
-  wrenusher::net::raise_open_file_limit(lab::kLabSockets);
-  UvRuntime rt(lab::kLabSockets, lab::kLabPool);
-  lab::LiveLab l(rt, options);
-  Signals signals(rt, [&] {
+int up(const lab::TestbedOptions& options) {
+  wrenusher::net::raise_open_file_limit(lab::kTestbedSockets);
+  UvRuntime runtime(lab::kTestbedSockets, lab::kTestbedPool);
+  lab::LiveTestbed l(runtime, options);
+  Signals signals(runtime, [&] {
     std::cout << "stopping" << std::endl;
-    l.stop([&] { rt.stop(); });
+    l.stop([&] { runtime.stop(); });
   });
   struct Wait {
     UvRuntime* rt;
-    lab::LiveLab* l;
+    lab::LiveTestbed* l;
     void operator()() const {
       if (!l->ready()) {
-        rt->after(millis(100), *this);
+        rt->after(from_millis(100), *this);
         return;
       }
       std::cout << "lab '" << l->options().site.name << "' is up, " << l->leader() << " leads\n"
-                << "  users    http://" << l->front()
+                << "  users    http://" << l->client_endpoint()
                 << "  (PROTOCOL's requests in CBOR, through the balancer)\n"
                 << "  control  http://" << l->control() << "\n";
       for (int i = 0; i < l->options().controllers; ++i)
@@ -83,8 +83,8 @@
                 << "\nstop with Ctrl-C" << std::endl;
     }
   };
-  Wait{&rt, &l}();
-  rt.run();
+  Wait{&runtime, &l}();
+  runtime.run();
   return 0;
 }
 
@@ -94,10 +94,10 @@
 /// middle.
 class Demo {
  public:
-  Demo(UvRuntime& rt, lab::LiveLab& l) : rt_(rt), l_(l) {}
+  Demo(UvRuntime& runtime, lab::LiveTestbed& l) : runtime_(runtime), l_(l) {}
 
   void start() {
-    began_ = rt_.now();
+    began_ = runtime_.now();
     wait();
   }
   int result() const { return result_; }
@@ -106,22 +106,22 @@
   static constexpr Micros kLong = from_seconds(100);
 
   void say(const std::string& what) {
-    std::printf("%5.1f s  %s\n", to_seconds(rt_.now() - began_), what.c_str());
+    std::printf("%5.1f s  %s\n", to_seconds(runtime_.now() - began_), what.c_str());
     std::fflush(stdout);
   }
 
   void wait() {
     if (!l_.ready()) {
-      if (rt_.now() - began_ > from_seconds(20)) {
+      if (runtime_.now() - began_ > from_seconds(20)) {
         say("no controller leads after 20 s; see " + l_.log_of(0));
         finish(1);
         return;
       }
-      rt_.after(millis(100), [this] { wait(); });
+      runtime_.after(from_millis(100), [this] { wait(); });
       return;
     }
     say(l_.leader() + " leads");
-    rt_.after(from_seconds(2), [this] { submit(); });
+    runtime_.after(from_seconds(2), [this] { submit(); });
   }
 
   void submit() {
@@ -130,25 +130,25 @@
     for (int i = 0; i < 4; ++i) l_.submit("fixes");
     l_.submit("training");
     service_ = l_.submit("watch");
-    lab::JobTruth never =
-        lab::draw_job(l_.options().site, l_.options().site.classes.front(), 1, rt_.random());
-    never.spec.ref = "req-1";
-    never.spec.owner = "nobody";
+    lab::SimulatedJob never =
+        lab::draw_job(l_.options().site, l_.options().site.classes.front(), 1, runtime_.random());
+    never.spec.job_id = "req-1";
+    never.spec.team = "nobody";
     l_.submit(never);
     say("submitted 6 builds, 4 fixes, a gang, a service, and a job of a team that does not exist");
-    rt_.after(from_seconds(4), [this, ref = builds.back()] {
-      l_.withdraw(ref);
-      say("withdrew " + ref);
+    runtime_.after(from_seconds(4), [this, job_id = builds.back()] {
+      l_.cancel(job_id);
+      say("withdrew " + job_id);
     });
-    rt_.after(from_seconds(10), [this] {
+    runtime_.after(from_seconds(10), [this] {
       for (int i = 0; i < 3; ++i) l_.submit("fixes");
-      say("submitted 3 fixes more; " + l_.act({"kill", "leader", "8s"}));
+      say("submitted 3 fixes more; " + l_.perform({"kill", "leader", "8s"}));
     });
-    rt_.after(from_seconds(30), [this] {
-      l_.withdraw(service_);
+    runtime_.after(from_seconds(30), [this] {
+      l_.cancel(service_);
       say("withdrew the service " + service_);
     });
-    rt_.after(from_seconds(32), [this] { watch(); });
+    runtime_.after(from_seconds(32), [this] { watch(); });
     progress();
   }
 
@@ -160,18 +160,18 @@
       jobs += " " + std::to_string(n.count().value_or(0)) + " " + state;
     say((l_.leader().empty() ? std::string("nobody") : l_.leader()) + " leads, " +
         std::to_string(l_.machines().up().size()) + " machines, jobs:" + jobs);
-    rt_.after(from_seconds(4), [this] { progress(); });
+    runtime_.after(from_seconds(4), [this] { progress(); });
   }
 
   void watch() {
     const lab::Verdict v = lab::judge(l_.users(), l_.machines(), l_.checker());
-    if (v.lost > 0 && v.broken.empty() && rt_.now() - began_ < kLong) {
-      rt_.after(millis(500), [this] { watch(); });
+    if (v.lost > 0 && v.broken.empty() && runtime_.now() - began_ < kLong) {
+      runtime_.after(from_millis(500), [this] { watch(); });
       return;
     }
     over_ = true;
     std::cout << '\n'
-              << lab::table(v) << l_.ends() << " controller ended, " << l_.terms()
+              << lab::table(v) << l_.exit_count() << " controller ended, " << l_.terms()
               << " terms of leadership\n";
     finish(v.good ? 0 : kFailed);
   }
@@ -179,41 +179,41 @@
   void finish(int result) {
     over_ = true;
     result_ = result;
-    l_.stop([this] { rt_.stop(); });
+    l_.stop([this] { runtime_.stop(); });
   }
 
-  UvRuntime& rt_;
-  lab::LiveLab& l_;
+  UvRuntime& runtime_;
+  lab::LiveTestbed& l_;
   Instant began_{};
   std::string service_;
   bool over_ = false;
   int result_ = kFailed;
 };
 
-int demo(lab::LabOptions options) {
+int demo(lab::TestbedOptions options) {
   options.site = site_of("");
   options.data.clear();
-  wrenusher::net::raise_open_file_limit(lab::kLabSockets);
-  UvRuntime rt(lab::kLabSockets, lab::kLabPool);
-  lab::LiveLab l(rt, options);
-  Demo d(rt, l);
+  wrenusher::net::raise_open_file_limit(lab::kTestbedSockets);
+  UvRuntime runtime(lab::kTestbedSockets, lab::kTestbedPool);
+  lab::LiveTestbed l(runtime, options);
+  Demo d(runtime, l);
   bool interrupted = false;
-  Signals signals(rt, [&] {
+  Signals signals(runtime, [&] {
     interrupted = true;
-    l.stop([&] { rt.stop(); });
+    l.stop([&] { runtime.stop(); });
   });
   d.start();
-  rt.run();
+  runtime.run();
   return interrupted ? kFailed : d.result();
 }
 
 // ---------------------------------------------------------------- asking a running lab
 
 int ask(int port, const Request& request, const std::function<int(const Value&)>& show) {
-  UvRuntime rt(64);
+  UvRuntime runtime(64);
   int result = kFailed;
   const Endpoint at = lab::loopback(port + 1);
-  rt.fetch(at, request, from_seconds(10), [&](const Outcome& o) {
+  runtime.call(at, request, from_seconds(10), [&](const CallResult& o) {
     const auto v = o.answered ? decode(o.response.body) : std::nullopt;
     if (!v) {
       std::cerr << "wrenlab: no lab answers at " << at
@@ -225,9 +225,9 @@
     } else {
       result = show(*v);
     }
-    rt.stop();
+    runtime.stop();
   });
-  rt.run();
+  runtime.run();
   return result;
 }
 
@@ -281,12 +281,12 @@
 
 int day(const std::string& file, int seeds, int first, const std::string& json, const std::string& standby) {
   lab::Site site = site_of(file);
-  site.settings.tunables.standby = standby != "off";
+  site.settings.tunables.warm_standby = standby != "off";
   const std::vector<lab::DayResult> days = play(site, seeds, first);
   if (standby == "both") {
     // The same days with and without what a standby holds ready.
     lab::Site cold = site;
-    cold.settings.tunables.standby = false;
+    cold.settings.tunables.warm_standby = false;
     const std::vector<lab::DayResult> without = play(cold, seeds, first);
     std::cout << "without a standby:\n"
               << lab::day_table(cold, without) << "\nfrom without to with:\n"
@@ -325,9 +325,9 @@
       "days in simulated time."};
   app.require_subcommand(1);
   app.set_version_flag("--version", std::string("wrenlab ") + WRENUSHER_VERSION);
-  lab::LabOptions options;
+  lab::TestbedOptions options;
   std::error_code ignored;
-  options.wrenusher =
+  options.program =
       (std::filesystem::read_symlink("/proc/self/exe", ignored).parent_path() / "wrenusher").string();
   options.port = kPort;
   std::string site;
@@ -338,7 +338,7 @@
                                     "a mixed day of under two minutes with the leader killed in the middle; "
                                     "exit code 0 if nothing is lost");
   for (auto* c : {c_up, c_demo}) {
-    c->add_option("--wrenusher", options.wrenusher, "the program to run (beside this one)");
+    c->add_option("--wrenusher", options.program, "the program to run (beside this one)");
     c->add_option("--controllers", options.controllers, "how many controllers (3)")->check(CLI::Range(1, 9));
     c->add_option("--port", options.port, "first of the ports used (7400)")->check(CLI::Range(1024, 60000));
   }
@@ -373,7 +373,7 @@
   c_compare->add_option("A", file_a, "before")->required();
   c_compare->add_option("B", file_b, "after")->required();
 
-  const lab::ScaleCommands scale_commands(app, options.wrenusher, kPort);
+  const lab::ScaleCommands scale_commands(app, options.program, kPort);
 
   auto* c_status =
       app.add_subcommand("status", "what a running lab is doing; exit code 1 once a rule is broken");
@@ -423,7 +423,7 @@
       words.insert(words.begin(), c->get_name());
       return act(options.port, words);
     }
-  } catch (const lab::KeepDamaged& e) {
+  } catch (const lab::StorageDamaged& e) {
     std::cerr << "wrenlab: " << e.what() << '\n';
     return kFailed;
   } catch (const std::exception& e) {  // a site file, a port, a missing program: one line
--- a/lab/live/include/wrenusher/lab/live_lab.hpp
+++ b/lab/live/include/wrenusher/lab/live_lab.hpp
@@ -12,10 +12,10 @@
 
 namespace wrenusher::lab {
 
-struct LabOptions {
+struct TestbedOptions {
   Site site;
-  std::string wrenusher;  ///< path of the program
-  std::string data;       ///< folder that outlives the lab; empty: one of its own that goes with it
+  std::string program;  ///< path of the program
+  std::string data;     ///< folder that outlives the lab; empty: one of its own that goes with it
   int controllers = 3;
   int port = 7400;
   double speed = 1;
@@ -23,7 +23,7 @@
 };
 
 /// What was asked of a lab cannot be done; what() is one line.
-struct LabError : std::runtime_error {
+struct TestbedError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
@@ -36,7 +36,7 @@
 /// also where the owner fails half made.
 class Folder {
  public:
-  /// Throws LabError.
+  /// Throws TestbedError.
   explicit Folder(const std::string& asked);
   ~Folder();
   Folder(const Folder&) = delete;
@@ -48,35 +48,35 @@
   bool stays_;
 };
 
-class LiveLab {
+class LiveTestbed {
  public:
-  /// Throws LabError (a port in use, no such program) and KeepDamaged.
-  LiveLab(net::UvRuntime& rt, LabOptions options);
-  ~LiveLab();
-  LiveLab(const LiveLab&) = delete;
-  LiveLab& operator=(const LiveLab&) = delete;
+  /// Throws TestbedError (a port in use, no such program) and StorageDamaged.
+  LiveTestbed(net::UvRuntime& runtime, TestbedOptions options);
+  ~LiveTestbed();
+  LiveTestbed(const LiveTestbed&) = delete;
+  LiveTestbed& operator=(const LiveTestbed&) = delete;
 
   /// Where users ask, through the balancer.
-  Endpoint front() const { return loopback(options_.port); }
+  Endpoint client_endpoint() const { return loopback(options_.port); }
   Endpoint control() const { return loopback(options_.port + 1); }
   Endpoint client(int controller) const;
   std::string log_of(int controller) const;
-  const LabOptions& options() const { return options_; }
+  const TestbedOptions& options() const { return options_; }
 
   /// The controller that leads, by the state service's record; empty when none does.
   std::string leader() const;
   bool ready() const { return !leader().empty(); }
   std::uint64_t terms() const;
   /// Ends of controllers so far, asked for or not.
-  int ends() const { return ends_; }
+  int exit_count() const { return exit_count_; }
 
   /// Troubles and work by hand: "kill c0", "cut c0 state", "heal", "outage state 10s", "take m-3 20s", "die
-  /// m-3", "hang m-3 10s", "submit builds 3", "withdraw req-100001". Says what was done; throws LabError.
-  std::string act(const std::vector<std::string>& words);
+  /// m-3", "hang m-3 10s", "submit builds 3", "withdraw req-100001". Says what was done; throws TestbedError.
+  std::string perform(const std::vector<std::string>& words);
   /// A new job of one of the site's classes; gives its name.
   std::string submit(const std::string& queue);
-  void submit(const JobTruth& job) { users_.submit(job); }
-  void withdraw(const std::string& ref) { users_.withdraw(ref); }
+  void submit(const SimulatedJob& job) { users_.submit(job); }
+  void cancel(const std::string& job_id) { users_.cancel(job_id); }
 
   const Users& users() const { return users_; }
   Users& users() { return users_; }
@@ -84,8 +84,8 @@
   Checker& checker() { return checker_; }
   const Machines& machines() const { return machines_; }
   Machines& machines() { return machines_; }
-  const StateService& state() const { return state_; }
-  const std::map<std::string, Traffic>& traffic() const { return wires_.traffic(); }
+  const KvService& kv_service() const { return kv_service_; }
+  const std::map<std::string, Traffic>& traffic() const { return transport_.traffic(); }
   /// The process of a controller; nothing while none runs.
   std::optional<int> pid(int controller) const;
   /// Replaces the topology that all controllers read.
@@ -105,24 +105,24 @@
   void open_ports();
   void start_child(int i);
   void child_ended(Child& c);
-  void serve_user(const Request& r, const Answer& answer);
-  void serve_control(const Request& r, const Answer& answer);
-  void watch_user(const Request& r, const base::Outcome& o, Instant asked);
+  void serve_user(const Request& r, const Responder& answer);
+  void serve_control(const Request& r, const Responder& answer);
+  void track_user(const Request& r, const base::CallResult& o, Instant asked);
   int controller(const std::string& name) const;
 
-  net::UvRuntime& rt_;
-  LabOptions options_;
+  net::UvRuntime& runtime_;
+  TestbedOptions options_;
   Folder folder_;
   Checker checker_;
-  LiveWires wires_;
-  StateService state_;
+  LiveTransport transport_;
+  KvService kv_service_;
   Machines machines_;
   Cloud cloud_;
   Balancer balancer_;
   Users users_;
   std::vector<std::unique_ptr<Child>> children_;
   int jobs_made_ = 0;
-  int ends_ = 0;
+  int exit_count_ = 0;
   bool stopping_ = false;
   std::function<void()> stopped_;
 };
--- a/lab/live/include/wrenusher/lab/live_wires.hpp
+++ b/lab/live/include/wrenusher/lab/live_wires.hpp
@@ -9,10 +9,10 @@
 namespace wrenusher::lab {
 
 /// Sockets of a process of the lab, which holds both ends of most connections.
-inline constexpr int kLabSockets = 60000;
+inline constexpr int kTestbedSockets = 60000;
 /// Connections that a process of the lab keeps to one address: a report of every machine at once, none of
 /// which waits for another's connection.
-inline constexpr int kLabPool = 12000;
+inline constexpr int kTestbedPool = 12000;
 
 /// What went over the links of one kind, bodies alone: HTTP's heads are not counted.
 struct Traffic {
@@ -21,18 +21,19 @@
   std::uint64_t response_bytes = 0;
 };
 
-class LiveWires : public Wires {
+class LiveTransport : public Transport {
  public:
   /// By "who asks>whom path", parties by their role: "worker>controller /hello", "c0>state /multi".
   const std::map<std::string, Traffic>& traffic() const { return traffic_; }
 
   /// Parties that ask for an address get ports from `first_port` on.
-  LiveWires(net::UvRuntime& rt, int first_port) : rt_(rt), next_port_(first_port) {}
+  LiveTransport(net::UvRuntime& runtime, int first_port) : runtime_(runtime), next_port_(first_port) {}
 
-  Instant now() const override { return rt_.now(); }
-  void at(Micros delay, std::function<void()> f) override { rt_.after(delay, std::move(f)); }
-  std::mt19937_64& random() override { return rt_.random(); }
-  void send(const std::string& from, const Endpoint& to, Request request, Micros timeout, Done done) override;
+  Instant now() const override { return runtime_.now(); }
+  void at(Micros delay, std::function<void()> f) override { runtime_.after(delay, std::move(f)); }
+  std::mt19937_64& random() override { return runtime_.random(); }
+  void send(const std::string& from, const Endpoint& to, Request request, Micros timeout,
+            CallHandler done) override;
   std::optional<Endpoint> serve(const std::string& who, Handler handler) override;
   void unserve(const Endpoint& at) override;
 
@@ -47,11 +48,11 @@
  private:
   Traffic& traffic_of(const std::string& from, const std::string& to, const std::string& target);
 
-  net::UvRuntime& rt_;
+  net::UvRuntime& runtime_;
   int next_port_;
   std::map<std::string, Traffic> traffic_;
   std::map<Endpoint, std::string> names_;
-  std::vector<std::function<void()>> held_;
+  std::vector<std::function<void()>> held_messages_;
 };
 
 /// "127.0.0.1:port".
--- a/lab/live/live_lab.cpp
+++ b/lab/live/live_lab.cpp
@@ -17,29 +17,29 @@
 
 namespace {
 
-constexpr Micros kBackAfter = from_seconds(1);
+constexpr Micros kRestartDelay = from_seconds(1);
 constexpr Micros kUserWait = from_seconds(5);
 // Ports, from the lab's first: front door, control, then in tens what each controller needs.
-constexpr int kClients = 10;
-constexpr int kPeers = 20;
-constexpr int kStates = 30;
-constexpr int kClouds = 40;
-constexpr int kRelays = 50;  // ten for each controller
-constexpr int kMachines = 200;
-constexpr int kMostControllers = 9;
+constexpr int kClientPort = 10;
+constexpr int kPeerPort = 20;
+constexpr int kKvPort = 30;
+constexpr int kCloudPort = 40;
+constexpr int kRelayPort = 50;  // ten for each controller
+constexpr int kMachinePort = 200;
+constexpr int kMaxControllers = 9;
 
 std::string name_of(int i) {
   return "c" + std::to_string(i);
 }
 
-std::unique_ptr<Keep> make_keep(const LabOptions& o) {
-  if (o.data.empty()) return std::make_unique<MemoryKeep>();
+std::unique_ptr<DurableStorage> make_storage(const TestbedOptions& o) {
+  if (o.data.empty()) return std::make_unique<MemoryStorage>();
   return open_sqlite(o.data + "/state");
 }
 
-std::vector<Endpoint> client_ports(const LabOptions& o) {
+std::vector<Endpoint> client_ports(const TestbedOptions& o) {
   std::vector<Endpoint> out;
-  for (int i = 0; i < o.controllers; ++i) out.push_back(loopback(o.port + kClients + i));
+  for (int i = 0; i < o.controllers; ++i) out.push_back(loopback(o.port + kClientPort + i));
   return out;
 }
 
@@ -55,11 +55,11 @@
   if (stays_) {
     std::error_code error;
     std::filesystem::create_directories(path_, error);
-    if (error) throw LabError(path_ + ": cannot be made: " + error.message());
+    if (error) throw TestbedError(path_ + ": cannot be made: " + error.message());
     return;
   }
   path_ = (std::filesystem::temp_directory_path() / "wrenlab-XXXXXX").string();
-  if (mkdtemp(path_.data()) == nullptr) throw LabError(path_ + ": no folder can be made there");
+  if (mkdtemp(path_.data()) == nullptr) throw TestbedError(path_ + ": no folder can be made there");
 }
 
 Folder::~Folder() {
@@ -67,31 +67,31 @@
   if (!stays_) std::filesystem::remove_all(path_, ignored);
 }
 
-struct LiveLab::Child {
-  LiveLab* lab = nullptr;
+struct LiveTestbed::Child {
+  LiveTestbed* testbed = nullptr;
   int number = 0;
   uv_process_t process{};
   bool running = false;
-  Micros back_after = kBackAfter;  ///< the next time that it ends
+  Micros back_after = kRestartDelay;  ///< the next time that it ends
 };
 
-LiveLab::LiveLab(net::UvRuntime& rt, LabOptions options)
-    : rt_(rt),
+LiveTestbed::LiveTestbed(net::UvRuntime& runtime, TestbedOptions options)
+    : runtime_(runtime),
       options_(std::move(options)),
       folder_(options_.data),
       checker_(options_.site.settings, options_.site.topology),
-      wires_(rt, options_.port + kMachines),
-      state_(wires_, limits_of(options_.site.settings), make_keep(options_)),
-      machines_(wires_, options_.site, checker_, options_.speed),
-      cloud_(wires_, options_.site, machines_),
-      balancer_(wires_, client_ports(options_)),
-      users_(wires_, balancer_, machines_, checker_) {
-  if (options_.controllers < 1 || options_.controllers > kMostControllers)
-    throw LabError("--controllers: must be between 1 and " + std::to_string(kMostControllers));
-  if (access(options_.wrenusher.c_str(), X_OK) != 0)
-    throw LabError(options_.wrenusher +
-                   ": there is no program to run; build it, or name it with --wrenusher");
-  wires_.links.zone_of = [this](const std::string& name) -> std::string {
+      transport_(runtime, options_.port + kMachinePort),
+      kv_service_(transport_, limits_of(options_.site.settings), make_storage(options_)),
+      machines_(transport_, options_.site, checker_, options_.speed),
+      cloud_(transport_, options_.site, machines_),
+      balancer_(transport_, client_ports(options_)),
+      users_(transport_, balancer_, machines_, checker_) {
+  if (options_.controllers < 1 || options_.controllers > kMaxControllers)
+    throw TestbedError("--controllers: must be between 1 and " + std::to_string(kMaxControllers));
+  if (access(options_.program.c_str(), X_OK) != 0)
+    throw TestbedError(options_.program +
+                       ": there is no program to run; build it, or name it with --wrenusher");
+  transport_.links.zone_of = [this](const std::string& name) -> std::string {
     const auto& zones = options_.site.settings.zones;
     for (int i = 0; i < options_.controllers; ++i) {
       if (name == name_of(i)) return zones[static_cast<std::size_t>(i) % zones.size()];
@@ -102,80 +102,84 @@
   std::vector<std::pair<std::string, Endpoint>> nodes;
   for (int i = 0; i < options_.controllers; ++i) {
     nodes.emplace_back(name_of(i), client(i));
-    wires_.name(client(i), name_of(i));
+    transport_.name(client(i), name_of(i));
   }
   machines_.controllers(std::move(nodes));
   // What users uploaded before an earlier lab on this folder ended is still to be had.
-  for (const auto& [key, e] : state_.keys()) {
+  for (const auto& [key, e] : kv_service_.keys()) {
     if (!key.starts_with("job/")) continue;
     if (const auto spec = read_spec(e.value["spec"])) {
       machines_.describe({*spec, {}, false});
       checker_.submitted(*spec);
     }
   }
-  cloud_.furnish();
+  cloud_.provide_now();
   machines_.start();
   write_operators_files();
   for (int i = 0; i < options_.controllers; ++i) {
     const std::string file = folder_.path() + "/" + name_of(i) + ".json";
     std::ofstream out(file);
     out << settings_json(i);
-    if (!out.flush()) throw LabError(file + ": cannot be written");
+    if (!out.flush()) throw TestbedError(file + ": cannot be written");
     children_.push_back(std::make_unique<Child>());
-    children_.back()->lab = this;
+    children_.back()->testbed = this;
     children_.back()->number = i;
     start_child(i);
   }
   balancer_.start();
 }
 
-LiveLab::~LiveLab() {
+LiveTestbed::~LiveTestbed() {
   for (const auto& c : children_) {
     if (c->running) uv_process_kill(&c->process, SIGKILL);
   }
 }
 
-Endpoint LiveLab::client(int controller) const {
-  return loopback(options_.port + kClients + controller);
+Endpoint LiveTestbed::client(int controller) const {
+  return loopback(options_.port + kClientPort + controller);
 }
 
-std::string LiveLab::log_of(int controller) const {
+std::string LiveTestbed::log_of(int controller) const {
   return folder_.path() + "/" + name_of(controller) + ".log";
 }
 
 /// Each controller has ports of its own to the state service, the cloud and its peers, so that the lab knows
 /// who asks and can cut one link and not another.
-void LiveLab::open_ports() {
+void LiveTestbed::open_ports() {
   try {
-    wires_.serve_at(front(), "front", "user",
-                    [this](const std::string&, const Request& r, const Answer& a) { serve_user(r, a); });
-    wires_.serve_at(control(), "control", "",
-                    [this](const std::string&, const Request& r, const Answer& a) { serve_control(r, a); });
+    transport_.serve_at(
+        client_endpoint(), "front", "user",
+        [this](const std::string&, const Request& r, const Responder& a) { serve_user(r, a); });
+    transport_.serve_at(
+        control(), "control", "",
+        [this](const std::string&, const Request& r, const Responder& a) { serve_control(r, a); });
     for (int i = 0; i < options_.controllers; ++i) {
       const std::string name = name_of(i);
-      wires_.serve_at(
-          loopback(options_.port + kStates + i), "state", name,
-          [this](const std::string& from, const Request& r, const Answer& a) { state_.serve(from, r, a); });
-      wires_.serve_at(
-          loopback(options_.port + kClouds + i), "cloud", name,
-          [this](const std::string& from, const Request& r, const Answer& a) { cloud_.serve(from, r, a); });
+      transport_.serve_at(loopback(options_.port + kKvPort + i), "state", name,
+                          [this](const std::string& from, const Request& r, const Responder& a) {
+                            kv_service_.serve(from, r, a);
+                          });
+      transport_.serve_at(loopback(options_.port + kCloudPort + i), "cloud", name,
+                          [this](const std::string& from, const Request& r, const Responder& a) {
+                            cloud_.serve(from, r, a);
+                          });
       for (int k = 0; k < options_.controllers; ++k) {
         if (k == i) continue;
-        wires_.serve_at(loopback(options_.port + kRelays + 10 * i + k), name_of(k), name,
-                        [this, k](const std::string&, const Request& r, const Answer& a) {
-                          rt_.fetch(loopback(options_.port + kPeers + k), r, from_seconds(4),
-                                    [a](const Outcome& o) {
-                                      a(o.answered ? o.response : Response{502, {}, 0});
-                                    });
-                        });
+        transport_.serve_at(loopback(options_.port + kRelayPort + 10 * i + k), name_of(k), name,
+                            [this, k](const std::string&, const Request& r, const Responder& a) {
+                              runtime_.call(loopback(options_.port + kPeerPort + k), r, from_seconds(4),
+                                            [a](const CallResult& o) {
+                                              a(o.answered ? o.response : Response{502, {}, 0});
+                                            });
+                            });
       }
     }
   } catch (const std::runtime_error& e) {
-    throw LabError(std::string(e.what()) + "; another lab may be running, or name another --port");
+    throw TestbedError(std::string(e.what()) + "; another lab may be running, or name another --port");
   }
 }
 
-std::string LiveLab::settings_json(int i) const {
+std::string LiveTestbed::settings_json(int i) const {
   using nlohmann::json;
   const Settings& s = options_.site.settings;
   const auto zone = [&](int k) { return s.zones[static_cast<std::size_t>(k) % s.zones.size()]; };
@@ -184,47 +188,47 @@
     if (k != i)
       peers.push_back({{"host_name", name_of(k)},
                        {"zone", zone(k)},
-                       {"peer_addr", loopback(options_.port + kRelays + 10 * i + k)}});
+                       {"peer_addr", loopback(options_.port + kRelayPort + 10 * i + k)}});
   }
   json teams = json::array();
   for (const auto& t : s.teams)
     teams.push_back({{"name", t.name},
                      {"cpus", t.cores},
                      {"cpus_max", t.cores_max},
-                     {"gpus", t.cards},
-                     {"gpus_max", t.cards_max}});
+                     {"gpus", t.gpus},
+                     {"gpus_max", t.gpus_max}});
   json aims = json::array();
   for (const auto& o : s.objectives) {
-    json aim = {{"kind", o.kind}, {"class", o.queue}, {"share", 0.9}, {"times", o.times}};
+    json aim = {{"kind", o.kind}, {"class", o.job_class}, {"share", 0.9}, {"times", o.deadline_factor}};
     if (o.within.count() > 0) aim["within_s"] = to_seconds(o.within);
     aims.push_back(std::move(aim));
   }
-  const json all = {
-      {"host_name", name_of(i)},
-      {"zone", zone(i)},
-      {"client_listen", client(i)},
-      {"peer_listen", loopback(options_.port + kPeers + i)},
-      {"peers", peers},
-      {"services",
-       {{"cloud", loopback(options_.port + kClouds + i)}, {"state", loopback(options_.port + kStates + i)}}},
-      {"cluster",
-       {{"size", options_.controllers},
-        {"zones", s.zones},
-        {"teams", teams},
-        {"objectives", aims},
-        {"workers",
-         {{"report_s", to_seconds(s.report)},
-          {"lease_s", to_seconds(s.lease)},
-          {"gang_wait_s", to_seconds(s.gang_wait)},
-          {"gang_peer_s", to_seconds(s.gang_peer)},
-          {"cancel_s", to_seconds(s.cancel)}}},
-        {"state",
-         {{"rps", s.state_rps},
-          {"write_rps", s.state_write_rps},
-          {"value_kb", s.value_kb},
-          {"txn_ops", s.txn_ops}}},
-        {"cloud", {{"rps", s.cloud_rps}, {"list_lag_s", to_seconds(s.list_lag)}}},
-        {"limits", {{"max_sockets", s.max_sockets}}}}}};
+  const json all = {{"host_name", name_of(i)},
+                    {"zone", zone(i)},
+                    {"client_listen", client(i)},
+                    {"peer_listen", loopback(options_.port + kPeerPort + i)},
+                    {"peers", peers},
+                    {"services",
+                     {{"cloud", loopback(options_.port + kCloudPort + i)},
+                      {"state", loopback(options_.port + kKvPort + i)}}},
+                    {"cluster",
+                     {{"size", options_.controllers},
+                      {"zones", s.zones},
+                      {"teams", teams},
+                      {"objectives", aims},
+                      {"workers",
+                       {{"report_s", to_seconds(s.report_interval)},
+                        {"lease_s", to_seconds(s.worker_lease)},
+                        {"gang_wait_s", to_seconds(s.gang_start_timeout)},
+                        {"gang_peer_s", to_seconds(s.gang_peer_timeout)},
+                        {"cancel_s", to_seconds(s.cancel_deadline)}}},
+                      {"state",
+                       {{"rps", s.state_rps},
+                        {"write_rps", s.state_write_rps},
+                        {"value_kb", s.value_kb},
+                        {"txn_ops", s.txn_ops}}},
+                      {"cloud", {{"rps", s.cloud_rps}, {"list_lag_s", to_seconds(s.list_lag)}}},
+                      {"limits", {{"max_sockets", s.max_sockets}}}}}};
   return all.dump(2) + "\n";
 }
 
@@ -237,15 +241,15 @@
   return 1;
 }
 
-void LiveLab::start_child(int i) {
+void LiveTestbed::start_child(int i) {
   Child& c = *children_[static_cast<std::size_t>(i)];
   const std::string config = folder_.path() + "/" + name_of(i) + ".json";
   const int log = open(log_of(i).c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0600);
-  if (log < 0) throw LabError(log_of(i) + ": cannot be written");
+  if (log < 0) throw TestbedError(log_of(i) + ": cannot be written");
   // By way of this program, so that it ends with the lab however the lab ends; see run_child.
   std::string self = "/proc/self/exe";
   std::string as_child = kChildFlag;
-  std::string program = options_.wrenusher;
+  std::string program = options_.program;
   std::string flag = "--config";
   std::string file = config;
   std::vector<char*> args{self.data(), as_child.data(), program.data(), flag.data(), file.data()};
@@ -267,62 +271,62 @@
     auto* child = static_cast<Child*>(p->data);
     uv_close(reinterpret_cast<uv_handle_t*>(p), [](uv_handle_t* h) {
       auto* ended = static_cast<Child*>(h->data);
-      ended->lab->child_ended(*ended);
+      ended->testbed->child_ended(*ended);
     });
     child->running = false;
   };
   c.process = {};
   c.process.data = &c;
-  const int rc = uv_spawn(rt_.loop(), &c.process, &how);
+  const int rc = uv_spawn(runtime_.loop(), &c.process, &how);
   ::close(log);
-  if (rc != 0) throw LabError(program + ": cannot be started: " + uv_strerror(rc));
+  if (rc != 0) throw TestbedError(program + ": cannot be started: " + uv_strerror(rc));
   c.running = true;
 }
 
-std::optional<int> LiveLab::pid(int controller) const {
+std::optional<int> LiveTestbed::pid(int controller) const {
   const Child& c = *children_[static_cast<std::size_t>(controller)];
   if (!c.running) return std::nullopt;
   return c.process.pid;
 }
 
-std::string LiveLab::tunables_path() const {
+std::string LiveTestbed::tunables_path() const {
   return folder_.path() + "/tunables.yaml";
 }
 
 /// Empty: the controllers are given no tunables.
-std::string LiveLab::tunables_text() const {
+std::string LiveTestbed::tunables_text() const {
   return options_.tunables + (options_.site.topology_text.empty() ? "" : "topology: topology.yaml\n");
 }
 
 /// Operators' files, which may be changed while the lab runs. Written before any controller is started: one
 /// that starts while its tunables are written reads none, and keeps to the defaults.
-void LiveLab::write_operators_files() {
+void LiveTestbed::write_operators_files() {
   if (!options_.site.topology_text.empty() && !fields::read_file(topology_path()))
     write_topology(options_.site.topology_text);
   if (tunables_text().empty()) return;
   std::ofstream out(tunables_path());
   out << tunables_text();
-  if (!out.flush()) throw LabError(tunables_path() + ": cannot be written");
+  if (!out.flush()) throw TestbedError(tunables_path() + ": cannot be written");
 }
 
-std::string LiveLab::topology_path() const {
+std::string LiveTestbed::topology_path() const {
   return folder_.path() + "/topology.yaml";
 }
 
-void LiveLab::write_topology(const std::string& text) {
+void LiveTestbed::write_topology(const std::string& text) {
   // Whole or not at all: the controllers look at it while it is written.
   const std::string next = topology_path() + ".next";
   std::ofstream out(next);
   out << text;
-  if (!out.flush()) throw LabError(next + ": cannot be written");
+  if (!out.flush()) throw TestbedError(next + ": cannot be written");
   out.close();
   std::filesystem::rename(next, topology_path());
 }
 
-void LiveLab::child_ended(Child& c) {
-  ++ends_;
+void LiveTestbed::child_ended(Child& c) {
+  ++exit_count_;
   if (!stopping_) {
-    rt_.after(std::exchange(c.back_after, kBackAfter), [this, i = c.number] {
+    runtime_.after(std::exchange(c.back_after, kRestartDelay), [this, i = c.number] {
       if (!stopping_) start_child(i);
     });
     return;
@@ -331,7 +335,7 @@
   if (!left && stopped_) std::exchange(stopped_, nullptr)();
 }
 
-void LiveLab::stop(std::function<void()> done) {
+void LiveTestbed::stop(std::function<void()> done) {
   stopping_ = true;
   stopped_ = std::move(done);
   bool any = false;
@@ -345,18 +349,18 @@
 
 // ---------------------------------------------------------------- what it knows
 
-std::string LiveLab::leader() const {
-  const Entry* e = state_.find("leader");
+std::string LiveTestbed::leader() const {
+  const KvEntry* e = kv_service_.find("leader");
   const std::string* node = e == nullptr ? nullptr : e->value["node"].text();
   return node == nullptr ? "" : *node;
 }
 
-std::uint64_t LiveLab::terms() const {
-  const Entry* e = state_.find("epoch");
+std::uint64_t LiveTestbed::terms() const {
+  const KvEntry* e = kv_service_.find("epoch");
   return e == nullptr ? 0 : e->value["epoch"].count().value_or(0);
 }
 
-Value LiveLab::status() const {
+Value LiveTestbed::status() const {
   Value::List controllers;
   for (const auto& c : children_)
     controllers.emplace_back(
@@ -374,15 +378,15 @@
                     {"controllers", std::move(controllers)},
                     {"machines", static_cast<std::uint64_t>(machines_.up().size())},
                     {"jobs", std::move(jobs)},
-                    {"keys", static_cast<std::uint64_t>(state_.count(""))},
-                    {"state_trouble", state_.trouble()},
+                    {"keys", static_cast<std::uint64_t>(kv_service_.count(""))},
+                    {"state_trouble", kv_service_.storage_error()},
                     {"broken_rules", std::move(broken)}};
 }
 
 // ---------------------------------------------------------------- users from outside
 
 /// Any client may ask here; what it is told is watched like what the lab's own users are told.
-void LiveLab::serve_user(const Request& r, const Answer& answer) {
+void LiveTestbed::serve_user(const Request& r, const Responder& answer) {
   if (r.method == "POST" && r.target == "/submissions") {
     // Users upload the description to where workers fetch it.
     const auto v = decode(r.body);
@@ -391,32 +395,32 @@
       checker_.submitted(*spec);
     }
   }
-  if (r.target.ends_with("/withdraw")) checker_.asked_withdraw(r.target.substr(13, r.target.size() - 22));
-  balancer_.send(r, kUserWait, [this, r, answer, asked = rt_.now()](const Outcome& o) {
-    watch_user(r, o, asked);
+  if (r.target.ends_with("/withdraw")) checker_.asked_cancel(r.target.substr(13, r.target.size() - 22));
+  balancer_.send(r, kUserWait, [this, r, answer, asked = runtime_.now()](const CallResult& o) {
+    track_user(r, o, asked);
     answer(o.answered ? o.response : Response{503, {}, 1});
   });
 }
 
-void LiveLab::watch_user(const Request& r, const base::Outcome& o, Instant asked) {
+void LiveTestbed::track_user(const Request& r, const base::CallResult& o, Instant asked) {
   if (!o.answered || !r.target.starts_with("/submissions")) return;
   const auto v = decode(o.response.body);
   const std::string state = v && (*v)["status"].text() != nullptr ? *(*v)["status"].text() : "";
   if (r.method == "POST" && r.target == "/submissions") {
     const auto body = decode(r.body);
     if (body && (*body)["ref"].text() != nullptr)
-      checker_.answered_submit(rt_.now(), *(*body)["ref"].text(), o.response.status);
+      checker_.answered_submit(runtime_.now(), *(*body)["ref"].text(), o.response.status);
   } else if (r.target.ends_with("/withdraw")) {
-    checker_.answered_withdraw(rt_.now(), r.target.substr(13, r.target.size() - 22), o.response.status, state,
-                               asked);
+    checker_.answered_cancel(runtime_.now(), r.target.substr(13, r.target.size() - 22), o.response.status,
+                             state, asked);
   } else if (r.target.size() > 13) {
-    checker_.answered_poll(rt_.now(), r.target.substr(13), o.response.status, state, asked);
+    checker_.answered_poll(runtime_.now(), r.target.substr(13), o.response.status, state, asked);
   }
 }
 
 // ---------------------------------------------------------------- by hand
 
-int LiveLab::controller(const std::string& name) const {
+int LiveTestbed::controller(const std::string& name) const {
   const std::string who = name == "leader" ? leader() : name;
   for (int i = 0; i < options_.controllers; ++i) {
     if (who == name_of(i)) return i;
@@ -424,45 +428,46 @@
   return -1;
 }
 
-std::string LiveLab::submit(const std::string& queue) {
+std::string LiveTestbed::submit(const std::string& queue) {
   const auto& classes = options_.site.classes;
   const auto c =
       std::find_if(classes.begin(), classes.end(), [&](const JobClass& x) { return x.name == queue; });
   if (c == classes.end()) {
     std::string names;
     for (const JobClass& x : classes) names += (names.empty() ? "" : ", ") + x.name;
-    throw LabError("no class '" + queue + "' at this site (there are: " + names + ")");
+    throw TestbedError("no class '" + queue + "' at this site (there are: " + names + ")");
   }
-  JobTruth j = draw_job(
-      options_.site, *c,
-      static_cast<int>(rt_.wall().time_since_epoch() / from_seconds(1) % 1000000) * 100 + ++jobs_made_,
-      rt_.random());
+  SimulatedJob j =
+      draw_job(options_.site, *c,
+               static_cast<int>(runtime_.wall_time().time_since_epoch() / from_seconds(1) % 1000000) * 100 +
+                   ++jobs_made_,
+               runtime_.random());
   users_.submit(j);
-  return j.spec.ref;
+  return j.spec.job_id;
 }
 
-std::string LiveLab::act(const std::vector<std::string>& words) {
+std::string LiveTestbed::perform(const std::vector<std::string>& words) {
   const auto word = [&](std::size_t i) -> const std::string& {
-    if (i >= words.size()) throw LabError("'" + words_of(words) + "': something is missing behind it");
+    if (i >= words.size()) throw TestbedError("'" + words_of(words) + "': something is missing behind it");
     return words[i];
   };
   const auto time = [&](std::size_t i, const char* otherwise) {
     const std::string& text = i < words.size() ? words[i] : otherwise;
     const auto d = parse_duration(text);
-    if (!d) throw LabError("'" + text + "' is no time with its unit, like 10s");
+    if (!d) throw TestbedError("'" + text + "' is no time with its unit, like 10s");
     return *d;
   };
   const std::string& verb = word(0);
   const auto machine = [&]() -> const std::string& {
     const auto up = machines_.up();
     if (std::find(up.begin(), up.end(), word(1)) == up.end())
-      throw LabError("no machine " + word(1) + " is up");
+      throw TestbedError("no machine " + word(1) + " is up");
     return words[1];
   };
   if (verb == "kill") {
     const int c = controller(word(1));
     if (c < 0 || !children_[static_cast<std::size_t>(c)]->running)
-      throw LabError("no controller " + word(1) + " is running");
+      throw TestbedError("no controller " + word(1) + " is running");
     Child& child = *children_[static_cast<std::size_t>(c)];
     child.back_after = time(2, "1s");
     uv_process_kill(&child.process, SIGKILL);
@@ -471,46 +476,46 @@
     return name_of(c) + " is killed and is started again after " + back;
   }
   if (verb == "cut") {
-    const Cut how = words.size() > 3 && words[3] == "reset" ? Cut::reset : Cut::hold;
+    const LinkCut how = words.size() > 3 && words[3] == "reset" ? LinkCut::reset : LinkCut::hold;
     if (word(2) == "all") {
       std::vector<std::string> others{"state", "cloud", "user", ""};
       for (int i = 0; i < options_.controllers; ++i) others.push_back(name_of(i));
       for (const std::string& m : machines_.up()) others.push_back(m);
       for (const std::string& o : others) {
-        if (o != words[1]) wires_.links.cut(words[1], o, how);
+        if (o != words[1]) transport_.links.cut(words[1], o, how);
       }
     } else if (word(1) == "zone") {
-      wires_.links.cut_zone(words[2], how);
+      transport_.links.cut_zone(words[2], how);
     } else {
-      wires_.links.cut(words[1], words[2], how);
+      transport_.links.cut(words[1], words[2], how);
     }
     return words[1] + " and " + words[2] + " are cut off from each other until healed";
   }
   if (verb == "heal") {
-    wires_.heal();
-    state_.outage(false);
+    transport_.heal();
+    kv_service_.outage(false);
     cloud_.outage(false);
-    for (int i = 0; i < options_.controllers; ++i) state_.refuse(name_of(i), false);
+    for (int i = 0; i < options_.controllers; ++i) kv_service_.refuse(name_of(i), false);
     return "all links, the state service and the cloud are whole again";
   }
   if (verb == "outage") {
     const Micros d = time(2, "10s");
     if (word(1) == "state") {
-      state_.outage(true);
-      rt_.after(d, [this] { state_.outage(false); });
+      kv_service_.outage(true);
+      runtime_.after(d, [this] { kv_service_.outage(false); });
     } else if (words[1] == "cloud") {
       cloud_.outage(true);
-      rt_.after(d, [this] { cloud_.outage(false); });
+      runtime_.after(d, [this] { cloud_.outage(false); });
     } else if (const int c = controller(words[1]); c >= 0) {
-      state_.refuse(name_of(c), true);
-      rt_.after(d, [this, c] { state_.refuse(name_of(c), false); });
+      kv_service_.refuse(name_of(c), true);
+      runtime_.after(d, [this, c] { kv_service_.refuse(name_of(c), false); });
     } else {
-      throw LabError("outage of 'state', 'cloud' or a controller, not '" + words[1] + "'");
+      throw TestbedError("outage of 'state', 'cloud' or a controller, not '" + words[1] + "'");
     }
     return words[1] + " has an outage";
   }
   if (verb == "take") {
-    machines_.take(machine(), time(2, "20s"));
+    machines_.reclaim(machine(), time(2, "20s"));
     return words[1] + " will be taken back, if it is a spot machine";
   }
   if (verb == "die") {
@@ -523,31 +528,32 @@
   }
   if (verb == "submit") {
     const int n = words.size() > 2 ? std::atoi(words[2].c_str()) : 1;
-    if (n < 1 || n > 1000) throw LabError("between 1 and 1000 jobs at a time, not '" + words[2] + "'");
-    std::string refs;
-    for (int i = 0; i < n; ++i) refs += (refs.empty() ? "" : " ") + submit(word(1));
-    return "submitted " + refs;
+    if (n < 1 || n > 1000) throw TestbedError("between 1 and 1000 jobs at a time, not '" + words[2] + "'");
+    std::string job_ids;
+    for (int i = 0; i < n; ++i) job_ids += (job_ids.empty() ? "" : " ") + submit(word(1));
+    return "submitted " + job_ids;
   }
   if (verb == "withdraw") {
-    if (!users_.jobs().contains(word(1))) throw LabError("no job " + words[1] + " was submitted by this lab");
-    users_.withdraw(words[1]);
+    if (!users_.jobs().contains(word(1)))
+      throw TestbedError("no job " + words[1] + " was submitted by this lab");
+    users_.cancel(words[1]);
     return "asked to withdraw " + words[1];
   }
   if (verb == "jobs") {
     std::string out;
     for (const auto& [ref, job] : users_.jobs())
-      out += ref + "  " + machines_.job(ref)->spec.queue + "  " +
+      out += ref + "  " + machines_.job(ref)->spec.job_class + "  " +
              (job.refused != 0    ? "refused"
               : job.state.empty() ? "sent"
                                   : job.state) +
              "\n";
     return out.empty() ? "no job was submitted by this lab yet" : out.substr(0, out.size() - 1);
   }
-  throw LabError("'" + verb +
-                 "' is none of kill, cut, heal, outage, take, die, hang, submit, withdraw, jobs");
+  throw TestbedError("'" + verb +
+                     "' is none of kill, cut, heal, outage, take, die, hang, submit, withdraw, jobs");
 }
 
-void LiveLab::serve_control(const Request& r, const Answer& answer) {
+void LiveTestbed::serve_control(const Request& r, const Responder& answer) {
   if (r.method == "GET" && r.target == "/status") {
     answer(reply(200, status()));
     return;
@@ -561,8 +567,8 @@
   std::vector<std::string> words;
   for (const Value& w : *list) words.push_back(w.text() != nullptr ? *w.text() : "");
   try {
-    answer(reply(200, Value::Map{{"said", act(words)}}));
-  } catch (const LabError& e) {
+    answer(reply(200, Value::Map{{"said", perform(words)}}));
+  } catch (const TestbedError& e) {
     answer(malformed(e.what()));
   }
 }
--- a/lab/models/cloud.cpp
+++ b/lab/models/cloud.cpp
@@ -11,9 +11,9 @@
 namespace {
 
 constexpr Micros kListEvery = from_seconds(1);
-constexpr std::uint64_t kMostPerBooking = 50;
-constexpr std::size_t kMostPerReturn = 100;
-constexpr std::size_t kMostListed = 500;
+constexpr std::uint64_t kMaxPerBooking = 50;
+constexpr std::size_t kMaxPerReturn = 100;
+constexpr std::size_t kMaxListed = 500;
 /// One machine in so many never comes up.
 constexpr int kNeverUp = 20;
 
@@ -24,37 +24,37 @@
 
 }  // namespace
 
-Cloud::Cloud(Wires& wires, const Site& site, Machines& machines, int scale)
-    : wires_(wires),
+Cloud::Cloud(Transport& transport, const Site& site, Machines& machines, int scale)
+    : transport_(transport),
       site_(site),
       machines_(machines),
       scale_(scale),
-      pace_(site.settings.cloud_rps, 2, wires.now()) {
+      rate_limiter_(site.settings.cloud_rps, 2, transport.now()) {
   note_list();
 }
 
-void Cloud::furnish() {
+void Cloud::provide_now() {
   if (site_.types.empty()) return;
-  const Flavor& f = site_.types.front().flavor;
+  const MachineType& f = site_.types.front().type;
   for (int i = 0; i < site_.machines; ++i)
-    machines_.rent(f.name, f.sites[static_cast<std::size_t>(i) % f.sites.size()], false, Micros{0});
+    machines_.rent(f.name, f.zones[static_cast<std::size_t>(i) % f.zones.size()], false, Micros{0});
 }
 
 /// What the list would say now; requests see it later.
 void Cloud::note_list() {
-  lists_.emplace_back(wires_.now(), machines_.list());
-  while (lists_.size() > 2 && wires_.now() - lists_[1].first > site_.settings.list_lag * 2)
+  lists_.emplace_back(transport_.now(), machines_.list());
+  while (lists_.size() > 2 && transport_.now() - lists_[1].first > site_.settings.list_lag * 2)
     lists_.pop_front();
-  wires_.at(kListEvery, [this] { note_list(); });
+  transport_.at(kListEvery, [this] { note_list(); });
 }
 
-void Cloud::serve(const std::string&, const Request& r, const Answer& answer) {
+void Cloud::serve(const std::string&, const Request& r, const Responder& answer) {
   ++requests_;
   if (down_) {
     answer(reply(503, Value::Map{{"error", "trouble"}}));
     return;
   }
-  if (!pace_.take(1, wires_.now())) {
+  if (!rate_limiter_.take(1, transport_.now())) {
     answer({429, {}, 0});
     return;
   }
@@ -64,7 +64,7 @@
   } else if (r.method == "POST" && r.target == "/rentals" && body) {
     answer(rent(*body));
   } else if (r.method == "POST" && r.target == "/rentals/return" && body) {
-    answer(give_back(*body));
+    answer(return_machines(*body));
   } else if (r.method == "GET" && r.target.starts_with("/rentals")) {
     answer(list(r.target));
   } else {
@@ -75,21 +75,21 @@
 Response Cloud::catalog() const {
   Value::List types;
   double phase = 0;
-  for (const MachineType& t : site_.types) {
-    const Flavor& f = t.flavor;
+  for (const MachineSupply& t : site_.types) {
+    const MachineType& f = t.type;
     Value::List sites;
-    for (const std::string& z : f.sites) sites.emplace_back(z);
+    for (const std::string& z : f.zones) sites.emplace_back(z);
     // Spot prices swing by up to a third around the nominal one.
-    const double swing = 1 + std::sin(to_seconds(wires_.now().time_since_epoch()) / 90 + phase++) / 3;
+    const double swing = 1 + std::sin(to_seconds(transport_.now().time_since_epoch()) / 90 + phase++) / 3;
     types.emplace_back(Value::Map{{"name", f.name},
-                                  {"cores", from_amount(f.room.cores)},
-                                  {"cards", from_amount(f.room.cards)},
-                                  {"memory_gb", from_amount(f.room.memory)},
-                                  {"cache_gb", f.cache_gb},
-                                  {"pull_gb_per_s", f.pull_gb_per_s},
-                                  {"rate", f.rate},
-                                  {"low_price", f.low_price * swing},
-                                  {"boot_s", to_seconds(f.boot)},
+                                  {"cores", from_amount(f.capacity.cores)},
+                                  {"cards", from_amount(f.capacity.gpus)},
+                                  {"memory_gb", from_amount(f.capacity.memory)},
+                                  {"cache_gb", f.image_cache_gb},
+                                  {"pull_gb_per_s", f.fetch_gb_per_s},
+                                  {"rate", f.price},
+                                  {"low_price", f.spot_price * swing},
+                                  {"boot_s", to_seconds(f.boot_time)},
                                   {"sites", std::move(sites)}});
   }
   return reply(200, Value::Map{{"flavors", std::move(types)}});
@@ -97,32 +97,32 @@
 
 Response Cloud::rent(const Value& body) {
   const std::string* booking = body["booking"].text();
-  const std::string* flavor = body["flavor"].text();
+  const std::string* machine_type = body["flavor"].text();
   const std::string* zone = body["site"].text();
   const auto standby = body["standby"].boolean();
   const auto count = body["count"].count();
-  const MachineType* type = flavor != nullptr ? site_.type(*flavor) : nullptr;
+  const MachineSupply* type = machine_type != nullptr ? site_.type(*machine_type) : nullptr;
   if (booking == nullptr || type == nullptr || zone == nullptr || !standby || !count || *count == 0 ||
-      *count > kMostPerBooking)
+      *count > kMaxPerBooking)
     return malformed("booking, flavor, site, standby or count (1 to 50) is missing or wrong");
-  auto& names = bookings_[*booking];
+  auto& names = requests_by_name_[*booking];
   if (names.empty()) {
     const bool sold =
-        std::find(type->flavor.sites.begin(), type->flavor.sites.end(), *zone) != type->flavor.sites.end();
+        std::find(type->type.zones.begin(), type->type.zones.end(), *zone) != type->type.zones.end();
     const int most = sold ? scale_ * (*standby ? type->spot : type->ordinary) : 0;
-    while (names.size() < *count && machines_.there(*flavor, *zone, *standby) < most) {
+    while (names.size() < *count && machines_.is_present(*machine_type, *zone, *standby) < most) {
       const bool never =
-          wires_.pick(kNeverUp) == 0 || (boot_never_ > 0 && wires_.uniform(0, 1) < boot_never_);
-      const double times = never ? 0 : wires_.uniform(0.6, 1.5) * boot_factor_;
-      const Micros boot = never ? from_seconds(1e6) : from_seconds(to_seconds(type->flavor.boot) * times);
-      const std::string host = machines_.rent(*flavor, *zone, *standby, boot);
+          transport_.pick(kNeverUp) == 0 || (boot_never_ > 0 && transport_.uniform(0, 1) < boot_never_);
+      const double times = never ? 0 : transport_.uniform(0.6, 1.5) * boot_factor_;
+      const Micros boot = never ? from_seconds(1e6) : from_seconds(to_seconds(type->type.boot_time) * times);
+      const std::string host = machines_.rent(*machine_type, *zone, *standby, boot);
       if (host.empty()) break;
       names.push_back(host);
       ++rented_;
     }
   }
   if (names.empty()) {
-    bookings_.erase(*booking);  // after a 503 the same request may be sent again
+    requests_by_name_.erase(*booking);  // after a 503 the same request may be sent again
     return reply(503, Value::Map{{"error", "no capacity"}});
   }
   Value::List hosts;
@@ -130,25 +130,25 @@
   return reply(200, Value::Map{{"hosts", std::move(hosts)}});
 }
 
-Response Cloud::give_back(const Value& body) {
+Response Cloud::return_machines(const Value& body) {
   const Value::List* hosts = body["hosts"].list();
-  if (hosts == nullptr || hosts->size() > kMostPerReturn)
+  if (hosts == nullptr || hosts->size() > kMaxPerReturn)
     return malformed("hosts: must be a list of 100 at most");
   for (const Value& h : *hosts) {
-    if (h.text() != nullptr) machines_.give_back(*h.text());
+    if (h.text() != nullptr) machines_.return_machine(*h.text());
   }
   return reply(200, Value::Map{});
 }
 
 Response Cloud::list(const std::string& target) {
-  const Micros lag = from_seconds(to_seconds(site_.settings.list_lag) * wires_.uniform(1, 2));
+  const Micros lag = from_seconds(to_seconds(site_.settings.list_lag) * transport_.uniform(1, 2));
   const Value::List* seen = nullptr;
   for (const auto& [when, list] : lists_) {
-    if (wires_.now() - when >= lag) seen = &list;
+    if (transport_.now() - when >= lag) seen = &list;
   }
   const long after = number_of(query(target, "from"));
   const std::size_t asked = std::strtoull(query(target, "limit").c_str(), nullptr, 10);
-  const std::size_t limit = asked == 0 ? kMostListed : std::min(asked, kMostListed);
+  const std::size_t limit = asked == 0 ? kMaxListed : std::min(asked, kMaxListed);
   Value::List rows;
   bool more = false;
   for (std::size_t i = 0; seen != nullptr && i < seen->size() && !more; ++i) {
--- a/lab/models/include/wrenusher/lab/cloud.hpp
+++ b/lab/models/include/wrenusher/lab/cloud.hpp
@@ -12,9 +12,9 @@
 class Cloud {
  public:
   /// `scale`: how many times the site's capacity there is.
-  Cloud(Wires& wires, const Site& site, Machines& machines, int scale = 1);
+  Cloud(Transport& transport, const Site& site, Machines& machines, int scale = 1);
 
-  void serve(const std::string& from, const Request& r, const Answer& answer);
+  void serve(const std::string& from, const Request& r, const Responder& answer);
   void outage(bool on) { down_ = on; }
   /// From now on boots take so many times as long, and this share of machines never comes up.
   void boots(double factor, double never) {
@@ -22,27 +22,27 @@
     boot_never_ = never;
   }
   /// The machines that are up from the start.
-  void furnish();
+  void provide_now();
   std::uint64_t requests() const { return requests_; }
   std::uint64_t rented() const { return rented_; }
 
  private:
   Response catalog() const;
   Response rent(const Value& body);
-  Response give_back(const Value& body);
+  Response return_machines(const Value& body);
   Response list(const std::string& target);
   void note_list();
 
-  Wires& wires_;
+  Transport& transport_;
   const Site& site_;
   Machines& machines_;
   int scale_;
   bool down_ = false;
   double boot_factor_ = 1;
   double boot_never_ = 0;
-  std::map<std::string, std::vector<std::string>> bookings_;
+  std::map<std::string, std::vector<std::string>> requests_by_name_;
   std::deque<std::pair<Instant, Value::List>> lists_;
-  Pace pace_;
+  RateLimiter rate_limiter_;
   std::uint64_t requests_ = 0;
   std::uint64_t rented_ = 0;
 };
--- a/lab/models/include/wrenusher/lab/pace.hpp
+++ b/lab/models/include/wrenusher/lab/pace.hpp
@@ -9,9 +9,9 @@
 
 /// Tokens that refill at a steady rate; what is saved up is bounded, and full at the start. A rate of 0: no
 /// limit.
-class Pace {
+class RateLimiter {
  public:
-  Pace(double per_second, double burst_s, base::Instant now)
+  RateLimiter(double per_second, double burst_s, base::Instant now)
       : rate_(per_second), most_(per_second * burst_s), tokens_(most_), at_(now) {}
   bool take(double n, base::Instant now) {
     if (rate_ <= 0) return true;
--- a/lab/models/include/wrenusher/lab/users.hpp
+++ b/lab/models/include/wrenusher/lab/users.hpp
@@ -10,21 +10,21 @@
 /// Chooses a healthy node for each connection, as PROTOCOL says.
 class Balancer {
  public:
-  Balancer(Wires& wires, std::vector<Endpoint> nodes);
+  Balancer(Transport& transport, std::vector<Endpoint> nodes);
   /// Begins to probe.
   void start();
-  void send(const Request& r, Micros timeout, Done done);
+  void send(const Request& r, Micros timeout, CallHandler done);
   /// To one node, whatever it is like.
-  void send_to(std::size_t node, const Request& r, Micros timeout, Done done);
+  void send_to(std::size_t node, const Request& r, Micros timeout, CallHandler done);
   std::size_t nodes() const { return nodes_.size(); }
   /// Tells of each request that went through the balancer what came of it, and after how long.
-  std::function<void(const Request&, const base::Outcome&, Micros took)> on_outcome;
+  std::function<void(const Request&, const base::CallResult&, Micros took)> on_outcome;
 
  private:
-  struct Node {
-    Endpoint at;
+  struct ConfigNode {
+    Endpoint address;
     bool healthy = false;
-    bool ever = false;
+    bool ever_healthy = false;
     std::vector<bool> probes;  ///< the newest last, six at most
     int open = 0;
     int refused = 0;  ///< connections in a row
@@ -34,22 +34,22 @@
     Micros pause = from_seconds(3);
   };
   void probe(std::size_t i);
-  void judge(Node& n, bool good);
-  void attempt(const Request& r, Micros timeout, int left, std::set<std::size_t> tried, Done done);
+  void judge(ConfigNode& n, bool good);
+  void attempt(const Request& r, Micros timeout, int left, std::set<std::size_t> tried, CallHandler done);
   /// The nodes' count where there is none.
   std::size_t choose(const std::set<std::size_t>& tried);
 
-  Wires& wires_;
-  std::vector<Node> nodes_;
+  Transport& transport_;
+  std::vector<ConfigNode> nodes_;
 };
 
 class Users {
  public:
-  Users(Wires& wires, Balancer& balancer, Machines& machines, Checker& checker)
-      : wires_(wires), balancer_(balancer), machines_(machines), checker_(checker) {}
+  Users(Transport& transport, Balancer& balancer, Machines& machines, Checker& checker)
+      : transport_(transport), balancer_(balancer), machines_(machines), checker_(checker) {}
 
-  void submit(const JobTruth& job);
-  void withdraw(const std::string& ref);
+  void submit(const SimulatedJob& job);
+  void cancel(const std::string& job_id);
   void ask_more_often(double factor) { ask_often_ = factor; }
   /// Whether users look at all nodes, closely, after each answer that tells them something new.
   void look_closely(bool yes) { close_looks_ = yes; }
@@ -58,9 +58,9 @@
   /// This share of the jobs is cancelled as their last task ends.
   void cancel_at_end(double share) { cancel_at_end_ = share; }
   /// The last task of the job has just ended.
-  void ended(const std::string& ref);
+  void ended(const std::string& job_id);
   /// The last state that the job's user was told; empty before any.
-  std::string told(const std::string& ref) const;
+  std::string is_told(const std::string& job_id) const;
   /// Accepted and neither done nor withdrawn, as far as users were told.
   std::size_t live() const;
 
@@ -68,7 +68,7 @@
   struct Outcome {
     Instant submitted{};
     Instant accepted{};
-    Instant over{};
+    Instant finished{};
     int refused = 0;  ///< 400 or 422; 0: not
     std::string state;
   };
@@ -76,11 +76,11 @@
 
  private:
   void ask_again(const JobSpec& spec);
-  void poll(const std::string& ref, int left_after_end);
-  void look(const std::string& ref);
+  void poll(const std::string& job_id, int left_after_end);
+  void look(const std::string& job_id);
   void submit_badly(bool fits_nothing);
 
-  Wires& wires_;
+  Transport& transport_;
   Balancer& balancer_;
   Machines& machines_;
   Checker& checker_;
@@ -88,10 +88,10 @@
   double ask_often_ = 1;
   bool close_looks_ = false;
   double cancel_at_end_ = 0;
-  int odd_ = 0;
+  int odd_requests_ = 0;
 };
 
 /// A job of a class of the site, drawn anew.
-JobTruth draw_job(const Site& site, const JobClass& c, int number, std::mt19937_64& random);
+SimulatedJob draw_job(const Site& site, const JobClass& c, int number, std::mt19937_64& random);
 
 }  // namespace wrenusher::lab
--- a/lab/models/include/wrenusher/lab/verdict.hpp
+++ b/lab/models/include/wrenusher/lab/verdict.hpp
@@ -7,8 +7,8 @@
 
 struct Verdict {
   struct Row {
-    std::string ref;
-    std::string queue;
+    std::string job_id;
+    std::string job_class;
     std::uint32_t tasks = 0;
     std::string state;  ///< done, withdrawn, refused, or where it stands if it is not over
     Micros took{};      ///< from submission to the answer that said so; 0 while it is not over
--- a/lab/models/links.cpp
+++ b/lab/models/links.cpp
@@ -10,15 +10,15 @@
 
 }  // namespace
 
-void Links::cut(const std::string& a, const std::string& b, Cut how) {
+void Links::cut(const std::string& a, const std::string& b, LinkCut how) {
   pairs_[ordered(a, b)] = how;
 }
 
-void Links::cut_zone(const std::string& zone, Cut how) {
+void Links::cut_zone(const std::string& zone, LinkCut how) {
   cut_group([this, zone](const std::string& who) { return zone_of && zone_of(who) == zone; }, how);
 }
 
-void Links::cut_group(std::function<bool(const std::string&)> inside, Cut how) {
+void Links::cut_group(std::function<bool(const std::string&)> inside, LinkCut how) {
   groups_.emplace_back(std::move(inside), how);
 }
 
@@ -29,19 +29,19 @@
   groups_.clear();
 }
 
-Cut Links::between(const std::string& from, const std::string& to) const {
+LinkCut Links::between(const std::string& from, const std::string& to) const {
   for (const auto& [inside, how] : groups_) {
     if (inside(from) != inside(to)) return how;
   }
   if (const auto d = one_way_.find({from, to}); d != one_way_.end()) return d->second;
   const auto it = pairs_.find(ordered(from, to));
-  return it == pairs_.end() ? Cut::none : it->second;
+  return it == pairs_.end() ? LinkCut::none : it->second;
 }
 
-Cut Links::asking(const std::string& from, const std::string& to) const {
-  if (const Cut how = between(from, to); how != Cut::none) return how;
+LinkCut Links::asking(const std::string& from, const std::string& to) const {
+  if (const LinkCut how = between(from, to); how != LinkCut::none) return how;
   const auto it = requests_.find({from, to});
-  return it == requests_.end() ? Cut::none : it->second;
+  return it == requests_.end() ? LinkCut::none : it->second;
 }
 
 }  // namespace wrenusher::lab
--- a/lab/models/site.cpp
+++ b/lab/models/site.cpp
@@ -6,188 +6,188 @@
 
 namespace {
 
-using fields::Node;
+using fields::ConfigNode;
 
 /// A number, or {median: , p95: }.
-Spread read_spread(Node n, double least, double most) {
+Distribution read_spread(ConfigNode n, double least, double most) {
   if (!n.is_map()) {
     const double fixed = n.number(least, most);
     return {fixed, fixed};
   }
-  Spread s;
+  Distribution s;
   s.median = n["median"].number(least, most);
   s.p95 = n["p95"].number(s.median, most);
-  n.no_more();
+  n.reject_unknown_fields();
   return s;
 }
 
-Spread read_spread_of_time(Node n) {
+Distribution read_spread_of_time(ConfigNode n) {
   if (!n.is_map()) {
     const double fixed = to_seconds(n.duration());
     return {fixed, fixed};
   }
-  Spread s;
+  Distribution s;
   s.median = to_seconds(n["median"].duration());
   s.p95 = to_seconds(n["p95"].duration());
   if (s.p95 < s.median) n["p95"].fail("must not be below the median");
-  n.no_more();
+  n.reject_unknown_fields();
   return s;
 }
 
-Needs read_needs(Node& n) {
-  Needs out;
+Resources read_needs(ConfigNode& n) {
+  Resources out;
   out.cores = to_amount(n["cores"].number(0, 1e6));
-  out.cards = n.has("cards") ? to_amount(n["cards"].number(0, 1e6)) : 0;
+  out.gpus = n.has("cards") ? to_amount(n["cards"].number(0, 1e6)) : 0;
   out.memory = to_amount(n["memory_gb"].number(0, 1e6));
   return out;
 }
 
-MachineType read_type(const std::string& name, Node n, const std::vector<std::string>& zones) {
-  MachineType t;
-  Flavor& f = t.flavor;
+MachineSupply read_type(const std::string& name, ConfigNode n, const std::vector<std::string>& zones) {
+  MachineSupply t;
+  MachineType& f = t.type;
   f.name = name;
-  f.room = read_needs(n);
-  f.cache_gb = n["cache_gb"].number(0, 1e6);
-  f.pull_gb_per_s = n["pull_gb_per_s"].number(1e-3, 1e3);
-  f.rate = n["price"].number(0, 1e6);
-  f.low_price = n["spot_price"].number(0, 1e6);
-  f.boot = n["boot"].duration();
-  f.sites = zones;
+  f.capacity = read_needs(n);
+  f.image_cache_gb = n["cache_gb"].number(0, 1e6);
+  f.fetch_gb_per_s = n["pull_gb_per_s"].number(1e-3, 1e3);
+  f.price = n["price"].number(0, 1e6);
+  f.spot_price = n["spot_price"].number(0, 1e6);
+  f.boot_time = n["boot"].duration();
+  f.zones = zones;
   if (n.has("zones")) {
-    f.sites.clear();
-    for (const Node& z : n["zones"].items()) f.sites.push_back(z.one_of(zones));
+    f.zones.clear();
+    for (const ConfigNode& z : n["zones"].items()) f.zones.push_back(z.one_of(zones));
   }
-  t.spot = n["spot_per_zone"].whole(0, 100000);
-  t.ordinary = n["ordinary_per_zone"].whole(0, 100000);
-  n.no_more();
+  t.spot = n["spot_per_zone"].integer(0, 100000);
+  t.ordinary = n["ordinary_per_zone"].integer(0, 100000);
+  n.reject_unknown_fields();
   return t;
 }
 
-Layout read_layout(Node n) {
+Layout read_layout(ConfigNode n) {
   Layout l;
   if (n.has("spread")) {
-    Node s = n["spread"];
+    ConfigNode s = n["spread"];
     Layout::Spread out;
     out.level = s["level"].text();
-    if (s.has("most")) out.most = static_cast<std::uint32_t>(s["most"].whole(1, kMaxUnits));
+    if (s.has("most")) out.max_tasks = static_cast<std::uint32_t>(s["most"].integer(1, kMaxTasksPerJob));
     if (s.has("share")) out.share = s["share"].number(0.001, 1);
-    if ((out.most > 0) == (out.share > 0)) s.fail("needs either 'most' or 'share'");
-    if (s.has("must")) out.must = s["must"].boolean();
-    s.no_more();
+    if ((out.max_tasks > 0) == (out.share > 0)) s.fail("needs either 'most' or 'share'");
+    if (s.has("must")) out.required = s["must"].boolean();
+    s.reject_unknown_fields();
     l.spread = out;
   }
   if (n.has("together")) {
-    Node t = n["together"];
-    Layout::Together out;
+    ConfigNode t = n["together"];
+    Layout::Colocation out;
     out.level = t["level"].text();
-    if (t.has("must")) out.must = t["must"].boolean();
-    t.no_more();
-    l.together = out;
+    if (t.has("must")) out.required = t["must"].boolean();
+    t.reject_unknown_fields();
+    l.colocation = out;
   }
   if (n.has("devices")) {
     for (const auto& [name, count] : n["devices"].entries())
-      l.devices[name] = static_cast<std::uint32_t>(count.whole(1, 1000));
+      l.devices[name] = static_cast<std::uint32_t>(count.integer(1, 1000));
   }
-  n.no_more();
+  n.reject_unknown_fields();
   return l;
 }
 
-JobClass read_class(const std::string& name, Node n, const Settings& s) {
+JobClass read_class(const std::string& name, ConfigNode n, const Settings& s) {
   JobClass c;
   c.name = name;
   std::vector<std::string> teams;
   for (const settings::Team& t : s.teams) teams.push_back(t.name);
   if (n.has("team")) c.team = n["team"].one_of(teams);
   const std::string shape = n["shape"].one_of({"array", "gang", "service"});
-  c.shape = shape == "array" ? Shape::sweep : shape == "gang" ? Shape::gang : Shape::daemon;
+  c.type = shape == "array" ? JobType::array : shape == "gang" ? JobType::gang : JobType::service;
   const std::string urgency = n["urgency"].one_of({"prod", "high", "normal", "low"});
-  c.urgency = urgency == "prod"     ? Urgency::prod
-              : urgency == "high"   ? Urgency::high
-              : urgency == "normal" ? Urgency::normal
-                                    : Urgency::low;
+  c.priority = urgency == "prod"     ? Priority::prod
+               : urgency == "high"   ? Priority::high
+               : urgency == "normal" ? Priority::normal
+                                     : Priority::low;
   if (n.has("per_minute")) c.per_minute = n["per_minute"].number(0, 1e4);
-  if (n.has("at_start")) c.at_start = n["at_start"].whole(0, 100000);
-  if (n.has("tasks")) c.tasks = read_spread(n["tasks"], 1, kMaxUnits);
-  if (c.shape != Shape::daemon) c.run_s = read_spread_of_time(n["run"]);
+  if (n.has("at_start")) c.at_start = n["at_start"].integer(0, 100000);
+  if (n.has("tasks")) c.tasks = read_spread(n["tasks"], 1, kMaxTasksPerJob);
+  if (c.type != JobType::service) c.run_s = read_spread_of_time(n["run"]);
   if (n.has("estimate")) c.estimate = read_spread(n["estimate"], 0.01, 100);
-  c.needs = read_needs(n);
+  c.resources = read_needs(n);
   if (n.has("image_gb")) c.image_gb = read_spread(n["image_gb"], 0, 1e4);
-  if (n.has("images")) c.images = n["images"].whole(1, 100000);
-  if (n.has("spot")) c.standby = n["spot"].boolean();
-  if (n.has("same_place")) c.same_place = n["same_place"].boolean();
-  if (n.has("scatter")) c.scatter = n["scatter"].boolean();
-  if (n.has("saves_every")) c.snapshot_every = n["saves_every"].duration();
-  if (n.has("save")) c.snapshot = n["save"].duration();
+  if (n.has("images")) c.images = n["images"].integer(1, 100000);
+  if (n.has("spot")) c.spot_allowed = n["spot"].boolean();
+  if (n.has("same_place")) c.single_zone = n["same_place"].boolean();
+  if (n.has("scatter")) c.spread_zones = n["scatter"].boolean();
+  if (n.has("saves_every")) c.checkpoint_interval = n["saves_every"].duration();
+  if (n.has("save")) c.checkpoint_time = n["save"].duration();
   if (n.has("due")) {
-    Node due = n["due"];
-    c.due_times = due["times"].number(0.01, 1000);
-    if (due.has("plus")) c.due_plus = due["plus"].duration();
-    due.no_more();
+    ConfigNode due = n["due"];
+    c.deadline_factor = due["times"].number(0.01, 1000);
+    if (due.has("plus")) c.deadline_extra = due["plus"].duration();
+    due.reject_unknown_fields();
   }
-  if (n.has("withdrawn")) c.withdrawn = n["withdrawn"].number(0, 1);
+  if (n.has("withdrawn")) c.cancelled_share = n["withdrawn"].number(0, 1);
   if (n.has("layout")) c.layout = read_layout(n["layout"]);
-  n.no_more();
+  n.reject_unknown_fields();
   return c;
 }
 
-TroubleSpec read_trouble(Node n) {
-  TroubleSpec t;
+FaultSpec read_fault(ConfigNode n) {
+  FaultSpec t;
   std::vector<std::string> names;
-  for (const auto& [name, help] : trouble_names()) names.push_back(name);
+  for (const auto& [name, help] : fault_names()) names.push_back(name);
   t.what = n["what"].one_of(names);
   t.at = n["at"].duration();
   if (n.has("lasts")) t.lasts = n["lasts"].duration();
   if (n.has("every")) t.every = n["every"].duration();
   if (n.has("whom")) t.whom = n["whom"].text();
   if (n.has("share")) t.share = n["share"].number(0, 1);
-  if (n.has("count")) t.count = n["count"].whole(1, 100000);
-  n.no_more();
+  if (n.has("count")) t.count = n["count"].integer(1, 100000);
+  n.reject_unknown_fields();
   return t;
 }
 
-settings::Objective read_aim(Node n) {
+settings::Objective read_aim(ConfigNode n) {
   settings::Objective o;
   o.kind = n["kind"].one_of({"deadline", "finished", "wait"});
-  o.queue = n["class"].text();
-  if (n.has("times")) o.times = n["times"].number(0.01, 1000);
+  o.job_class = n["class"].text();
+  if (n.has("times")) o.deadline_factor = n["times"].number(0.01, 1000);
   if (n.has("within")) o.within = n["within"].duration();
   if (o.kind != "deadline" && o.within.count() == 0) n.fail("has no field 'within'");
-  n.no_more();
+  n.reject_unknown_fields();
   return o;
 }
 
-void read_cluster(Node n, Settings& s) {
-  s.report = n["report"].duration();
-  s.lease = n["lease"].duration();
-  s.gang_wait = n["gang_wait"].duration();
-  s.gang_peer = n["gang_peer"].duration();
-  s.cancel = n["cancel"].duration();
+void read_cluster(ConfigNode n, Settings& s) {
+  s.report_interval = n["report"].duration();
+  s.worker_lease = n["lease"].duration();
+  s.gang_start_timeout = n["gang_wait"].duration();
+  s.gang_peer_timeout = n["gang_peer"].duration();
+  s.cancel_deadline = n["cancel"].duration();
   s.state_rps = n["state_rps"].number(1, 1e6);
   s.state_write_rps = n["state_write_rps"].number(1, 1e6);
   s.value_kb = n["value_kb"].number(1, 1024);
-  s.txn_ops = static_cast<std::size_t>(n["txn_ops"].whole(4, 1000));
+  s.txn_ops = static_cast<std::size_t>(n["txn_ops"].integer(4, 1000));
   s.cloud_rps = n["cloud_rps"].number(0.1, 1e4);
   s.list_lag = n["list_lag"].duration();
-  s.max_sockets = n["max_sockets"].whole(64, 100000);
-  n.no_more();
+  s.max_sockets = n["max_sockets"].integer(64, 100000);
+  n.reject_unknown_fields();
 }
 
 }  // namespace
 
-double Spread::draw(std::mt19937_64& random) const {
+double Distribution::draw(std::mt19937_64& random) const {
   if (p95 <= median || median <= 0) return median;
   constexpr double kZ95 = 1.6448536269514722;
   return std::lognormal_distribution<double>(std::log(median), std::log(p95 / median) / kZ95)(random);
 }
 
-const MachineType* Site::type(const std::string& flavor) const {
-  for (const MachineType& t : types) {
-    if (t.flavor.name == flavor) return &t;
+const MachineSupply* Site::type(const std::string& machine_type) const {
+  for (const MachineSupply& t : types) {
+    if (t.type.name == machine_type) return &t;
   }
   return nullptr;
 }
 
-const std::vector<std::pair<std::string, std::string>>& trouble_names() {
+const std::vector<std::pair<std::string, std::string>>& fault_names() {
   static const std::vector<std::pair<std::string, std::string>> names = {
       {"controller_crash", "one controller ends (whom: c0, c1, c2 or leader) and is back after `lasts`"},
       {"all_crash", "all controllers end and are back after `lasts`"},
@@ -237,42 +237,42 @@
 }
 
 Site parse_site(const std::string& yaml, const std::string& file) {
-  Node top = Node::root(yaml, file);
+  ConfigNode top = ConfigNode::root(yaml, file);
   Site site;
   Settings& s = site.settings;
   site.name = top["name"].text();
   if (top.has("length")) site.length = top["length"].duration();
-  for (const Node& z : top["zones"].items()) s.zones.push_back(z.text());
+  for (const ConfigNode& z : top["zones"].items()) s.zones.push_back(z.text());
   if (s.zones.empty()) top["zones"].fail("must name at least one zone");
   for (auto& [name, n] : top["teams"].entries()) {
     settings::Team t;
     t.name = name;
     if (n.has("cores")) t.cores = n["cores"].number(0, 1e9);
     if (n.has("cores_max")) t.cores_max = n["cores_max"].number(0, 1e9);
-    if (n.has("cards")) t.cards = n["cards"].number(0, 1e9);
-    if (n.has("cards_max")) t.cards_max = n["cards_max"].number(0, 1e9);
-    n.no_more();
+    if (n.has("cards")) t.gpus = n["cards"].number(0, 1e9);
+    if (n.has("cards_max")) t.gpus_max = n["cards_max"].number(0, 1e9);
+    n.reject_unknown_fields();
     s.teams.push_back(t);
   }
   if (s.teams.empty()) top["teams"].fail("must name at least one team");
   for (auto& [name, n] : top["types"].entries()) site.types.push_back(read_type(name, n, s.zones));
   if (site.types.empty()) top["types"].fail("must name at least one machine type");
-  if (top.has("machines")) site.machines = top["machines"].whole(0, 100000);
+  if (top.has("machines")) site.machines = top["machines"].integer(0, 100000);
   read_cluster(top["limits"], s);
   if (top.has("classes")) {
     for (auto& [name, n] : top["classes"].entries()) site.classes.push_back(read_class(name, n, s));
   }
   if (top.has("aims")) {
-    for (const Node& n : top["aims"].items()) s.objectives.push_back(read_aim(n));
+    for (const ConfigNode& n : top["aims"].items()) s.objectives.push_back(read_aim(n));
   }
   if (top.has("troubles")) {
-    for (const Node& n : top["troubles"].items()) site.troubles.push_back(read_trouble(n));
+    for (const ConfigNode& n : top["troubles"].items()) site.faults.push_back(read_fault(n));
   }
   if (top.has("topology")) {
     site.topology_text = top["topology"].text();
     site.topology = topology::Topology::parse(site.topology_text, file + " (topology)");
   }
-  top.no_more();
+  top.reject_unknown_fields();
   return site;
 }
 
--- a/lab/models/sqlite_keep.cpp
+++ b/lab/models/sqlite_keep.cpp
@@ -17,11 +17,11 @@
 constexpr std::size_t kTrim = 1000;
 
 /// Of all that a row says, so that a row that was changed behind our back is not taken for an answer.
-std::int64_t checksum(const std::string& key, const std::string& value, std::uint64_t stamp,
-                      std::uint64_t tenancy) {
+std::int64_t checksum(const std::string& key, const std::string& value, std::uint64_t mod_revision,
+                      std::uint64_t lease_id) {
   XXH64_state_t* s = XXH64_createState();
   XXH64_reset(s, static_cast<XXH64_hash_t>(kFormat));
-  const std::uint64_t head[] = {key.size(), value.size(), stamp, tenancy};
+  const std::uint64_t head[] = {key.size(), value.size(), mod_revision, lease_id};
   XXH64_update(s, head, sizeof head);
   XXH64_update(s, key.data(), key.size());
   XXH64_update(s, value.data(), value.size());
@@ -30,11 +30,11 @@
   return sum;
 }
 
-class SqliteKeep : public Keep {
+class SqliteStorage : public DurableStorage {
  public:
-  SqliteKeep(const std::string& folder, std::uint32_t most_pages) : path_(folder + "/state.db") {
+  SqliteStorage(const std::string& folder, std::uint32_t most_pages) : path_(folder + "/state.db") {
     if (mkdir(folder.c_str(), 0700) != 0 && errno != EEXIST)
-      throw KeepDamaged(folder + ": cannot be made: " + std::strerror(errno));
+      throw StorageDamaged(folder + ": cannot be made: " + std::strerror(errno));
     if (sqlite3_open(path_.c_str(), &db_) != SQLITE_OK) damaged("cannot be opened");
     sqlite3_extended_result_codes(db_, 1);
     // On the disk at every commit, and in the one file: of a write-ahead log whose end is damaged SQLite
@@ -56,13 +56,13 @@
         "INTEGER)");
   }
 
-  ~SqliteKeep() override {
+  ~SqliteStorage() override {
     for (auto& [sql, s] : statements_) sqlite3_finalize(s);
     sqlite3_close(db_);
   }
 
-  Saved load() override {
-    Saved out;
+  SavedState load() override {
+    SavedState out;
     std::int64_t format = kFormat;
     bool any = false;
     std::int64_t keys = 0;
@@ -78,7 +78,7 @@
       any = true;
       if (name == "format") format = n;
       if (name == "revision") out.revision = static_cast<std::uint64_t>(n);
-      if (name == "holds_made") out.holds_made = static_cast<std::uint64_t>(n);
+      if (name == "holds_made") out.leases_made = static_cast<std::uint64_t>(n);
       if (name == "past_before") out.past_before = static_cast<std::uint64_t>(n);
       if (name == "keys") keys = n;
       if (name == "holds") holds = n;
@@ -88,11 +88,11 @@
               std::to_string(kFormat) + " only: use the version that wrote it");
     each("SELECT k, v, stamp, tenancy, sum FROM keys", [&](sqlite3_stmt* s) {
       const std::string key = text(s, 0);
-      Entry e;
+      KvEntry e;
       const std::string bytes = text(s, 1);
-      e.stamp = static_cast<std::uint64_t>(sqlite3_column_int64(s, 2));
-      e.tenancy = static_cast<std::uint64_t>(sqlite3_column_int64(s, 3));
-      verify(s, 4, "key " + key, checksum(key, bytes, e.stamp, e.tenancy));
+      e.mod_revision = static_cast<std::uint64_t>(sqlite3_column_int64(s, 2));
+      e.lease_id = static_cast<std::uint64_t>(sqlite3_column_int64(s, 3));
+      verify(s, 4, "key " + key, checksum(key, bytes, e.mod_revision, e.lease_id));
       e.value = value(bytes, "key " + key);
       out.keys.emplace(key, std::move(e));
     });
@@ -100,10 +100,10 @@
       const auto id = static_cast<std::uint64_t>(sqlite3_column_int64(s, 0));
       const std::int64_t life = sqlite3_column_int64(s, 1);
       verify(s, 2, "hold " + std::to_string(id), checksum("hold", {}, id, static_cast<std::uint64_t>(life)));
-      out.holds.emplace(id, Micros{life});
+      out.leases.emplace(id, Micros{life});
     });
     each("SELECT n, revision, k, v, sum FROM past ORDER BY n", [&](sqlite3_stmt* s) {
-      Past p;
+      PastChange p;
       past_n_ = sqlite3_column_int64(s, 0);
       p.revision = static_cast<std::uint64_t>(sqlite3_column_int64(s, 1));
       p.key = text(s, 2);
@@ -115,37 +115,37 @@
     });
     // A row that is missing is damage as well, and no checksum of the others tells.
     if (any && (keys != static_cast<std::int64_t>(out.keys.size()) ||
-                holds != static_cast<std::int64_t>(out.holds.size())))
+                holds != static_cast<std::int64_t>(out.leases.size())))
       damaged("has lost rows");
     past_ = out.past.size();
     past_before_ = out.past_before;
     keys_ = static_cast<std::int64_t>(out.keys.size());
-    holds_ = static_cast<std::int64_t>(out.holds.size());
-    holds_made_ = out.holds_made;
+    leases_ = static_cast<std::int64_t>(out.leases.size());
+    leases_made_ = out.leases_made;
     return out;
   }
 
-  bool save(const Batch& b) override {
-    Counts next{past_n_, past_, past_before_, keys_, holds_, holds_made_};
+  bool save(const WriteBatch& b) override {
+    Counts next{past_n_, past_, past_before_, keys_, leases_, leases_made_};
     if (!step(prepare("BEGIN IMMEDIATE")) || !write(b, next) || !step(prepare("COMMIT"))) {
-      trouble_ = path_ + ": " + sqlite3_errmsg(db_);
+      error_ = path_ + ": " + sqlite3_errmsg(db_);
       const int code = sqlite3_errcode(db_);
       // After a failed commit the transaction is still open, and nothing of it is kept.
       if (sqlite3_get_autocommit(db_) == 0) step(prepare("ROLLBACK"));
-      if (code == SQLITE_CORRUPT || code == SQLITE_NOTADB) throw KeepDamaged(trouble_);
+      if (code == SQLITE_CORRUPT || code == SQLITE_NOTADB) throw StorageDamaged(error_);
       return false;
     }
-    trouble_.clear();
+    error_.clear();
     past_n_ = next.past_n;
     past_ = next.past;
     past_before_ = next.past_before;
     keys_ = next.keys;
-    holds_ = next.holds;
-    holds_made_ = next.holds_made;
+    leases_ = next.leases;
+    leases_made_ = next.leases_made;
     return true;
   }
 
-  std::string trouble() const override { return trouble_; }
+  std::string error() const override { return error_; }
 
  private:
   struct Counts {
@@ -153,13 +153,14 @@
     std::size_t past;
     std::uint64_t past_before;
     std::int64_t keys;
-    std::int64_t holds;
-    std::uint64_t holds_made;
+    std::int64_t leases;
+    std::uint64_t leases_made;
   };
 
   [[noreturn]] void damaged(const std::string& what) const {
-    throw KeepDamaged(path_ + ": " + what +
-                      "; nothing is served from it. Move the folder away to begin anew, or restore a copy");
+    throw StorageDamaged(
+        path_ + ": " + what +
+        "; nothing is served from it. Move the folder away to begin anew, or restore a copy");
   }
 
   void must(const char* sql) {
@@ -168,7 +169,7 @@
     const int code = sqlite3_errcode(db_);
     const std::string why = error != nullptr ? error : sqlite3_errmsg(db_);
     sqlite3_free(error);
-    if ((code & 0xff) == SQLITE_BUSY) throw KeepDamaged(path_ + ": is in use by another process");
+    if ((code & 0xff) == SQLITE_BUSY) throw StorageDamaged(path_ + ": is in use by another process");
     damaged(why);
   }
 
@@ -225,7 +226,7 @@
     sqlite3_bind_blob(s, at, bytes.data(), static_cast<int>(bytes.size()), SQLITE_TRANSIENT);
   }
 
-  bool add_past(const Past& p, Counts& next) {
+  bool add_past(const PastChange& p, Counts& next) {
     const std::string bytes = p.value ? encode(*p.value) : std::string();
     sqlite3_stmt* s = prepare("INSERT INTO past(n, revision, k, v, sum) VALUES(?, ?, ?, ?, ?)");
     sqlite3_bind_int64(s, 1, ++next.past_n);
@@ -242,19 +243,19 @@
   }
 
   bool trim_past(Counts& next) {
-    if (next.past < kMostPast + kTrim) return true;
+    if (next.past < kMaxPastChanges + kTrim) return true;
     sqlite3_stmt* last = prepare("SELECT revision FROM past ORDER BY n LIMIT 1 OFFSET ?");
-    sqlite3_bind_int64(last, 1, static_cast<std::int64_t>(next.past - kMostPast - 1));
+    sqlite3_bind_int64(last, 1, static_cast<std::int64_t>(next.past - kMaxPastChanges - 1));
     const bool found = sqlite3_step(last) == SQLITE_ROW;
     if (found) next.past_before = static_cast<std::uint64_t>(sqlite3_column_int64(last, 0));
     sqlite3_reset(last);
     sqlite3_stmt* s = prepare("DELETE FROM past WHERE n <= ?");
-    sqlite3_bind_int64(s, 1, next.past_n - static_cast<std::int64_t>(kMostPast));
-    next.past = kMostPast;
+    sqlite3_bind_int64(s, 1, next.past_n - static_cast<std::int64_t>(kMaxPastChanges));
+    next.past = kMaxPastChanges;
     return found && step(s);
   }
 
-  bool write(const Batch& b, Counts& next) {
+  bool write(const WriteBatch& b, Counts& next) {
     for (const std::string& key : b.deletes) {
       sqlite3_stmt* s = prepare("DELETE FROM keys WHERE k = ?");
       bind(s, 1, key);
@@ -263,7 +264,7 @@
       --next.keys;
       if (!add_past({b.revision, key, std::nullopt}, next)) return false;
     }
-    for (const Batch::Put& p : b.puts) {
+    for (const WriteBatch::Put& p : b.puts) {
       sqlite3_stmt* there = prepare("SELECT 1 FROM keys WHERE k = ?");
       bind(there, 1, p.key);
       if (sqlite3_step(there) == SQLITE_DONE) ++next.keys;
@@ -273,50 +274,50 @@
           prepare("INSERT OR REPLACE INTO keys(k, v, stamp, tenancy, sum) VALUES(?, ?, ?, ?, ?)");
       bind(s, 1, p.key);
       bind_blob(s, 2, bytes);
-      sqlite3_bind_int64(s, 3, static_cast<std::int64_t>(p.entry.stamp));
-      sqlite3_bind_int64(s, 4, static_cast<std::int64_t>(p.entry.tenancy));
-      sqlite3_bind_int64(s, 5, checksum(p.key, bytes, p.entry.stamp, p.entry.tenancy));
+      sqlite3_bind_int64(s, 3, static_cast<std::int64_t>(p.entry.mod_revision));
+      sqlite3_bind_int64(s, 4, static_cast<std::int64_t>(p.entry.lease_id));
+      sqlite3_bind_int64(s, 5, checksum(p.key, bytes, p.entry.mod_revision, p.entry.lease_id));
       if (!step(s) || !add_past({b.revision, p.key, p.entry.value}, next)) return false;
     }
-    if (b.new_hold) {
-      const auto& [id, life] = *b.new_hold;
+    if (b.new_lease) {
+      const auto& [id, life] = *b.new_lease;
       sqlite3_stmt* s = prepare("INSERT INTO holds(id, life, sum) VALUES(?, ?, ?)");
       sqlite3_bind_int64(s, 1, static_cast<std::int64_t>(id));
       sqlite3_bind_int64(s, 2, life.count());
       sqlite3_bind_int64(s, 3, checksum("hold", {}, id, static_cast<std::uint64_t>(life.count())));
       if (!step(s)) return false;
-      ++next.holds;
-      next.holds_made = std::max(next.holds_made, id);
+      ++next.leases;
+      next.leases_made = std::max(next.leases_made, id);
     }
-    if (b.ended_hold) {
+    if (b.ended_lease) {
       sqlite3_stmt* s = prepare("DELETE FROM holds WHERE id = ?");
-      sqlite3_bind_int64(s, 1, static_cast<std::int64_t>(*b.ended_hold));
+      sqlite3_bind_int64(s, 1, static_cast<std::int64_t>(*b.ended_lease));
       if (!step(s)) return false;
-      next.holds -= sqlite3_changes(db_);
+      next.leases -= sqlite3_changes(db_);
     }
     return trim_past(next) && put_meta("format", static_cast<std::uint64_t>(kFormat)) &&
-           put_meta("revision", b.revision) && put_meta("holds_made", next.holds_made) &&
+           put_meta("revision", b.revision) && put_meta("holds_made", next.leases_made) &&
            put_meta("past_before", next.past_before) &&
            put_meta("keys", static_cast<std::uint64_t>(next.keys)) &&
-           put_meta("holds", static_cast<std::uint64_t>(next.holds));
+           put_meta("holds", static_cast<std::uint64_t>(next.leases));
   }
 
   std::string path_;
   sqlite3* db_ = nullptr;
   std::map<const char*, sqlite3_stmt*> statements_;
-  std::string trouble_;
+  std::string error_;
   std::int64_t past_n_ = 0;
   std::size_t past_ = 0;
   std::uint64_t past_before_ = 0;
   std::int64_t keys_ = 0;
-  std::int64_t holds_ = 0;
-  std::uint64_t holds_made_ = 0;
+  std::int64_t leases_ = 0;
+  std::uint64_t leases_made_ = 0;
 };
 
 }  // namespace
 
-std::unique_ptr<Keep> open_sqlite(const std::string& folder, std::uint32_t most_pages) {
-  return std::make_unique<SqliteKeep>(folder, most_pages);
+std::unique_ptr<DurableStorage> open_sqlite(const std::string& folder, std::uint32_t most_pages) {
+  return std::make_unique<SqliteStorage>(folder, most_pages);
 }
 
 }  // namespace wrenusher::lab
--- a/lab/models/state_service.cpp
+++ b/lab/models/state_service.cpp
@@ -9,13 +9,13 @@
 
 namespace {
 
-constexpr Micros kTick = millis(100);
-constexpr std::size_t kMostRows = 1000;
-constexpr std::size_t kMostListed = 512 * 1024;
-constexpr std::size_t kMostTransaction = 64 * 1024;
-constexpr std::uint64_t kLeastLife = 100;
-constexpr std::uint64_t kMostLife = 600000;
-constexpr std::uint64_t kMostFollow = 60000;
+constexpr Micros kTick = from_millis(100);
+constexpr std::size_t kMaxRows = 1000;
+constexpr std::size_t kMaxListed = 512 * 1024;
+constexpr std::size_t kMaxTransaction = 64 * 1024;
+constexpr std::uint64_t kMinLife = 100;
+constexpr std::uint64_t kMaxLife = 600000;
+constexpr std::uint64_t kMaxWatch = 60000;
 
 bool valid_key(const std::string* k) {
   return k != nullptr && !k->empty() && k->size() <= 200 && k->find(' ') == std::string::npos;
@@ -23,55 +23,55 @@
 
 }  // namespace
 
-StateLimits limits_of(const settings::Settings& s) {
+KvLimits limits_of(const settings::Settings& s) {
   return {s.state_rps, s.state_write_rps, s.value_kb, s.txn_ops};
 }
 
-StateService::StateService(Wires& wires, const StateLimits& limits, std::unique_ptr<Keep> keep)
-    : wires_(wires),
+KvService::KvService(Transport& transport, const KvLimits& limits, std::unique_ptr<DurableStorage> keep)
+    : transport_(transport),
       limits_(limits),
-      keep_(std::move(keep)),
-      pace_(limits.rps, 1, wires.now()),
-      write_pace_(limits.write_rps, 1, wires.now()) {
-  Saved s = keep_->load();
+      storage_(std::move(keep)),
+      pace_(limits.rps, 1, transport.now()),
+      write_pace_(limits.write_rps, 1, transport.now()) {
+  SavedState s = storage_->load();
   revision_ = s.revision;
   keys_ = std::move(s.keys);
-  holds_made_ = s.holds_made;
+  leases_made_ = s.leases_made;
   past_ = std::move(s.past);
   past_before_ = s.past_before;
   // Every hold has its full time again, as after an outage: how long each still had is not kept.
-  for (const auto& [id, life] : s.holds) holds_[id] = {life, wires_.now() + life};
+  for (const auto& [id, life] : s.leases) leases_[id] = {life, transport_.now() + life};
   struct Ticker {
-    StateService* s;
+    KvService* s;
     void operator()() const {
       s->expire();
       s->wake();
-      s->wires_.at(kTick, *this);
+      s->transport_.at(kTick, *this);
     }
   };
-  wires_.at(kTick, Ticker{this});
+  transport_.at(kTick, Ticker{this});
 }
 
-const Entry* StateService::find(const std::string& key) const {
+const KvEntry* KvService::find(const std::string& key) const {
   const auto it = keys_.find(key);
   return it == keys_.end() ? nullptr : &it->second;
 }
 
-std::size_t StateService::count(const std::string& prefix) const {
+std::size_t KvService::count(const std::string& prefix) const {
   std::size_t n = 0;
   for (auto it = keys_.lower_bound(prefix); it != keys_.end() && it->first.starts_with(prefix); ++it) ++n;
   return n;
 }
 
-void StateService::outage(bool on) {
+void KvService::outage(bool on) {
   if (down_ == on) return;
   down_ = on;
   if (on) return;
-  for (auto& [id, h] : holds_) h.ends = wires_.now() + h.life;
+  for (auto& [id, h] : leases_) h.ends = transport_.now() + h.ttl;
   wake();
 }
 
-void StateService::refuse(const std::string& who, bool on) {
+void KvService::refuse(const std::string& who, bool on) {
   if (on) {
     refused_.insert(who);
   } else {
@@ -80,68 +80,68 @@
   }
 }
 
-void StateService::respond(const Answer& answer, Response r) {
+void KvService::respond(const Responder& answer, Response r) {
   if (slow_.count() == 0) {
     answer(std::move(r));
   } else {
-    wires_.at(slow_, [answer, r = std::move(r)] { answer(r); });
+    transport_.at(slow_, [answer, r = std::move(r)] { answer(r); });
   }
 }
 
 /// Makes a change durable and then visible; false where it could not be kept, and then nothing has changed.
-bool StateService::apply(Batch& b) {
-  if (!keep_->save(b)) {
-    trouble_ = keep_->trouble();
+bool KvService::apply(WriteBatch& b) {
+  if (!storage_->save(b)) {
+    storage_error_ = storage_->error();
     return false;
   }
-  trouble_.clear();
+  storage_error_.clear();
   if (on_saved) on_saved(b);
   revision_ = b.revision;
   for (const std::string& key : b.deletes) {
     if (keys_.erase(key) > 0) past_.push_back({b.revision, key, std::nullopt});
   }
-  for (Batch::Put& p : b.puts) {
+  for (WriteBatch::Put& p : b.puts) {
     past_.push_back({b.revision, p.key, p.entry.value});
     keys_[p.key] = std::move(p.entry);
   }
-  while (past_.size() > kMostPast) {
+  while (past_.size() > kMaxPastChanges) {
     past_before_ = past_.front().revision;
     past_.pop_front();
   }
-  if (b.new_hold) holds_made_ = b.new_hold->first;
+  if (b.new_lease) leases_made_ = b.new_lease->first;
   return true;
 }
 
 /// The hold and the keys attached to it are gone.
-bool StateService::end_hold(std::uint64_t id) {
-  Batch b;
-  b.ended_hold = id;
+bool KvService::end_lease(std::uint64_t id) {
+  WriteBatch b;
+  b.ended_lease = id;
   b.revision = revision_;
   for (const auto& [k, e] : keys_) {
-    if (e.tenancy == id) b.deletes.push_back(k);
+    if (e.lease_id == id) b.deletes.push_back(k);
   }
   if (!b.deletes.empty()) ++b.revision;
   if (!apply(b)) return false;
-  holds_.erase(id);
+  leases_.erase(id);
   return true;
 }
 
-void StateService::expire() {
+void KvService::expire() {
   if (down_) return;
   std::vector<std::uint64_t> over;
-  for (const auto& [id, h] : holds_) {
-    if (wires_.now() >= h.ends) over.push_back(id);
+  for (const auto& [id, h] : leases_) {
+    if (transport_.now() >= h.ends) over.push_back(id);
   }
-  for (const std::uint64_t id : over) end_hold(id);
+  for (const std::uint64_t id : over) end_lease(id);
 }
 
-void StateService::wake() {
+void KvService::wake() {
   if (down_) return;
-  auto waiting = std::move(follows_);
-  follows_.clear();
-  for (Follow& f : waiting) {
+  auto waiting = std::move(watches_);
+  watches_.clear();
+  for (Watch& f : waiting) {
     if (!answers(f.who)) {
-      follows_.push_back(std::move(f));
+      watches_.push_back(std::move(f));
       continue;
     }
     if (f.from < past_before_) {
@@ -149,30 +149,31 @@
       continue;
     }
     Value::List events;
-    const auto first = std::upper_bound(past_.begin(), past_.end(), f.from,
-                                        [](std::uint64_t from, const Past& p) { return from < p.revision; });
+    const auto first =
+        std::upper_bound(past_.begin(), past_.end(), f.from,
+                         [](std::uint64_t from, const PastChange& p) { return from < p.revision; });
     for (auto p = first; p != past_.end(); ++p) {
       if (!p->key.starts_with(f.prefix)) continue;
       Value::Map e{{p->value ? "put" : "delete", p->key}, {"stamp", p->revision}};
       if (p->value) e.emplace_back("value", *p->value);
       events.emplace_back(std::move(e));
     }
-    if (events.empty() && wires_.now() < f.ends) {
-      follows_.push_back(std::move(f));
+    if (events.empty() && transport_.now() < f.ends) {
+      watches_.push_back(std::move(f));
     } else {
       respond(f.answer, reply(200, Value::Map{{"ledger_rev", revision_}, {"events", std::move(events)}}));
     }
   }
 }
 
-void StateService::serve(const std::string& from, const Request& r, const Answer& answer) {
+void KvService::serve(const std::string& from, const Request& r, const Responder& answer) {
   ++requests_[from];
   expire();
   if (!answers(from)) {
     respond(answer, {503, {}, 0});
     return;
   }
-  if (!pace_.take(1, wires_.now())) {
+  if (!pace_.take(1, transport_.now())) {
     ++refusals_;
     respond(answer, {429, {}, 0});
     return;
@@ -183,44 +184,44 @@
   } else if (r.method == "GET" && r.target.starts_with("/store?")) {
     list(r.target, answer);
   } else if (r.method == "GET" && r.target.starts_with("/follow?")) {
-    follow(from, r.target, answer);
-  } else if (r.method == "POST" && r.target == "/multi" && body && r.body.size() <= kMostTransaction) {
-    multi(*body, answer);
+    watch(from, r.target, answer);
+  } else if (r.method == "POST" && r.target == "/multi" && body && r.body.size() <= kMaxTransaction) {
+    transact(*body, answer);
   } else if (r.method == "POST" && r.target == "/holds" && body) {
-    make_hold(*body, answer);
+    grant_lease(*body, answer);
   } else if (r.target.starts_with("/holds/")) {
-    serve_hold(r, answer);
+    serve_lease(r, answer);
   } else {
     respond(answer, malformed("no such request, or a body that is not CBOR or too large"));
   }
 }
 
-void StateService::get(const std::string& key, const Answer& answer) {
+void KvService::get(const std::string& key, const Responder& answer) {
   if (!valid_key(&key)) {
     respond(answer, malformed("key: must have 1 to 200 bytes and no space"));
-  } else if (const Entry* e = find(key)) {
-    Value::Map row{{"k", key}, {"value", e->value}, {"stamp", e->stamp}};
-    if (e->tenancy != 0) row.emplace_back("tenancy", e->tenancy);
+  } else if (const KvEntry* e = find(key)) {
+    Value::Map row{{"k", key}, {"value", e->value}, {"stamp", e->mod_revision}};
+    if (e->lease_id != 0) row.emplace_back("tenancy", e->lease_id);
     respond(answer, reply(200, std::move(row)));
   } else {
     respond(answer, reply(404, Value::Map{{"ledger_rev", revision_}}));
   }
 }
 
-void StateService::list(const std::string& target, const Answer& answer) {
+void KvService::list(const std::string& target, const Responder& answer) {
   const std::string prefix = query(target, "starts");
   const std::string after = query(target, "from");
   const std::size_t asked = std::strtoull(query(target, "limit").c_str(), nullptr, 10);
-  const std::size_t limit = asked == 0 ? kMostRows : std::min(asked, kMostRows);
+  const std::size_t limit = asked == 0 ? kMaxRows : std::min(asked, kMaxRows);
   Value::List rows;
   std::size_t bytes = 0;
   bool more = false;
   const std::string begin = std::max(prefix, after);
   for (auto it = keys_.lower_bound(begin); it != keys_.end() && it->first.starts_with(prefix); ++it) {
     if (it->first == after && !after.empty()) continue;
-    Value row = Value::Map{{"k", it->first}, {"value", it->second.value}, {"stamp", it->second.stamp}};
+    Value row = Value::Map{{"k", it->first}, {"value", it->second.value}, {"stamp", it->second.mod_revision}};
     bytes += row.json_size() + 1;
-    if (rows.size() == limit || (!rows.empty() && bytes > kMostListed)) {
+    if (rows.size() == limit || (!rows.empty() && bytes > kMaxListed)) {
       more = true;
       break;
     }
@@ -230,18 +231,18 @@
           reply(200, Value::Map{{"rows", std::move(rows)}, {"truncated", more}, {"ledger_rev", revision_}}));
 }
 
-void StateService::follow(const std::string& from, const std::string& target, const Answer& answer) {
+void KvService::watch(const std::string& from, const std::string& target, const Responder& answer) {
   const std::uint64_t hold = std::strtoull(query(target, "hold_ms").c_str(), nullptr, 10);
-  follows_.push_back({from, query(target, "starts"),
-                      std::strtoull(query(target, "from").c_str(), nullptr, 10),
-                      wires_.now() + millis(static_cast<std::int64_t>(std::min(hold, kMostFollow))), answer});
+  watches_.push_back(
+      {from, query(target, "starts"), std::strtoull(query(target, "from").c_str(), nullptr, 10),
+       transport_.now() + from_millis(static_cast<std::int64_t>(std::min(hold, kMaxWatch))), answer});
   wake();
 }
 
 /// The changes of a transaction; of two to one key the later counts. Nothing, and the reason, when they
 /// cannot be taken.
-std::optional<Batch> StateService::read_changes(const Value::List& apply, std::string& error) const {
-  std::map<std::string, std::optional<Entry>> last;
+std::optional<WriteBatch> KvService::read_changes(const Value::List& apply, std::string& error) const {
+  std::map<std::string, std::optional<KvEntry>> last;
   for (const Value& c : apply) {
     const std::string* put = c["put"].text();
     const std::string* key = put != nullptr ? put : c["delete"].text();
@@ -253,8 +254,8 @@
       last[*key] = std::nullopt;
       continue;
     }
-    const std::uint64_t tenancy = c["tenancy"].count().value_or(0);
-    if (tenancy != 0 && !holds_.contains(tenancy)) {
+    const std::uint64_t lease_id = c["tenancy"].count().value_or(0);
+    if (lease_id != 0 && !leases_.contains(lease_id)) {
       error = "no such lease";
       return std::nullopt;
     }
@@ -262,9 +263,9 @@
       error = "value of " + *key + ": is larger than " + std::to_string(limits_.value_kb) + " KiB";
       return std::nullopt;
     }
-    last[*key] = Entry{c["value"], revision_ + 1, tenancy};
+    last[*key] = KvEntry{c["value"], revision_ + 1, lease_id};
   }
-  Batch b;
+  WriteBatch b;
   b.revision = revision_ + 1;
   for (auto& [key, entry] : last) {
     if (entry) {
@@ -276,7 +277,7 @@
   return b;
 }
 
-void StateService::multi(const Value& body, const Answer& answer) {
+void KvService::transact(const Value& body, const Responder& answer) {
   static const Value::List kNone;
   const Value::List& when = body["when"].list() != nullptr ? *body["when"].list() : kNone;
   const Value::List& changes = body["apply"].list() != nullptr ? *body["apply"].list() : kNone;
@@ -288,13 +289,13 @@
   Value::List failed;
   for (const Value& c : when) {
     const std::string* key = c["k"].text();
-    const auto stamp = c["stamp"].count();
-    if (!valid_key(key) || !stamp) {
+    const auto mod_revision = c["stamp"].count();
+    if (!valid_key(key) || !mod_revision) {
       respond(answer, malformed("when: each must have a key and a stamp"));
       return;
     }
-    const Entry* e = find(*key);
-    if ((e == nullptr ? 0 : e->stamp) != *stamp) failed.emplace_back(*key);
+    const KvEntry* e = find(*key);
+    if ((e == nullptr ? 0 : e->mod_revision) != *mod_revision) failed.emplace_back(*key);
   }
   std::string error;
   auto batch = read_changes(changes, error);
@@ -303,7 +304,7 @@
     return;
   }
   writes_ += changes.size();
-  if (!changes.empty() && !write_pace_.take(static_cast<double>(changes.size()), wires_.now())) {
+  if (!changes.empty() && !write_pace_.take(static_cast<double>(changes.size()), transport_.now())) {
     ++refusals_;
     respond(answer, {429, {}, 0});
     return;
@@ -313,46 +314,46 @@
     return;
   }
   if (!changes.empty() && !apply(*batch)) {
-    respond(answer, reply(503, Value::Map{{"error", trouble_}}));
+    respond(answer, reply(503, Value::Map{{"error", storage_error_}}));
     return;
   }
   respond(answer, reply(200, Value::Map{{"ledger_rev", revision_}}));
   if (!changes.empty()) wake();
 }
 
-void StateService::make_hold(const Value& body, const Answer& answer) {
+void KvService::grant_lease(const Value& body, const Responder& answer) {
   const auto life = body["life_ms"].count();
-  if (!life || *life < kLeastLife || *life > kMostLife) {
+  if (!life || *life < kMinLife || *life > kMaxLife) {
     respond(answer, malformed("life_ms: must be between 100 and 600000"));
     return;
   }
-  Batch b;
+  WriteBatch b;
   b.revision = revision_;
-  b.new_hold = {holds_made_ + 1, millis(static_cast<std::int64_t>(*life))};
+  b.new_lease = {leases_made_ + 1, from_millis(static_cast<std::int64_t>(*life))};
   if (!apply(b)) {
-    respond(answer, reply(503, Value::Map{{"error", trouble_}}));
+    respond(answer, reply(503, Value::Map{{"error", storage_error_}}));
     return;
   }
-  holds_[holds_made_] = {b.new_hold->second, wires_.now() + b.new_hold->second};
-  respond(answer, reply(200, Value::Map{{"tenancy", holds_made_}}));
+  leases_[leases_made_] = {b.new_lease->second, transport_.now() + b.new_lease->second};
+  respond(answer, reply(200, Value::Map{{"tenancy", leases_made_}}));
 }
 
-void StateService::serve_hold(const Request& r, const Answer& answer) {
+void KvService::serve_lease(const Request& r, const Responder& answer) {
   char* end = nullptr;
   const std::uint64_t id = std::strtoull(r.target.c_str() + 7, &end, 10);
   const std::string rest = end;
-  const auto it = holds_.find(id);
-  if (it == holds_.end()) {
+  const auto it = leases_.find(id);
+  if (it == leases_.end()) {
     respond(answer, {404, {}, 0});
   } else if (r.method == "DELETE" && rest.empty()) {
-    if (!end_hold(id)) {
-      respond(answer, reply(503, Value::Map{{"error", trouble_}}));
+    if (!end_lease(id)) {
+      respond(answer, reply(503, Value::Map{{"error", storage_error_}}));
       return;
     }
     respond(answer, {200, {}, 0});
     wake();
   } else if (r.method == "POST" && rest == "/extend") {
-    it->second.ends = wires_.now() + it->second.life;
+    it->second.ends = transport_.now() + it->second.ttl;
     respond(answer, reply(200, Value::Map{{"tenancy", id}}));
   } else {
     respond(answer, malformed("no such request"));
--- a/lab/models/users.cpp
+++ b/lab/models/users.cpp
@@ -7,14 +7,14 @@
 
 namespace {
 
-constexpr int kMostTries = 3;
+constexpr int kMaxTries = 3;
 constexpr Micros kProbeEvery = from_seconds(1);
 constexpr Micros kPollEvery = from_seconds(3);
 constexpr Micros kPollWait = from_seconds(2);
 constexpr Micros kSubmitWait = from_seconds(5);
 constexpr Micros kRetry = from_seconds(1);
 
-std::string state_of(const base::Outcome& o) {
+std::string state_of(const base::CallResult& o) {
   const auto v = o.answered ? decode(o.response.body) : std::nullopt;
   return v && (*v)["status"].text() != nullptr ? *(*v)["status"].text() : "";
 }
@@ -23,10 +23,10 @@
 
 // ---------------------------------------------------------------- balancer
 
-Balancer::Balancer(Wires& wires, std::vector<Endpoint> nodes) : wires_(wires) {
+Balancer::Balancer(Transport& transport, std::vector<Endpoint> nodes) : transport_(transport) {
   for (Endpoint& at : nodes) {
     nodes_.emplace_back();
-    nodes_.back().at = std::move(at);
+    nodes_.back().address = std::move(at);
   }
 }
 
@@ -35,21 +35,21 @@
 }
 
 void Balancer::probe(std::size_t i) {
-  wires_.send("user", nodes_[i].at, {"GET", "/ready", {}}, from_seconds(1),
-              [this, i](const base::Outcome& o) {
-                judge(nodes_[i], o.answered && o.response.status == 200);
-                wires_.at(kProbeEvery, [this, i] { probe(i); });
-              });
+  transport_.send("user", nodes_[i].address, {"GET", "/ready", {}}, from_seconds(1),
+                  [this, i](const base::CallResult& o) {
+                    judge(nodes_[i], o.answered && o.response.status == 200);
+                    transport_.at(kProbeEvery, [this, i] { probe(i); });
+                  });
 }
 
-void Balancer::judge(Node& n, bool good) {
+void Balancer::judge(ConfigNode& n, bool good) {
   n.probes.push_back(good);
   if (n.probes.size() > 6) n.probes.erase(n.probes.begin());
   const auto last = [&](std::size_t k, bool what) {
     return n.probes.size() >= k && std::all_of(n.probes.end() - static_cast<std::ptrdiff_t>(k),
                                                n.probes.end(), [&](bool p) { return p == what; });
   };
-  const Instant now = wires_.now();
+  const Instant now = transport_.now();
   if (n.healthy) {
     if (!last(2, false) && std::count(n.probes.begin(), n.probes.end(), false) < 3) return;
     n.healthy = false;
@@ -57,8 +57,8 @@
     n.removed = now;
     n.out_until = now + n.pause;
     n.probes.clear();
-  } else if (good && (!n.ever || (last(2, true) && now >= n.out_until))) {
-    n.healthy = n.ever = true;
+  } else if (good && (!n.ever_healthy || (last(2, true) && now >= n.out_until))) {
+    n.healthy = n.ever_healthy = true;
     n.probes.clear();
   }
 }
@@ -66,62 +66,63 @@
 std::size_t Balancer::choose(const std::set<std::size_t>& tried) {
   std::vector<std::size_t> best;
   for (std::size_t i = 0; i < nodes_.size(); ++i) {
-    const Node& n = nodes_[i];
-    if (!n.healthy || tried.contains(i) || wires_.now() < n.skip_until) continue;
+    const ConfigNode& n = nodes_[i];
+    if (!n.healthy || tried.contains(i) || transport_.now() < n.skip_until) continue;
     if (!best.empty() && n.open < nodes_[best.front()].open) best.clear();
     if (best.empty() || n.open == nodes_[best.front()].open) best.push_back(i);
   }
   return best.empty() ? nodes_.size()
-                      : best[static_cast<std::size_t>(wires_.pick(static_cast<int>(best.size())))];
+                      : best[static_cast<std::size_t>(transport_.pick(static_cast<int>(best.size())))];
 }
 
-void Balancer::send(const Request& r, Micros timeout, Done done) {
+void Balancer::send(const Request& r, Micros timeout, CallHandler done) {
   if (!on_outcome) {
-    attempt(r, timeout, kMostTries, {}, std::move(done));
+    attempt(r, timeout, kMaxTries, {}, std::move(done));
     return;
   }
-  attempt(r, timeout, kMostTries, {},
-          [this, r, asked = wires_.now(), done = std::move(done)](const base::Outcome& o) {
-            on_outcome(r, o, wires_.now() - asked);
+  attempt(r, timeout, kMaxTries, {},
+          [this, r, asked = transport_.now(), done = std::move(done)](const base::CallResult& o) {
+            on_outcome(r, o, transport_.now() - asked);
             done(o);
           });
 }
 
-void Balancer::attempt(const Request& r, Micros timeout, int left, std::set<std::size_t> tried, Done done) {
+void Balancer::attempt(const Request& r, Micros timeout, int left, std::set<std::size_t> tried,
+                       CallHandler done) {
   const std::size_t i = left > 0 ? choose(tried) : nodes_.size();
   if (i == nodes_.size()) {
-    wires_.at(millis(1), [done = std::move(done)] { done({false, false, {}}); });
+    transport_.at(from_millis(1), [done = std::move(done)] { done({false, false, {}}); });
     return;
   }
   ++nodes_[i].open;
   tried.insert(i);
-  wires_.send(
-      "user", nodes_[i].at, r, timeout,
-      [this, i, r, timeout, left, tried = std::move(tried), done = std::move(done)](const base::Outcome& o) {
-        Node& n = nodes_[i];
-        --n.open;
-        const bool refused = !o.answered && !o.sent;
-        n.refused = refused ? n.refused + 1 : 0;
-        if (n.refused >= 3) {
-          n.refused = 0;
-          n.skip_until = wires_.now() + from_seconds(3);
-        }
-        if (refused) {
-          attempt(r, timeout, left - 1, tried, done);
-        } else {
-          done(o);
-        }
-      });
+  transport_.send("user", nodes_[i].address, r, timeout,
+                  [this, i, r, timeout, left, tried = std::move(tried),
+                   done = std::move(done)](const base::CallResult& o) {
+                    ConfigNode& n = nodes_[i];
+                    --n.open;
+                    const bool refused = !o.answered && !o.may_have_arrived;
+                    n.refused = refused ? n.refused + 1 : 0;
+                    if (n.refused >= 3) {
+                      n.refused = 0;
+                      n.skip_until = transport_.now() + from_seconds(3);
+                    }
+                    if (refused) {
+                      attempt(r, timeout, left - 1, tried, done);
+                    } else {
+                      done(o);
+                    }
+                  });
 }
 
-void Balancer::send_to(std::size_t node, const Request& r, Micros timeout, Done done) {
-  wires_.send("user", nodes_[node].at, r, timeout, std::move(done));
+void Balancer::send_to(std::size_t node, const Request& r, Micros timeout, CallHandler done) {
+  transport_.send("user", nodes_[node].address, r, timeout, std::move(done));
 }
 
 // ---------------------------------------------------------------- users
 
-std::string Users::told(const std::string& ref) const {
-  const auto it = jobs_.find(ref);
+std::string Users::is_told(const std::string& job_id) const {
+  const auto it = jobs_.find(job_id);
   return it == jobs_.end() ? "" : it->second.state;
 }
 
@@ -131,173 +132,178 @@
   }));
 }
 
-void Users::submit(const JobTruth& job) {
+void Users::submit(const SimulatedJob& job) {
   machines_.describe(job);
   checker_.submitted(job.spec);
-  if (job.mistaken) checker_.hopeless(job.spec.ref);
-  jobs_.try_emplace(job.spec.ref).first->second.submitted = wires_.now();
+  if (job.faulty_description) checker_.hopeless(job.spec.job_id);
+  jobs_.try_emplace(job.spec.job_id).first->second.submitted = transport_.now();
   ask_again(job.spec);
 }
 
 void Users::ask_again(const JobSpec& spec) {
   balancer_.send({"POST", "/submissions", encode(write_spec(spec))}, kSubmitWait,
-                 [this, spec](const base::Outcome& o) {
+                 [this, spec](const base::CallResult& o) {
                    const int status = o.answered ? o.response.status : 0;
-                   checker_.answered_submit(wires_.now(), spec.ref, status);
-                   Outcome& job = jobs_[spec.ref];
+                   checker_.answered_submit(transport_.now(), spec.job_id, status);
+                   Outcome& job = jobs_[spec.job_id];
                    if (status == 200 || status == 201) {
-                     job.accepted = wires_.now();
-                     look(spec.ref);
-                     wires_.at(kPollEvery, [this, ref = spec.ref] { poll(ref, 3); });
+                     job.accepted = transport_.now();
+                     look(spec.job_id);
+                     transport_.at(kPollEvery, [this, job_id = spec.job_id] { poll(job_id, 3); });
                    } else if (status == 400 || status == 422) {
                      job.refused = status;
-                     job.over = wires_.now();
+                     job.finished = transport_.now();
                    } else {
-                     wires_.at(std::max(kRetry, from_seconds(o.response.retry_after_s)),
-                               [this, spec] { ask_again(spec); });
+                     transport_.at(std::max(kRetry, from_seconds(o.response.retry_after_s)),
+                                   [this, spec] { ask_again(spec); });
                    }
                  });
 }
 
-void Users::poll(const std::string& ref, int left_after_end) {
-  balancer_.send({"GET", "/submissions/" + ref, {}}, kPollWait,
-                 [this, ref, left_after_end, asked = wires_.now()](const base::Outcome& o) {
+void Users::poll(const std::string& job_id, int left_after_end) {
+  balancer_.send({"GET", "/submissions/" + job_id, {}}, kPollWait,
+                 [this, job_id, left_after_end, asked = transport_.now()](const base::CallResult& o) {
                    int left = left_after_end;
                    if (o.answered) {
                      const std::string state = state_of(o);
-                     checker_.answered_poll(wires_.now(), ref, o.response.status, state, asked);
-                     Outcome& job = jobs_[ref];
+                     checker_.answered_poll(transport_.now(), job_id, o.response.status, state, asked);
+                     Outcome& job = jobs_[job_id];
                      if (!state.empty()) job.state = state;
                      if (state == "done" || state == "withdrawn") {
-                       if (job.over == Instant{}) {
-                         job.over = wires_.now();
-                         look(ref);
+                       if (job.finished == Instant{}) {
+                         job.finished = transport_.now();
+                         look(job_id);
                        }
                        --left;
                      }
                    }
                    if (left > 0) {
-                     wires_.at(from_seconds(to_seconds(kPollEvery) / ask_often_),
-                               [this, ref, left] { poll(ref, left); });
+                     transport_.at(from_seconds(to_seconds(kPollEvery) / ask_often_),
+                                   [this, job_id, left] { poll(job_id, left); });
                    } else {
-                     checker_.stopped_asking(ref);
+                     checker_.stopped_asking(job_id);
                    }
                  });
 }
 
-void Users::withdraw(const std::string& ref) {
-  checker_.asked_withdraw(ref);
-  balancer_.send({"POST", "/submissions/" + ref + "/withdraw", {}}, kPollWait,
-                 [this, ref, asked = wires_.now()](const base::Outcome& o) {
+void Users::cancel(const std::string& job_id) {
+  checker_.asked_cancel(job_id);
+  balancer_.send({"POST", "/submissions/" + job_id + "/withdraw", {}}, kPollWait,
+                 [this, job_id, asked = transport_.now()](const base::CallResult& o) {
                    const int status = o.answered ? o.response.status : 0;
-                   checker_.answered_withdraw(wires_.now(), ref, status, state_of(o), asked);
-                   if (status == 200) look(ref);
-                   if (status != 200 && status != 404) wires_.at(kRetry, [this, ref] { withdraw(ref); });
+                   checker_.answered_cancel(transport_.now(), job_id, status, state_of(o), asked);
+                   if (status == 200) look(job_id);
+                   if (status != 200 && status != 404)
+                     transport_.at(kRetry, [this, job_id] { cancel(job_id); });
                  });
 }
 
 /// Asks at all nodes within milliseconds, three times over, repeats the submission, and may cancel the job.
-void Users::look(const std::string& ref) {
+void Users::look(const std::string& job_id) {
   if (!close_looks_) return;
-  const JobSpec spec = machines_.job(ref)->spec;
-  const auto soon = [this] { return Micros{static_cast<std::int64_t>(wires_.uniform(0, 15000))}; };
+  const JobSpec spec = machines_.job(job_id)->spec;
+  const auto soon = [this] { return Micros{static_cast<std::int64_t>(transport_.uniform(0, 15000))}; };
   for (std::size_t n = 0; n < balancer_.nodes(); ++n) {
     for (int i = 0; i < 3; ++i) {
-      wires_.at(soon(), [this, n, ref] {
-        balancer_.send_to(n, {"GET", "/submissions/" + ref, {}}, kPollWait,
-                          [this, ref, asked = wires_.now()](const base::Outcome& o) {
+      transport_.at(soon(), [this, n, job_id] {
+        balancer_.send_to(n, {"GET", "/submissions/" + job_id, {}}, kPollWait,
+                          [this, job_id, asked = transport_.now()](const base::CallResult& o) {
                             if (o.answered)
-                              checker_.answered_poll(wires_.now(), ref, o.response.status, state_of(o),
+                              checker_.answered_poll(transport_.now(), job_id, o.response.status, state_of(o),
                                                      asked);
                           });
       });
     }
-    wires_.at(soon(), [this, n, spec] {
+    transport_.at(soon(), [this, n, spec] {
       balancer_.send_to(n, {"POST", "/submissions", encode(write_spec(spec))}, kSubmitWait,
-                        [this, ref = spec.ref](const base::Outcome& o) {
-                          checker_.answered_submit(wires_.now(), ref, o.answered ? o.response.status : 0);
+                        [this, job_id = spec.job_id](const base::CallResult& o) {
+                          checker_.answered_submit(transport_.now(), job_id,
+                                                   o.answered ? o.response.status : 0);
                         });
     });
   }
-  if (wires_.pick(6) == 0) wires_.at(soon(), [this, ref] { withdraw(ref); });
+  if (transport_.pick(6) == 0) transport_.at(soon(), [this, job_id] { cancel(job_id); });
 }
 
-void Users::ended(const std::string& ref) {
-  if (cancel_at_end_ <= 0 || wires_.uniform(0, 1) >= cancel_at_end_ || !jobs_.contains(ref)) return;
+void Users::ended(const std::string& job_id) {
+  if (cancel_at_end_ <= 0 || transport_.uniform(0, 1) >= cancel_at_end_ || !jobs_.contains(job_id)) return;
   // Before the report of the end is on its way, while it is, and while it is being written.
-  wires_.at(Micros{static_cast<std::int64_t>(wires_.uniform(0, 150000))}, [this, ref] { withdraw(ref); });
+  transport_.at(Micros{static_cast<std::int64_t>(transport_.uniform(0, 150000))},
+                [this, job_id] { cancel(job_id); });
 }
 
 void Users::submit_badly(bool fits_nothing) {
   JobSpec spec;
-  spec.ref = "req-9" + std::to_string(100000 + ++odd_);
-  spec.queue = "odd";
-  spec.owner = machines_.job(jobs_.begin()->first)->spec.owner;
-  spec.units = 1;
-  spec.needs = {to_amount(fits_nothing ? 100000 : 1), 0, to_amount(1)};
-  spec.bundle = "odd";
+  spec.job_id = "req-9" + std::to_string(100000 + ++odd_requests_);
+  spec.job_class = "odd";
+  spec.team = machines_.job(jobs_.begin()->first)->spec.team;
+  spec.task_count = 1;
+  spec.resources = {to_amount(fits_nothing ? 100000 : 1), 0, to_amount(1)};
+  spec.image = "odd";
   spec.image_gb = 1;
-  spec.expected = from_seconds(1);
-  checker_.never(spec.ref);
+  spec.expected_runtime = from_seconds(1);
+  checker_.never_submitted(spec.job_id);
   Value::Map body = *write_spec(spec).map();
   if (!fits_nothing) std::erase_if(body, [](const auto& field) { return field.first == "owner"; });
   balancer_.send({"POST", "/submissions", encode(Value(std::move(body)))}, kSubmitWait,
-                 [this, ref = spec.ref](const base::Outcome& o) {
-                   checker_.answered_submit(wires_.now(), ref, o.answered ? o.response.status : 0);
+                 [this, job_id = spec.job_id](const base::CallResult& o) {
+                   checker_.answered_submit(transport_.now(), job_id, o.answered ? o.response.status : 0);
                  });
 }
 
 void Users::ask_oddly(Micros lasts) {
-  for (Micros at{}; at < lasts; at += millis(300)) {
-    wires_.at(at, [this] {
+  for (Micros at{}; at < lasts; at += from_millis(300)) {
+    transport_.at(at, [this] {
       if (jobs_.empty()) return;
-      submit_badly(wires_.pick(2) == 0);
+      submit_badly(transport_.pick(2) == 0);
       auto it = jobs_.begin();
-      std::advance(it, wires_.pick(static_cast<int>(jobs_.size())));
+      std::advance(it, transport_.pick(static_cast<int>(jobs_.size())));
       const auto& [ref, job] = *it;
       const bool over = job.state == "done" || job.state == "withdrawn";
       if (over) {
-        withdraw(ref);
+        cancel(ref);
       } else if (job.accepted != Instant{}) {
         balancer_.send({"POST", "/submissions", encode(write_spec(machines_.job(ref)->spec))}, kSubmitWait,
-                       [this, ref = ref](const base::Outcome& o) {
-                         checker_.answered_submit(wires_.now(), ref, o.answered ? o.response.status : 0);
+                       [this, job_id = ref](const base::CallResult& o) {
+                         checker_.answered_submit(transport_.now(), job_id,
+                                                  o.answered ? o.response.status : 0);
                        });
       }
     });
   }
 }
 
-JobTruth draw_job(const Site& site, const JobClass& c, int number, std::mt19937_64& random) {
+SimulatedJob draw_job(const Site& site, const JobClass& c, int number, std::mt19937_64& random) {
   const auto pick = [&](int n) { return std::uniform_int_distribution<int>(0, n - 1)(random); };
-  JobTruth j;
+  SimulatedJob j;
   JobSpec& s = j.spec;
-  s.ref = "req-" + std::to_string(100000 + number);
-  s.queue = c.name;
-  s.owner = c.team;
-  if (s.owner.empty())
-    s.owner =
-        site.settings.teams[static_cast<std::size_t>(pick(static_cast<int>(site.settings.teams.size())))]
-            .name;
-  s.shape = c.shape;
-  s.urgency = c.urgency;
-  s.units = static_cast<std::uint32_t>(std::clamp(std::round(c.tasks.draw(random)), 1.0, double{kMaxUnits}));
-  s.needs = c.needs;
+  s.job_id = "req-" + std::to_string(100000 + number);
+  s.job_class = c.name;
+  s.team = c.team;
+  if (s.team.empty())
+    s.team = site.settings.teams[static_cast<std::size_t>(pick(static_cast<int>(site.settings.teams.size())))]
+                 .name;
+  s.type = c.type;
+  s.priority = c.priority;
+  s.task_count =
+      static_cast<std::uint32_t>(std::clamp(std::round(c.tasks.draw(random)), 1.0, double{kMaxTasksPerJob}));
+  s.resources = c.resources;
   const int image = pick(c.images);
-  s.bundle = c.name + "-" + std::to_string(image);
+  s.image = c.name + "-" + std::to_string(image);
   // An image has one size, whoever needs it.
-  std::mt19937_64 of_image(std::hash<std::string>{}(s.bundle));
+  std::mt19937_64 of_image(std::hash<std::string>{}(s.image));
   s.image_gb = c.image_gb.draw(of_image);
-  s.standby = c.standby;
-  s.same_place = c.same_place;
-  s.scatter = c.scatter;
+  s.spot_allowed = c.spot_allowed;
+  s.single_zone = c.single_zone;
+  s.spread_zones = c.spread_zones;
   s.layout = c.layout;
-  s.snapshot_every = c.snapshot_every;
-  s.snapshot = c.snapshot;
-  if (c.shape != Shape::daemon) {
-    j.run = from_seconds(c.run_s.draw(random));
-    s.expected = from_seconds(to_seconds(j.run) * c.estimate.draw(random));
-    if (c.due_times > 0) s.due = from_seconds(to_seconds(s.expected) * c.due_times) + c.due_plus;
+  s.checkpoint_interval = c.checkpoint_interval;
+  s.checkpoint_time = c.checkpoint_time;
+  if (c.type != JobType::service) {
+    j.run_time = from_seconds(c.run_s.draw(random));
+    s.expected_runtime = from_seconds(to_seconds(j.run_time) * c.estimate.draw(random));
+    if (c.deadline_factor > 0)
+      s.deadline = from_seconds(to_seconds(s.expected_runtime) * c.deadline_factor) + c.deadline_extra;
   }
   return j;
 }
--- a/lab/scale/cell_processes.cpp
+++ b/lab/scale/cell_processes.cpp
@@ -78,7 +78,7 @@
     child->number = i;
     child->process.data = child.get();
     const int rc = uv_spawn(&loop_, &child->process, &how);
-    if (rc != 0) throw LabError(std::string("a cell cannot be started: ") + uv_strerror(rc));
+    if (rc != 0) throw TestbedError(std::string("a cell cannot be started: ") + uv_strerror(rc));
     child.release();  // until its handle is closed
   }
 
@@ -110,14 +110,14 @@
   try {
     const auto load = read_json(load_file).get<CellLoad>();
     result.load = load;
-    net::raise_open_file_limit(kLabSockets);
-    net::UvRuntime rt(kLabSockets, kLabPool);
-    CellRun run(rt, load);
+    net::raise_open_file_limit(kTestbedSockets);
+    net::UvRuntime runtime(kTestbedSockets, kTestbedPool);
+    CellRun run(runtime, load);
     run.start([&](const CellResult& r) {
       result = r;
-      rt.stop();
+      runtime.stop();
     });
-    rt.run();
+    runtime.run();
   } catch (const std::exception& e) {
     result.error = e.what();
   }
--- a/lab/scale/cell_result.cpp
+++ b/lab/scale/cell_result.cpp
@@ -4,8 +4,8 @@
 
 namespace wrenusher::lab {
 
-Waits waits_of(std::vector<double> seconds) {
-  Waits w;
+LatencySummary waits_of(std::vector<double> seconds) {
+  LatencySummary w;
   if (seconds.empty()) return w;
   std::sort(seconds.begin(), seconds.end());
   const auto at = [&](double share) {
--- a/lab/scale/include/wrenusher/lab/cell_result.hpp
+++ b/lab/scale/include/wrenusher/lab/cell_result.hpp
@@ -12,15 +12,15 @@
 namespace wrenusher::lab {
 
 /// Waits in seconds; all 0 where `count` is.
-struct Waits {
+struct LatencySummary {
   std::uint64_t count = 0;
   double p50 = 0;
   double p95 = 0;
   double p99 = 0;
   double most = 0;
 };
-NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(Waits, count, p50, p95, p99, most)
-Waits waits_of(std::vector<double> seconds);
+NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(LatencySummary, count, p50, p95, p99, most)
+LatencySummary waits_of(std::vector<double> seconds);
 
 /// A controller while the measurement lasted.
 struct ControllerUsage {
@@ -59,11 +59,11 @@
   double live_jobs = 0;  ///< at the end
   double tasks_on_machines = 0;
   double machines = 0;
-  Waits start_wait;         ///< from submission, of ordinary tasks
-  Waits urgent_start_wait;  ///< of urgent ones
-  Waits submission_wait;
-  Waits change_wait;     ///< until an edition is in force, by the leader's record
-  double lab_cores = 0;  ///< of the process that holds the models
+  LatencySummary start_wait;         ///< from submission, of ordinary tasks
+  LatencySummary urgent_start_wait;  ///< of urgent ones
+  LatencySummary submission_wait;
+  LatencySummary change_wait;  ///< until an edition is in force, by the leader's record
+  double lab_cores = 0;        ///< of the process that holds the models
   double lab_memory_mb = 0;
   double lab_lag_p99 = 0;           ///< seconds by which its timers fire late
   double machine_busy = 0;          ///< share of all processors, whatever uses them
--- a/lab/scale/include/wrenusher/lab/cell_run.hpp
+++ b/lab/scale/include/wrenusher/lab/cell_run.hpp
@@ -18,8 +18,8 @@
 
 class CellRun {
  public:
-  /// Throws LabError.
-  CellRun(net::UvRuntime& rt, CellLoad load);
+  /// Throws TestbedError.
+  CellRun(net::UvRuntime& runtime, CellLoad load);
 
   /// `done` once everything is measured and the children have ended.
   void start(std::function<void(const CellResult&)> done);
@@ -47,29 +47,29 @@
   void begin_load();
   void arrive(const std::string& queue, double jobs_per_second);
   void change_topology();
-  void wait_for_edition(int version, Instant written);
+  void wait_for_topology(int version, Instant written);
   void watch_lag();
-  void count_user(const Request& r, const base::Outcome& o, Micros took);
-  void count_start(const std::string& ref, std::uint32_t task);
+  void count_user(const Request& r, const base::CallResult& o, Micros took);
+  void count_start(const std::string& job_id, std::uint32_t task);
   Counts counts();
   void begin_measurement();
   void end_measurement();
   void begin_failures();
-  void strike_machines(int left, int dying, int restarting);
+  void inject_machine_faults(int left, int dying, int restarting);
   void heal();
   void finish();
   void say(const std::string& what) const;
   std::string any_machine();
 
-  net::UvRuntime& rt_;
+  net::UvRuntime& runtime_;
   CellLoad load_;
-  LiveLab lab_;
+  LiveTestbed testbed_;
   std::function<void(const CellResult&)> done_;
   CellResult result_;
   Counts before_;
   bool measuring_ = false;
   bool loading_ = false;
-  int edition_ = 1;
+  int topology_version_ = 1;
   std::uint64_t starts_ = 0;
   std::uint64_t accepted_ = 0;
   std::uint64_t questions_ = 0;
--- a/lab/scale/include/wrenusher/lab/linear_fit.hpp
+++ b/lab/scale/include/wrenusher/lab/linear_fit.hpp
@@ -24,7 +24,7 @@
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(LinearFit, slope, base, fit, residual, worse_than_linear, points)
 
 /// How much steeper the last stretch has to be than the first.
-inline constexpr double kBend = 1.5;
+inline constexpr double kBendThreshold = 1.5;
 
 /// Least squares; points in any order. Fewer than two different x give a slope of 0.
 LinearFit fit_line(std::vector<Point> points);
--- a/lab/scale/include/wrenusher/lab/scale_report.hpp
+++ b/lab/scale/include/wrenusher/lab/scale_report.hpp
@@ -11,7 +11,7 @@
 namespace wrenusher::lab {
 
 /// Something that the run was to show.
-struct ScaleAim {
+struct ScaleObjective {
   std::string what;
   double value = 0;
   double bound = 0;
@@ -22,7 +22,7 @@
   std::vector<CellResult> cells;
   std::optional<Slopes> slopes;
 
-  std::vector<ScaleAim> aims() const;
+  std::vector<ScaleObjective> aims() const;
   /// Whether a rule was broken, an aim missed or a cell not measured.
   bool failed() const;
   /// Empty: nothing says that this machine was short of processor.
--- a/lab/scale/linear_fit.cpp
+++ b/lab/scale/linear_fit.cpp
@@ -45,7 +45,7 @@
     };
     const double first = slope_between(points[0], points[1]);
     const double last = slope_between(points[points.size() - 2], points.back());
-    f.worse_than_linear = f.slope > 0 && last > kBend * std::max(first, 0.0) && last > 0;
+    f.worse_than_linear = f.slope > 0 && last > kBendThreshold * std::max(first, 0.0) && last > 0;
   }
   return f;
 }
--- a/lab/scale/scale_options.cpp
+++ b/lab/scale/scale_options.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr int kMostProcesses = 300;
+constexpr int kMaxProcesses = 300;
 /// Where the system takes the ports of outgoing connections from.
 constexpr int kFirstEphemeralPort = 32768;
 /// Ports of a cell beside those of its machines.
@@ -112,9 +112,9 @@
 
 void check_fits(const std::vector<CellLoad>& cells, const MachineSize& machine) {
   const ScaleNeeds needs = needs_of(cells);
-  if (needs.processes > kMostProcesses)
+  if (needs.processes > kMaxProcesses)
     throw ScaleError("--zones, --controllers: " + std::to_string(needs.processes) + " processes, at most " +
-                     std::to_string(kMostProcesses) + " are started; ask for fewer");
+                     std::to_string(kMaxProcesses) + " are started; ask for fewer");
   if (needs.memory_mb > machine.memory_mb / 2)
     throw ScaleError("--workers: would take about " + number(std::round(needs.memory_mb)) +
                      " MB, more than half of this machine's " + number(std::round(machine.memory_mb)) +
--- a/lab/scale/scale_report.cpp
+++ b/lab/scale/scale_report.cpp
@@ -7,11 +7,11 @@
 
 namespace {
 
-constexpr double kLeastOfStarts = 0.9;
-constexpr double kMostUrgentWait = 2.2;
-constexpr double kMostInVain = 0.01;
-constexpr double kMostSubmissionWait = 1.0;
-constexpr double kMostChangeWait = 17;
+constexpr double kMinOfStarts = 0.9;
+constexpr double kMaxUrgentWait = 2.2;
+constexpr double kMaxUnansweredShare = 0.01;
+constexpr double kMaxSubmissionWait = 1.0;
+constexpr double kMaxChangeWait = 17;
 /// Where this much of all processors is busy, the machine is what limits.
 constexpr double kBusyMachine = 0.9;
 constexpr double kLateTimers = 0.25;
@@ -24,7 +24,8 @@
   return sum;
 }
 
-double worst(const std::vector<CellResult>& cells, Waits CellResult::*which, double Waits::*what) {
+double worst(const std::vector<CellResult>& cells, LatencySummary CellResult::*which,
+             double LatencySummary::*what) {
   double most = 0;
   for (const CellResult& c : cells) most = std::max(most, (c.*which).*what);
   return most;
@@ -130,18 +131,19 @@
   return line;
 }
 
-std::string waits_line(const char* what, const std::vector<CellResult>& cells, Waits CellResult::*which) {
+std::string waits_line(const char* what, const std::vector<CellResult>& cells,
+                       LatencySummary CellResult::*which) {
   std::uint64_t count = 0;
   for (const CellResult& c : cells) count += (c.*which).count;
   return text("%-34s p50 %.2f  p95 %.2f  p99 %.2f s (each the worst cell's), %llu counted\n", what,
-              worst(cells, which, &Waits::p50), worst(cells, which, &Waits::p95),
-              worst(cells, which, &Waits::p99), static_cast<unsigned long long>(count));
+              worst(cells, which, &LatencySummary::p50), worst(cells, which, &LatencySummary::p95),
+              worst(cells, which, &LatencySummary::p99), static_cast<unsigned long long>(count));
 }
 
 }  // namespace
 
-std::vector<ScaleAim> ScaleReport::aims() const {
-  std::vector<ScaleAim> out;
+std::vector<ScaleObjective> ScaleReport::aims() const {
+  std::vector<ScaleObjective> out;
   const auto at_most = [&](const char* what, double value, double bound) {
     out.push_back({what, value, bound, value <= bound});
   };
@@ -159,27 +161,27 @@
   }
   if (asked_starts > 0) {
     const double reached = sum_of(cells, &CellResult::starts) / asked_starts;
-    out.push_back({"part of the starts asked for", reached, kLeastOfStarts, reached >= kLeastOfStarts});
+    out.push_back({"part of the starts asked for", reached, kMinOfStarts, reached >= kMinOfStarts});
   }
   if (urgent > 0)
-    at_most("urgent starts, p95 in s", worst(cells, &CellResult::urgent_start_wait, &Waits::p95),
-            kMostUrgentWait);
+    at_most("urgent starts, p95 in s", worst(cells, &CellResult::urgent_start_wait, &LatencySummary::p95),
+            kMaxUrgentWait);
   if (asked > 0)
     at_most("users' requests in vain", static_cast<double>(in_vain) / static_cast<double>(asked),
-            kMostInVain);
-  at_most("submissions answered, p95 in s", worst(cells, &CellResult::submission_wait, &Waits::p95),
-          kMostSubmissionWait);
+            kMaxUnansweredShare);
+  at_most("submissions answered, p95 in s", worst(cells, &CellResult::submission_wait, &LatencySummary::p95),
+          kMaxSubmissionWait);
   if (changes > 0)
-    at_most("changes in force, longest in s", worst(cells, &CellResult::change_wait, &Waits::most),
-            kMostChangeWait);
+    at_most("changes in force, longest in s", worst(cells, &CellResult::change_wait, &LatencySummary::most),
+            kMaxChangeWait);
   return out;
 }
 
 bool ScaleReport::failed() const {
   const bool cell_failed = std::any_of(
       cells.begin(), cells.end(), [](const CellResult& c) { return !c.error.empty() || !c.broken.empty(); });
-  const std::vector<ScaleAim> all = aims();
-  return cell_failed || std::any_of(all.begin(), all.end(), [](const ScaleAim& a) { return !a.met; });
+  const std::vector<ScaleObjective> all = aims();
+  return cell_failed || std::any_of(all.begin(), all.end(), [](const ScaleObjective& a) { return !a.met; });
 }
 
 std::string ScaleReport::machine_limit() const {
@@ -234,7 +236,7 @@
         text("failures: %llu machines died, %llu began anew, leaders killed, zones cut off; %.0f starts/s\n",
              static_cast<unsigned long long>(died), static_cast<unsigned long long>(restarted),
              sum_of(cells, &CellResult::failure_starts));
-  for (const ScaleAim& a : aims())
+  for (const ScaleObjective& a : aims())
     out += text("%s  %s: %.3g (%.3g)\n", a.met ? "met   " : "MISSED", a.what.c_str(), a.value, a.bound);
   if (const std::string limit = machine_limit(); !limit.empty()) out += limit + '\n';
   return out;
@@ -244,7 +246,7 @@
   nlohmann::json rows = nlohmann::json::array();
   for (const Row& r : rows_of(*this)) rows.push_back(row_json(r));
   nlohmann::json aimed = nlohmann::json::array();
-  for (const ScaleAim& a : aims())
+  for (const ScaleObjective& a : aims())
     aimed.push_back({{"what", a.what}, {"value", a.value}, {"bound", a.bound}, {"met", a.met}});
   return {{"rows", rows}, {"aims", aimed}, {"machine_limit", machine_limit()}, {"cells", cells}};
 }
--- a/lab/scale/slopes.cpp
+++ b/lab/scale/slopes.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 // The series, by the beginning of their cells' names.
-constexpr const char* kMachines = "machines";
+constexpr const char* kMachinePort = "machines";
 constexpr const char* kStarts = "starts";
 constexpr const char* kClaims = "claims";
 constexpr const char* kJobs = "jobs";
@@ -22,7 +22,7 @@
 /// That a cell's state service takes while it does nothing else.
 constexpr double kSubmissionsPerSecond = 15;
 /// Workers report a change no more often than this.
-constexpr double kLeastReportGap = 0.5;
+constexpr double kMinReportGap = 0.5;
 
 using Measure = std::function<double(const CellResult&)>;
 
@@ -103,7 +103,7 @@
     port += ports_of(c);
     cells.push_back(std::move(c));
   };
-  for (int n : {100, 300, 600, 1000}) add(kMachines, n, [n](CellLoad& c) { c.workers = n; });
+  for (int n : {100, 300, 600, 1000}) add(kMachinePort, n, [n](CellLoad& c) { c.workers = n; });
   for (int n : {25, 75, 150, 225}) {
     add(kStarts, n, [n](CellLoad& c) {
       c.workers = 150;
@@ -148,7 +148,7 @@
   const Measure workers = [](const CellResult& r) { return static_cast<double>(r.load.workers); };
   const Measure reports = [](const CellResult& r) { return r.reports; };
   const Measure starts = [](const CellResult& r) { return r.starts; };
-  const Measure claims = [](const CellResult& r) { return r.tasks_on_machines; };
+  const Measure assignments = [](const CellResult& r) { return r.tasks_on_machines; };
   const Measure jobs = [](const CellResult& r) { return r.live_jobs; };
   const Measure questions = [](const CellResult& r) { return r.questions; };
   const Measure submissions = [](const CellResult& r) { return r.submissions; };
@@ -159,11 +159,11 @@
   const Measure requests = [](const CellResult& r) { return r.state_requests; };
   const Measure puts = [](const CellResult& r) { return r.puts; };
 
-  m.add("leader_cores_per_report", kMachines, "reports/s", reports, "leader, cores", leader_cores);
-  m.add("follower_cores_per_worker", kMachines, "workers", workers, "follower, cores", follower_cores);
-  m.add("leader_mb_per_worker", kMachines, "workers", workers, "leader, MB", leader_mb);
-  m.add("follower_mb_per_worker", kMachines, "workers", workers, "follower, MB", follower_mb);
-  m.add("state_requests_per_worker", kMachines, "workers", workers, "state requests/s", requests);
+  m.add("leader_cores_per_report", kMachinePort, "reports/s", reports, "leader, cores", leader_cores);
+  m.add("follower_cores_per_worker", kMachinePort, "workers", workers, "follower, cores", follower_cores);
+  m.add("leader_mb_per_worker", kMachinePort, "workers", workers, "leader, MB", leader_mb);
+  m.add("follower_mb_per_worker", kMachinePort, "workers", workers, "follower, MB", follower_mb);
+  m.add("state_requests_per_worker", kMachinePort, "workers", workers, "state requests/s", requests);
 
   // What the reports cost that come with the starts is taken off.
   const double per_report = m.slope("leader_cores_per_report");
@@ -178,10 +178,10 @@
   m.add("puts_per_start", kStarts, "starts/s", starts, "puts/s", puts);
   m.add("state_requests_per_start", kStarts, "starts/s", starts, "state requests/s", requests);
 
-  m.add("leader_cores_per_claim", kClaims, "tasks on workers", claims, "leader beyond reports, cores",
+  m.add("leader_cores_per_claim", kClaims, "tasks on workers", assignments, "leader beyond reports, cores",
         beyond_reports);
-  m.add("leader_mb_per_claim", kClaims, "tasks on workers", claims, "leader, MB", leader_mb);
-  m.add("follower_mb_per_claim", kClaims, "tasks on workers", claims, "follower, MB", follower_mb);
+  m.add("leader_mb_per_claim", kClaims, "tasks on workers", assignments, "leader, MB", leader_mb);
+  m.add("follower_mb_per_claim", kClaims, "tasks on workers", assignments, "follower, MB", follower_mb);
   m.add(
       "report_bytes_per_task", kClaims, "tasks on a worker",
       [](const CellResult& r) { return r.tasks_on_machines / r.load.workers; }, "bytes of a report",
@@ -226,7 +226,7 @@
   const auto slope = [&](const char* name) { return slope_of(s, name); };
   const auto base = [&](const char* name) { return base_of(s, name); };
   p.reports =
-      std::min(d.workers / d.report_s + slope("reports_per_start") * d.starts, d.workers / kLeastReportGap);
+      std::min(d.workers / d.report_s + slope("reports_per_start") * d.starts, d.workers / kMinReportGap);
   p.leader_cores = base("leader_cores_per_report") + slope("leader_cores_per_report") * p.reports +
                    slope("leader_cores_per_start") * d.starts + slope("leader_cores_per_claim") * d.claims +
                    slope("leader_cores_per_live_job") * d.live_jobs +
--- a/lab/sim/day.cpp
+++ b/lab/sim/day.cpp
@@ -67,10 +67,10 @@
   int number = 0;
   for (const JobClass& c : site.classes) {
     const auto one = [&](double at) {
-      const JobTruth j = draw_job(site, c, ++number, random);
+      const SimulatedJob j = draw_job(site, c, ++number, random);
       w.at(from_seconds(at), [&w, j] { w.submit(j); });
-      if (uniform(0, 1) < c.withdrawn)
-        w.at(from_seconds(at + uniform(1, 60)), [&w, ref = j.spec.ref] { w.withdraw(ref); });
+      if (uniform(0, 1) < c.cancelled_share)
+        w.at(from_seconds(at + uniform(1, 60)), [&w, job_id = j.spec.job_id] { w.cancel(job_id); });
     };
     for (int i = 0; i < c.at_start; ++i) one(uniform(0, 2));
     if (c.per_minute <= 0) continue;
@@ -84,17 +84,18 @@
 
 using Lost = std::map<std::pair<std::string, std::uint32_t>, Instant>;
 
-void troubles(World& w, const Site& site, Lost& lost,
-              const std::function<void(const std::string& what)>& struck) {
-  for (const TroubleSpec& t : site.troubles) {
+void schedule_faults(World& w, const Site& site, Lost& lost,
+                     const std::function<void(const std::string& what)>& struck) {
+  for (const FaultSpec& t : site.faults) {
     for (Micros at = t.at; at < site.length; at += t.every) {
       w.at(at, [&w, &t, &lost, struck] {
         struck(t.what);
         if (t.what.starts_with("domain_")) {
           const auto hosts = w.hosts_in(t.whom);
-          for (const auto& unit : w.checker.on_any({hosts.begin(), hosts.end()})) lost.emplace(unit, w.now());
+          for (const auto& unit : w.checker.on_any_machine({hosts.begin(), hosts.end()}))
+            lost.emplace(unit, w.now());
         }
-        w.strike(t);
+        w.inject_fault(t);
       });
       if (t.every.count() == 0) break;
     }
@@ -102,17 +103,17 @@
 }
 
 /// Takeovers and the starts around them, by cause.
-class TakeoverTally {
+class FailoverTally {
  public:
-  void struck(const std::string& what, Instant at) {
+  void on_fault(const std::string& what, Instant at) {
     if (what.starts_with("controller_") || what.starts_with("all_") || what.starts_with("rolling_") ||
         what.starts_with("state_"))
-      struck_.emplace_back(at, what);
+      faults_.emplace_back(at, what);
   }
-  void ordered(Instant at, bool has_image) { orders_.emplace_back(at, has_image); }
-  void add_to(Figures& f, const std::vector<World::Takeover>& all) const {
+  void on_start_command(Instant at, bool has_image) { starts_.emplace_back(at, has_image); }
+  void add_to(Figures& f, const std::vector<World::Failover>& all) const {
     std::map<std::string, std::vector<double>> seen;
-    for (const World::Takeover& t : all) {
+    for (const World::Failover& t : all) {
       const auto* s = cause(t.began);
       if (s == nullptr) continue;  // the first term takes over from nobody
       const std::string name = "takeover." + s->second;
@@ -121,15 +122,15 @@
       };
       add(".term", t.began - s->first);
       const auto order =
-          std::find_if(orders_.begin(), orders_.end(), [&](const auto& o) { return o.first >= t.began; });
-      if (order != orders_.end()) add(".first_start", order->first - s->first);
-      add(".noticed", t.parts.noticed);
-      add(".records", t.parts.read);
+          std::find_if(starts_.begin(), starts_.end(), [&](const auto& o) { return o.first >= t.began; });
+      if (order != starts_.end()) add(".first_start", order->first - s->first);
+      add(".noticed", t.parts.vacancy);
+      add(".records", t.parts.records_read);
       add(".first_machine", t.parts.first_machine);
       add(".most_machines", t.parts.most_machines);
       add(".last_machine", t.parts.last_machine);
-      add(".settled", t.parts.whole);
-      seen[name + ".warm"].push_back(t.parts.warm ? 1 : 0);
+      add(".settled", t.parts.all_located);
+      seen[name + ".warm"].push_back(t.parts.from_replica ? 1 : 0);
       const double before = with_image(s->first - kAround, s->first);
       const double after = with_image(t.began, t.began + kAround);
       if (before >= 0 && after >= 0) seen[name + ".image_lost"].push_back(before - after);
@@ -146,7 +147,7 @@
   /// The last trouble before the term; null where there was none of late.
   const std::pair<Instant, std::string>* cause(Instant began) const {
     const std::pair<Instant, std::string>* last = nullptr;
-    for (const auto& s : struck_) {
+    for (const auto& s : faults_) {
       if (s.first <= began && began - s.first < from_seconds(30)) last = &s;
     }
     return last;
@@ -155,15 +156,15 @@
   double with_image(Instant from, Instant to) const {
     std::size_t all = 0;
     std::size_t had = 0;
-    for (const auto& [at, has] : orders_) {
+    for (const auto& [at, has] : starts_) {
       if (at < from || at >= to) continue;
       ++all;
       had += has ? 1 : 0;
     }
     return all < kFew ? -1 : static_cast<double>(had) / static_cast<double>(all);
   }
-  std::vector<std::pair<Instant, std::string>> struck_;
-  std::vector<std::pair<Instant, bool>> orders_;
+  std::vector<std::pair<Instant, std::string>> faults_;
+  std::vector<std::pair<Instant, bool>> starts_;
 };
 
 }  // namespace
@@ -174,21 +175,21 @@
   for (const JobClass& c : site.classes) classes[c.name];
   std::set<std::pair<std::string, std::uint32_t>> started;
   Lost lost;
-  w.machines().on_start = [&](const std::string& ref, std::uint32_t task) {
-    if (const auto l = lost.find({ref, task}); l != lost.end()) {
-      classes[w.machines().job(ref)->spec.queue].replaced.add(w.now() - l->second);
+  w.machines().on_start = [&](const std::string& job_id, std::uint32_t task) {
+    if (const auto l = lost.find({job_id, task}); l != lost.end()) {
+      classes[w.machines().job(job_id)->spec.job_class].replaced.add(w.now() - l->second);
       lost.erase(l);
     }
-    const auto job = w.users().jobs().find(ref);
-    if (job == w.users().jobs().end() || !started.insert({ref, task}).second) return;
-    classes[w.machines().job(ref)->spec.queue].waits.add(w.now() - job->second.submitted);
+    const auto job = w.users().jobs().find(job_id);
+    if (job == w.users().jobs().end() || !started.insert({job_id, task}).second) return;
+    classes[w.machines().job(job_id)->spec.job_class].waits.add(w.now() - job->second.submitted);
   };
   arrivals(w, site, seed);
-  TakeoverTally takeovers;
-  w.machines().on_order = [&](const std::string&, std::uint32_t, std::uint64_t, bool has_image) {
-    takeovers.ordered(w.now(), has_image);
+  FailoverTally takeovers;
+  w.machines().on_command = [&](const std::string&, std::uint32_t, std::uint64_t, bool has_image) {
+    takeovers.on_start_command(w.now(), has_image);
   };
-  troubles(w, site, lost, [&](const std::string& what) { takeovers.struck(what, w.now()); });
+  schedule_faults(w, site, lost, [&](const std::string& what) { takeovers.on_fault(what, w.now()); });
   w.run(site.length);
 
   DayResult out;
@@ -196,29 +197,29 @@
   double due_all = 0;
   for (const auto& [ref, job] : w.users().jobs()) {
     const JobSpec& spec = w.machines().job(ref)->spec;
-    ClassTally& c = classes[spec.queue];
+    ClassTally& c = classes[spec.job_class];
     ++c.jobs;
-    c.tasks += spec.units;
-    if (const double most = w.checker.most_in_one(ref); most > 0 && spec.units > 1) {
+    c.tasks += spec.task_count;
+    if (const double most = w.checker.most_in_one(ref); most > 0 && spec.task_count > 1) {
       c.spread += most;
       ++c.spread_jobs;
     }
-    const bool over = job.over != Instant{};
+    const bool over = job.finished != Instant{};
     if (job.refused != 0) {
       ++c.refused;
     } else if (over && job.state == "done") {
       ++c.over;
-      c.finishes.add(job.over - job.submitted);
+      c.finishes.add(job.finished - job.submitted);
     }
     // A deadline that the day does not reach says nothing.
-    if (!spec.due || job.state == "withdrawn" || job.refused != 0 ||
-        w.now() - job.submitted < *spec.due * 3 / 2)
+    if (!spec.deadline || job.state == "withdrawn" || job.refused != 0 ||
+        w.now() - job.submitted < *spec.deadline * 3 / 2)
       continue;
     ++c.with_due;
     ++due_all;
     const bool done = over && job.state == "done";
-    if (done && job.over - job.submitted <= *spec.due) ++c.in_time;
-    if (done && job.over - job.submitted <= *spec.due * 3 / 2) ++c.in_half_more;
+    if (done && job.finished - job.submitted <= *spec.deadline) ++c.in_time;
+    if (done && job.finished - job.submitted <= *spec.deadline * 3 / 2) ++c.in_half_more;
   }
   Figures& f = out.figures;
   for (const auto& [name, c] : classes) {
@@ -240,22 +241,22 @@
     }
   }
   for (const auto& o : site.settings.objectives) {
-    const auto c = classes.find(o.queue);
+    const auto c = classes.find(o.job_class);
     if (c == classes.end() || o.within.count() == 0) continue;
     const Times& t = o.kind == "wait" ? c->second.waits : c->second.finishes;
-    f[o.queue + "." + o.kind + "_within"] = t.below(o.within);
+    f[o.job_class + "." + o.kind + "_within"] = t.below(o.within);
   }
   f["core_seconds_done"] = w.machines().work().done;
   f["core_seconds_lost"] = w.machines().work().lost;
   f["money"] = w.machines().cost();
   f["machines_rented"] = static_cast<double>(w.cloud().rented());
-  f["state_writes"] = static_cast<double>(w.state().writes());
+  f["state_writes"] = static_cast<double>(w.kv_service().writes());
   std::uint64_t requests = 0;
-  for (const auto& [who, n] : w.state().requests()) requests += n;
+  for (const auto& [who, n] : w.kv_service().requests()) requests += n;
   f["state_requests"] = static_cast<double>(requests);
-  f["state_refusals"] = static_cast<double>(w.state().refusals());
+  f["state_refusals"] = static_cast<double>(w.kv_service().refusals());
   f["cloud_requests"] = static_cast<double>(w.cloud().requests());
-  takeovers.add_to(f, w.takeovers());
+  takeovers.add_to(f, w.failovers());
   f["takeovers"] = static_cast<double>(w.terms()) - 1;
   f["starts"] = static_cast<double>(w.checker.starts());
   f["rules_broken"] = static_cast<double>(w.checker.notes().size());
@@ -290,7 +291,7 @@
 }  // namespace
 
 /// Median and worst of the days, a row a cause.
-std::string takeover_table(const std::vector<DayResult>& days) {
+std::string failover_table(const std::vector<DayResult>& days) {
   constexpr std::pair<const char*, const char*> kParts[] = {{"term", "term"},
                                                             {"records", "records"},
                                                             {"first_machine", "1st machine"},
@@ -354,7 +355,7 @@
   out += "state service " + total("state_requests", "%.0f") + " requests, " + total("state_writes", "%.0f") +
          " changes, " + total("state_refusals", "%.0f") + " refused; cloud " +
          total("cloud_requests", "%.0f") + " requests; takeovers " + total("takeovers", "%.1f") + "\n";
-  out += takeover_table(days);
+  out += failover_table(days);
   std::size_t broken = 0;
   for (const DayResult& d : days) {
     for (const std::string& b : d.broken) {
--- a/lab/sim/include/wrenusher/lab/message_digest.hpp
+++ b/lab/sim/include/wrenusher/lab/message_digest.hpp
@@ -18,16 +18,16 @@
 namespace wrenusher::lab {
 
 /// What a message is between. A request and its response belong to the same transport.
-enum class Transport {
+enum class LinkType {
   client,  ///< users and their load balancer, and a controller
   worker,  ///< a worker and a controller, in either direction
   peer,    ///< two controllers
   state,   ///< a controller and the state service
   cloud    ///< a controller and the cloud
 };
-inline constexpr Transport kTransports[] = {Transport::client, Transport::worker, Transport::peer,
-                                            Transport::state, Transport::cloud};
-std::string to_text(Transport transport);
+inline constexpr LinkType kLinkTypes[] = {LinkType::client, LinkType::worker, LinkType::peer, LinkType::state,
+                                          LinkType::cloud};
+std::string to_text(LinkType link_type);
 
 /// How many items were added, and the digest of all of them in their order.
 struct DigestSummary {
@@ -62,15 +62,15 @@
 class MessageDigests {
  public:
   /// `from` and `to` are the names of the parties.
-  void request(Transport transport, Instant at, std::string_view from, std::string_view to,
+  void request(LinkType link_type, Instant at, std::string_view from, std::string_view to,
                const base::Request& request);
-  void response(Transport transport, Instant at, std::string_view from, std::string_view to,
+  void response(LinkType link_type, Instant at, std::string_view from, std::string_view to,
                 const base::Response& response);
-  void stored(Instant at, const Batch& batch);
+  void stored(Instant at, const WriteBatch& batch);
   Digests summaries() const;
 
  private:
-  std::map<Transport, SequenceDigest> messages_;
+  std::map<LinkType, SequenceDigest> messages_;
   SequenceDigest stored_;
 };
 
--- a/lab/sim/message_digest.cpp
+++ b/lab/sim/message_digest.cpp
@@ -14,17 +14,17 @@
 
 }  // namespace
 
-std::string to_text(Transport transport) {
-  switch (transport) {
-    case Transport::client:
+std::string to_text(LinkType link_type) {
+  switch (link_type) {
+    case LinkType::client:
       return "client";
-    case Transport::worker:
+    case LinkType::worker:
       return "worker";
-    case Transport::peer:
+    case LinkType::peer:
       return "peer";
-    case Transport::state:
+    case LinkType::state:
       return "state";
-    case Transport::cloud:
+    case LinkType::cloud:
       return "cloud";
   }
   return "unknown";
@@ -49,9 +49,9 @@
   XXH3_64bits_update(state_.get(), &number, sizeof number);
 }
 
-void MessageDigests::request(Transport transport, Instant at, std::string_view from, std::string_view to,
+void MessageDigests::request(LinkType link_type, Instant at, std::string_view from, std::string_view to,
                              const base::Request& request) {
-  SequenceDigest& sequence = messages_[transport];
+  SequenceDigest& sequence = messages_[link_type];
   sequence.begin_item(at);
   sequence.add(kRequest);
   sequence.add(from);
@@ -59,12 +59,12 @@
   sequence.add(request.method);
   sequence.add(request.target);
   sequence.add(request.body);
-  sequence.add(std::uint64_t{request.once});
+  sequence.add(std::uint64_t{request.close_after});
 }
 
-void MessageDigests::response(Transport transport, Instant at, std::string_view from, std::string_view to,
+void MessageDigests::response(LinkType link_type, Instant at, std::string_view from, std::string_view to,
                               const base::Response& response) {
-  SequenceDigest& sequence = messages_[transport];
+  SequenceDigest& sequence = messages_[link_type];
   sequence.begin_item(at);
   sequence.add(kResponse);
   sequence.add(from);
@@ -74,28 +74,28 @@
   sequence.add(static_cast<std::uint64_t>(response.retry_after_s));
 }
 
-void MessageDigests::stored(Instant at, const Batch& batch) {
+void MessageDigests::stored(Instant at, const WriteBatch& batch) {
   for (const std::string& key : batch.deletes) {
     stored_.begin_item(at);
     stored_.add(kDelete);
     stored_.add(batch.revision);
     stored_.add(key);
   }
-  for (const Batch::Put& put : batch.puts) {
+  for (const WriteBatch::Put& put : batch.puts) {
     stored_.begin_item(at);
     stored_.add(kPut);
     stored_.add(batch.revision);
     stored_.add(put.key);
-    stored_.add(put.entry.tenancy);
+    stored_.add(put.entry.lease_id);
     stored_.add(encode(put.entry.value));
   }
 }
 
 Digests MessageDigests::summaries() const {
   Digests out;
-  for (const Transport transport : kTransports) {
-    const auto sequence = messages_.find(transport);
-    out[to_text(transport)] = sequence == messages_.end() ? DigestSummary{} : sequence->second.summary();
+  for (const LinkType link_type : kLinkTypes) {
+    const auto sequence = messages_.find(link_type);
+    out[to_text(link_type)] = sequence == messages_.end() ? DigestSummary{} : sequence->second.summary();
   }
   out["stored"] = stored_.summary();
   return out;
--- a/lab/sim/sim_wires.cpp
+++ b/lab/sim/sim_wires.cpp
@@ -15,74 +15,74 @@
 
 }  // namespace
 
-void SimWires::at(Micros delay, std::function<void()> f) {
+void SimTransport::at(Micros delay, std::function<void()> f) {
   events_.push({now_ + delay, ++events_made_, std::make_shared<std::function<void()>>(std::move(f))});
 }
 
-void SimWires::run(Micros how_long) {
+void SimTransport::run(Micros how_long) {
   const Instant end = now_ + how_long;
   while (!events_.empty() && events_.top().at <= end) {
     const Event e = events_.top();
     events_.pop();
     now_ = e.at;
-    (*e.f)();
+    (*e.action)();
   }
   now_ = end;
 }
 
-Micros SimWires::delay() {
+Micros SimTransport::delay() {
   return Micros{static_cast<std::int64_t>(uniform(200, pick(kSlowMessage) == 0 ? 300000 : 4000))};
 }
 
-void SimWires::heal() {
+void SimTransport::heal() {
   links.heal();
-  auto held = std::move(held_);
-  held_.clear();
+  auto held = std::move(held_messages_);
+  held_messages_.clear();
   for (auto& f : held) at(delay(), std::move(f));
 }
 
-void SimWires::carry(Cut link, std::function<void()> deliver) {
+void SimTransport::deliver(LinkCut link, std::function<void()> deliver) {
   switch (link) {
-    case Cut::none:
+    case LinkCut::none:
       at(delay(), std::move(deliver));
       break;
-    case Cut::hold:
-      held_.push_back(std::move(deliver));
+    case LinkCut::hold:
+      held_messages_.push_back(std::move(deliver));
       break;
-    case Cut::reset:
+    case LinkCut::reset:
       break;
   }
 }
 
-std::optional<Endpoint> SimWires::serve(const std::string& who, Handler handler) {
+std::optional<Endpoint> SimTransport::serve(const std::string& who, Handler handler) {
   const int n = ++addresses_;
   const Endpoint at = "10.1." + std::to_string(n / 250) + "." + std::to_string(n % 250) + ":9000";
   serve_at(at, who, std::move(handler));
   return at;
 }
 
-void SimWires::serve_at(const Endpoint& at, const std::string& who, Transport transport, Handler handler) {
+void SimTransport::serve_at(const Endpoint& at, const std::string& who, LinkType link_type, Handler handler) {
   names_[at] = who;
-  transports_[at] = transport;
+  link_types_[at] = link_type;
   handlers_[at] = std::move(handler);
 }
 
-int SimWires::lose_answers(LostAnswers l) {
-  losing_.emplace(++losing_made_, std::move(l));
-  return losing_made_;
+int SimTransport::drop_answers(AnswerLoss l) {
+  answer_loss_.emplace(++answer_losses_made_, std::move(l));
+  return answer_losses_made_;
 }
 
-std::optional<SimWires::Asked> SimWires::asked_of(const Request& r) {
+std::optional<SimTransport::StateQuery> SimTransport::state_query_of(const Request& r) {
   constexpr std::string_view kStore = "/store/";
-  if (r.target.starts_with(kStore)) return Asked{true, {r.target.substr(kStore.size())}};
-  if (r.target.starts_with("/store?")) return Asked{true, {query(r.target, "starts")}};
+  if (r.target.starts_with(kStore)) return StateQuery{true, {r.target.substr(kStore.size())}};
+  if (r.target.starts_with("/store?")) return StateQuery{true, {query(r.target, "starts")}};
   // One that waits for nothing reads what there is.
   if (r.target.starts_with("/follow?") && query(r.target, "hold_ms") == "0")
-    return Asked{true, {query(r.target, "starts")}, true};
+    return StateQuery{true, {query(r.target, "starts")}, true};
   if (r.target != "/multi") return std::nullopt;
   const auto body = decode(r.body);
   if (!body) return std::nullopt;
-  Asked out;
+  StateQuery out;
   const Value::List* apply = (*body)["apply"].list();
   out.reads = apply == nullptr || apply->empty();
   const Value::List* rows = out.reads ? (*body)["when"].list() : apply;
@@ -94,8 +94,8 @@
   return out;
 }
 
-bool SimWires::loses_answer(const std::string& who, const Asked& asked) {
-  for (auto& [number, l] : losing_) {
+bool SimTransport::drops_answer(const std::string& who, const StateQuery& asked) {
+  for (auto& [number, l] : answer_loss_) {
     const bool fits =
         l.reads == asked.reads && (l.who.empty() || l.who == who) &&
         (l.keys.empty() || std::any_of(asked.keys.begin(), asked.keys.end(), [&](const auto& k) {
@@ -109,45 +109,47 @@
       continue;
     }
     --l.most;
-    ++lost_answers_;
+    ++dropped_answers_;
     if (const auto then = l.then) at(Micros{0}, [then, who] { then(who); });
     return true;
   }
   return false;
 }
 
-Transport SimWires::transport_of(const std::string& from, const Endpoint& to) const {
-  const auto found = transports_.find(to);
+LinkType SimTransport::link_type_of(const std::string& from, const Endpoint& to) const {
+  const auto found = link_types_.find(to);
   // An address at which nobody ever served is a worker's that is not known here.
-  const Transport transport = found == transports_.end() ? Transport::worker : found->second;
-  return transport == Transport::client && from != kUser ? Transport::worker : transport;
+  const LinkType link_type = found == link_types_.end() ? LinkType::worker : found->second;
+  return link_type == LinkType::client && from != kUser ? LinkType::worker : link_type;
 }
 
-bool SimWires::deliver(const std::string& from, const Endpoint& to, const Request& request,
-                       const Answer& answer) {
+bool SimTransport::serve_request(const std::string& from, const Endpoint& to, const Request& request,
+                                 const Responder& answer) {
   const auto h = handlers_.find(to);
   if (h == handlers_.end()) return false;
   h->second(from, request,
-            [this, from, name = names_[to], transport = transport_of(from, to), answer](Response r) {
-              digests.response(transport, now_, name, from, r);
+            [this, from, name = names_[to], link_type = link_type_of(from, to), answer](Response r) {
+              digests.response(link_type, now_, name, from, r);
               answer(std::move(r));
             });
   return true;
 }
 
-void SimWires::send(const std::string& from, const Endpoint& to, Request request, Micros timeout, Done done) {
-  digests.request(transport_of(from, to), now_, from, names_[to], request);
-  if (copies_.share > 0 && uniform(0, 1) < copies_.share &&
-      (copies_.paths.empty() || std::any_of(copies_.paths.begin(), copies_.paths.end(),
-                                            [&](const auto& p) { return request.target.starts_with(p); }))) {
-    const Micros late{static_cast<std::int64_t>(
-        uniform(static_cast<double>(copies_.least.count()), static_cast<double>(copies_.most.count())))};
-    at(late, [this, from, to, request] { deliver(from, to, request, [](const Response&) {}); });
+void SimTransport::send(const std::string& from, const Endpoint& to, Request request, Micros timeout,
+                        CallHandler done) {
+  digests.request(link_type_of(from, to), now_, from, names_[to], request);
+  if (late_copies_.share > 0 && uniform(0, 1) < late_copies_.share &&
+      (late_copies_.paths.empty() ||
+       std::any_of(late_copies_.paths.begin(), late_copies_.paths.end(),
+                   [&](const auto& p) { return request.target.starts_with(p); }))) {
+    const Micros late{static_cast<std::int64_t>(uniform(static_cast<double>(late_copies_.least.count()),
+                                                        static_cast<double>(late_copies_.most.count())))};
+    at(late, [this, from, to, request] { serve_request(from, to, request, [](const Response&) {}); });
   }
   struct Call {
     bool settled = false;
-    Done done;
-    void settle(Outcome o) {
+    CallHandler done;
+    void settle(CallResult o) {
       if (settled) return;
       settled = true;
       done(std::move(o));
@@ -156,40 +158,40 @@
   auto call = std::make_shared<Call>();
   call->done = std::move(done);
   const std::string name = names_[to];
-  const Cut state = links.asking(from, name);
-  if (!handlers_.contains(to) || state == Cut::reset) {
+  const LinkCut state = links.asking(from, name);
+  if (!handlers_.contains(to) || state == LinkCut::reset) {
     at(delay(), [call] { call->settle({false, false, {}}); });
     return;
   }
   if (late_writes_ > 0 && request.target == "/multi" && uniform(0, 1) < late_writes_) {
     at(timeout, [call] { call->settle({false, true, {}}); });
     at(from_seconds(uniform(2, 12)), [this, from, to, request = std::move(request)] {
-      deliver(from, to, request, [](const Response&) {});
+      serve_request(from, to, request, [](const Response&) {});
     });
     return;
   }
   // A new connection cannot be made through a cut; an old one takes the request, to be delivered later.
-  const bool sent = state == Cut::none || pick(2) == 0;
+  const bool sent = state == LinkCut::none || pick(2) == 0;
   at(timeout, [call, sent] { call->settle({false, sent, {}}); });
   if (!sent) return;
-  carry(state, [this, call, from, to, name, request = std::move(request)] {
-    const std::size_t most = request.most;
+  deliver(state, [this, call, from, to, name, request = std::move(request)] {
+    const std::size_t most = request.max_response_bytes;
     if (!handlers_.contains(to)) {
       call->settle({false, true, {}});
       return;
     }
     const bool lose = pick(kLostAnswer) == 0;
-    const auto asked = losing_.empty() ? std::nullopt : asked_of(request);
-    deliver(from, to, request, [this, call, from, name, lose, most, asked](Response r) {
+    const auto asked = answer_loss_.empty() ? std::nullopt : state_query_of(request);
+    serve_request(from, to, request, [this, call, from, name, lose, most, asked](Response r) {
       const bool carried_out = r.status == 200 || r.status == 404 || r.status == 409;
-      if (asked && carried_out && loses_answer(from, *asked)) return;  // its time runs out
+      if (asked && carried_out && drops_answer(from, *asked)) return;  // its time runs out
       if (lose) {                                                      // executed, but the answer never comes
         at(delay(), [call] { call->settle({false, true, {}}); });
         return;
       }
       const bool too_large = most > 0 && r.body.size() > most;
       if (too_large) r = {};
-      carry(links.between(name, from), [call, too_large, r = std::move(r)] {
+      deliver(links.between(name, from), [call, too_large, r = std::move(r)] {
         call->settle({!too_large, true, r, too_large});
       });
     });
--- a/lab/sim/world.cpp
+++ b/lab/sim/world.cpp
@@ -6,14 +6,14 @@
 
 namespace {
 
-constexpr Micros kWatch = millis(100);
+constexpr Micros kCheckInterval = from_millis(100);
 constexpr Micros kAgreeEvery = from_seconds(1);
 constexpr Micros kRoomEvery = from_seconds(2);
 /// Jobs cancelled at once would have gone on for so long; within so many seconds all are, and of their
 /// machines so many hang at most.
-constexpr Micros kLongToGo = from_seconds(20);
+constexpr Micros kLongRemaining = from_seconds(20);
 constexpr double kAllAtOnce = 0.2;
-constexpr std::size_t kMostHang = 8;
+constexpr std::size_t kMaxHang = 8;
 constexpr int kManyJobs = 8;
 /// Copies of messages come up to so many leases late.
 constexpr double kCopyLeases = 2.5;
@@ -46,31 +46,35 @@
 
 class World::NodeRuntime : public Runtime {
  public:
-  NodeRuntime(SimWires& wires, std::string name, double drift)
-      : random_(wires.random()()), wires_(wires), name_(std::move(name)), drift_(drift) {}
+  NodeRuntime(SimTransport& transport, std::string name, double drift)
+      : random_(transport.random()()), transport_(transport), name_(std::move(name)), drift_(drift) {}
   bool alive = true;
   Instant stalled_until{};
 
   Instant now() const override {
-    return Instant{Micros{
-        static_cast<std::int64_t>(static_cast<double>(wires_.now().time_since_epoch().count()) * drift_)}};
+    return Instant{Micros{static_cast<std::int64_t>(
+        static_cast<double>(transport_.now().time_since_epoch().count()) * drift_)}};
+  }
+  WallTime wall_time() const override {
+    return WallTime{transport_.now().time_since_epoch() + from_seconds(1e9)};
   }
-  WallTime wall() const override { return WallTime{wires_.now().time_since_epoch() + from_seconds(1e9)}; }
   std::mt19937_64& random() override { return random_; }
   void post(std::function<void()> f) override { after(Micros{0}, std::move(f)); }
   void after(Micros delay, std::function<void()> f) override {
-    wires_.at(delay, [this, f = std::move(f)]() mutable { run(std::move(f)); });
+    transport_.at(delay, [this, f = std::move(f)]() mutable { run(std::move(f)); });
   }
-  void fetch(const Endpoint& to, Request request, Micros timeout, Done done) override {
-    wires_.send(name_, to, std::move(request), timeout, [this, done = std::move(done)](Outcome o) mutable {
-      run([done, o = std::move(o)]() mutable { done(std::move(o)); });
-    });
+  void call(const Endpoint& to, Request request, Micros timeout, CallHandler done) override {
+    transport_.send(name_, to, std::move(request), timeout,
+                    [this, done = std::move(done)](CallResult o) mutable {
+                      run([done, o = std::move(o)]() mutable { done(std::move(o)); });
+                    });
   }
   /// Runs `f`, once this controller moves again.
   void run(std::function<void()> f) {
     if (!alive) return;
-    if (wires_.now() < stalled_until) {
-      wires_.at(stalled_until - wires_.now(), [this, f = std::move(f)]() mutable { run(std::move(f)); });
+    if (transport_.now() < stalled_until) {
+      transport_.at(stalled_until - transport_.now(),
+                    [this, f = std::move(f)]() mutable { run(std::move(f)); });
     } else {
       f();
     }
@@ -78,7 +82,7 @@
 
  private:
   std::mt19937_64 random_;
-  SimWires& wires_;
+  SimTransport& transport_;
   std::string name_;
   double drift_;
 };
@@ -87,8 +91,8 @@
   std::string name;
   NodeRuntime runtime;
   controller::Controller controller;
-  Node(SimWires& wires, const std::string& n, double drift, const Settings& s, survey::Reader reader)
-      : name(n), runtime(wires, n, drift), controller(runtime, s, std::move(reader)) {}
+  Node(SimTransport& transport, const std::string& n, double drift, const Settings& s, survey::Reader reader)
+      : name(n), runtime(transport, n, drift), controller(runtime, s, std::move(reader)) {}
 };
 
 Site World::default_site(Settings settings) {
@@ -97,15 +101,15 @@
   s.settings = std::move(settings);
   const auto type = [](const char* name, double cores, double cards, double memory, double cache, double rate,
                        double low, double boot, std::vector<std::string> zones, int spot, int ordinary) {
-    MachineType t;
-    t.flavor = {name,
-                {to_amount(cores), to_amount(cards), to_amount(memory)},
-                cache,
-                1,
-                rate,
-                low,
-                from_seconds(boot),
-                std::move(zones)};
+    MachineSupply t;
+    t.type = {name,
+              {to_amount(cores), to_amount(cards), to_amount(memory)},
+              cache,
+              1,
+              rate,
+              low,
+              from_seconds(boot),
+              std::move(zones)};
     t.spot = spot;
     t.ordinary = ordinary;
     return t;
@@ -119,11 +123,11 @@
   Settings s;
   s.zones = {"a", "b"};
   s.teams = {{"red", 32, 96, 0, 0}, {"blue", 0, 0, 0, 0}};
-  s.report = from_seconds(1);
-  s.lease = from_seconds(10);
-  s.gang_wait = from_seconds(20);
-  s.gang_peer = from_seconds(3);
-  s.cancel = from_seconds(30);
+  s.report_interval = from_seconds(1);
+  s.worker_lease = from_seconds(10);
+  s.gang_start_timeout = from_seconds(20);
+  s.gang_peer_timeout = from_seconds(3);
+  s.cancel_deadline = from_seconds(30);
   s.state_rps = 200;
   s.state_write_rps = 40;
   s.value_kb = 16;
@@ -136,15 +140,15 @@
 
 JobSpec World::job(int number, std::uint32_t units, double cores, double run_s) {
   JobSpec s;
-  s.ref = "req-" + std::to_string(100000 + number);
-  s.queue = "work";
-  s.owner = number % 2 == 0 ? "red" : "blue";
-  s.units = units;
-  s.needs = {to_amount(cores), 0, to_amount(2)};
-  s.bundle = "img-" + std::to_string(number % 3);
+  s.job_id = "req-" + std::to_string(100000 + number);
+  s.job_class = "work";
+  s.team = number % 2 == 0 ? "red" : "blue";
+  s.task_count = units;
+  s.resources = {to_amount(cores), 0, to_amount(2)};
+  s.image = "img-" + std::to_string(number % 3);
   s.image_gb = 2;
-  s.standby = true;
-  s.expected = from_seconds(run_s);
+  s.spot_allowed = true;
+  s.expected_runtime = from_seconds(run_s);
   return s;
 }
 
@@ -154,34 +158,35 @@
 World::World(std::uint64_t seed, Site site, int scale)
     : site_(std::move(site)),
       checker(site_.settings, site_.topology),
-      wires_(seed),
-      state_(wires_, limits_of(site_.settings), std::make_unique<MemoryKeep>()),
-      machines_(wires_, site_, checker),
-      cloud_(wires_, site_, machines_, scale),
-      balancer_(wires_, clients(site_.controllers)),
-      users_(wires_, balancer_, machines_, checker) {
-  wires_.links.zone_of = [this](const std::string& name) -> std::string {
+      transport_(seed),
+      kv_service_(transport_, limits_of(site_.settings), std::make_unique<MemoryStorage>()),
+      machines_(transport_, site_, checker),
+      cloud_(transport_, site_, machines_, scale),
+      balancer_(transport_, clients(site_.controllers)),
+      users_(transport_, balancer_, machines_, checker) {
+  transport_.links.zone_of = [this](const std::string& name) -> std::string {
     for (int i = 0; i < site_.controllers; ++i) {
       if (name == name_of(i))
         return site_.settings.zones[static_cast<std::size_t>(i) % site_.settings.zones.size()];
     }
     return machines_.zone_of(name);
   };
-  wires_.serve_at(
-      kState, "state", Transport::state,
-      [this](const std::string& from, const Request& r, const Answer& a) { state_.serve(from, r, a); });
-  wires_.serve_at(
-      kCloud, "cloud", Transport::cloud,
-      [this](const std::string& from, const Request& r, const Answer& a) { cloud_.serve(from, r, a); });
-  state_.on_saved = [this](const Batch& batch) { wires_.digests.stored(now(), batch); };
-  machines_.on_end = [this](const std::string& ref) { users_.ended(ref); };
+  transport_.serve_at(kState, "state", LinkType::state,
+                      [this](const std::string& from, const Request& r, const Responder& a) {
+                        kv_service_.serve(from, r, a);
+                      });
+  transport_.serve_at(
+      kCloud, "cloud", LinkType::cloud,
+      [this](const std::string& from, const Request& r, const Responder& a) { cloud_.serve(from, r, a); });
+  kv_service_.on_saved = [this](const WriteBatch& batch) { transport_.digests.stored(now(), batch); };
+  machines_.on_end = [this](const std::string& job_id) { users_.ended(job_id); };
   machines_.controllers(controllers(site_.controllers));
-  cloud_.furnish();
+  cloud_.provide_now();
   nodes_.resize(static_cast<std::size_t>(site_.controllers));
   for (int i = 0; i < site_.controllers; ++i) start_node(i);
   balancer_.start();
   machines_.start();
-  watch();
+  observe();
 }
 
 World::~World() = default;
@@ -201,52 +206,52 @@
   }
   auto& node = nodes_[static_cast<std::size_t>(i)];
   if (!site_.topology_text.empty()) s.tunables.topology = "topology.yaml";
-  node = std::make_unique<Node>(wires_, name, 1.0 + uniform(0, 0.0005), s,
+  node = std::make_unique<Node>(transport_, name, 1.0 + uniform(0, 0.0005), s,
                                 [this](const std::string&) { return std::optional(site_.topology_text); });
   Node* n = node.get();
-  wires_.serve_at(client_of(i), name, Transport::client,
-                  [this, n](const std::string&, const Request& r, const Answer& a) {
-                    n->runtime.run([this, n, r, a] {
-                      n->controller.serve_client(r, [this, n, r, a](const Response& given) {
-                        checker.given(now(), n->name, r, given);
-                        a(given);
+  transport_.serve_at(client_of(i), name, LinkType::client,
+                      [this, n](const std::string&, const Request& r, const Responder& a) {
+                        n->runtime.run([this, n, r, a] {
+                          n->controller.serve_client(r, [this, n, r, a](const Response& given) {
+                            checker.given(now(), n->name, r, given);
+                            a(given);
+                          });
+                        });
                       });
-                    });
-                  });
-  wires_.serve_at(peer_of(i), name, Transport::peer,
-                  [n](const std::string&, const Request& r, const Answer& a) {
-                    n->runtime.run([n, r, a] { n->controller.serve_peer(r, a); });
-                  });
-  n->controller.taken_over().connect(n->runtime, [this](const mail::TakenOver& t) {
-    takeovers_.push_back({now() - t.told_after, t});
+  transport_.serve_at(peer_of(i), name, LinkType::peer,
+                      [n](const std::string&, const Request& r, const Responder& a) {
+                        n->runtime.run([n, r, a] { n->controller.serve_peer(r, a); });
+                      });
+  n->controller.failover_finished().connect(n->runtime, [this](const mail::FailoverTimes& t) {
+    failovers_.push_back({now() - t.reported_after, t});
   });
   n->controller.start();
 }
 
 /// What no rule of the protocol names, but several rest on.
-void World::watch() {
-  if (checker.calm() && now().time_since_epoch() % kRoomEvery < kWatch) {
-    for (const std::string& ref : checker.open()) {
-      const JobSpec& spec = checker.spec(ref);
+void World::observe() {
+  if (checker.all_finished() && now().time_since_epoch() % kRoomEvery < kCheckInterval) {
+    for (const std::string& job_id : checker.open()) {
+      const JobSpec& spec = checker.spec(job_id);
       // Whether a gang's tasks would all find room at once is not reckoned.
-      if (spec.shape != Shape::gang)
-        checker.waits(now(), ref, !checker.on_a_machine(ref) && machines_.has_room(spec));
+      if (spec.type != JobType::gang)
+        checker.waits(now(), job_id, !checker.on_a_machine(job_id) && machines_.has_room(spec));
     }
   }
   checker.leaders(static_cast<int>(std::count_if(
-      nodes_.begin(), nodes_.end(), [](const auto& n) { return n && n->controller.certain(); })));
-  if (now().time_since_epoch() % kAgreeEvery < kWatch) {
+      nodes_.begin(), nodes_.end(), [](const auto& n) { return n && n->controller.lease_valid(); })));
+  if (now().time_since_epoch() % kAgreeEvery < kCheckInterval) {
     for (const auto& n : nodes_) {
-      if (n) checker.agrees(n->controller.disagreement());
+      if (n) checker.check_agreement(n->controller.disagreement());
     }
   }
-  at(kWatch, [this] { watch(); });
+  at(kCheckInterval, [this] { observe(); });
 }
 
 bool World::in_domain(const std::string& host, const std::string& domain) const {
   if (!site_.topology || !host.starts_with("m-")) return false;
-  const topology::Place place =
-      site_.topology->find(host, "", machines_.flavor_of(host), machines_.zone_of(host));
+  const topology::MachineLocation place =
+      site_.topology->find(host, "", machines_.type_of(host), machines_.zone_of(host));
   return std::any_of(place.by_level.begin(), place.by_level.end(), [&](topology::DomainId id) {
     return id != topology::kNowhere && site_.topology->domain(id).name == domain;
   });
@@ -258,25 +263,25 @@
   return out;
 }
 
-void World::cut_domain(const std::string& domain, Cut how) {
-  wires_.links.cut_group([this, domain](const std::string& who) { return in_domain(who, domain); }, how);
+void World::cut_domain(const std::string& domain, LinkCut how) {
+  transport_.links.cut_group([this, domain](const std::string& who) { return in_domain(who, domain); }, how);
 }
 
 void World::kill_domain(const std::string& domain) {
   for (const std::string& h : hosts_in(domain)) die(h);
 }
 
-void World::tell(int controller, const Request& request, const Done& done, Micros within) {
-  wires_.send("user", client_of(controller), request, within, done);
+void World::send_commands(int controller, const Request& request, const CallHandler& done, Micros within) {
+  transport_.send("user", client_of(controller), request, within, done);
 }
 
 std::optional<Response> World::ask(int controller, const Request& request, Micros within) {
   auto out = std::make_shared<std::optional<Response>>();
-  wires_.send("user", client_of(controller), request, within, [out](const Outcome& o) {
+  transport_.send("user", client_of(controller), request, within, [out](const CallResult& o) {
     if (o.answered) *out = o.response;
   });
   const Instant end = now() + within;
-  while (!out->has_value() && now() < end) run(millis(10));
+  while (!out->has_value() && now() < end) run(from_millis(10));
   return *out;
 }
 
@@ -284,8 +289,8 @@
   auto& n = nodes_[static_cast<std::size_t>(i)];
   if (!n) return;
   n->runtime.alive = false;
-  wires_.unserve(client_of(i));
-  wires_.unserve(peer_of(i));
+  transport_.unserve(client_of(i));
+  transport_.unserve(peer_of(i));
   graveyard_.push_back(std::move(n));  // events on their way still name it
   at(back_after, [this, i] { start_node(i); });
 }
@@ -294,7 +299,7 @@
   if (const auto& n = nodes_[static_cast<std::size_t>(i)]) n->runtime.stalled_until = now() + how_long;
 }
 
-void World::isolate(const std::string& who, Cut how, const std::set<std::string>& but) {
+void World::isolate(const std::string& who, LinkCut how, const std::set<std::string>& but) {
   std::set<std::string> others{"state", "cloud", "user"};
   for (int i = 0; i < site_.controllers; ++i) others.insert(name_of(i));
   for (const std::string& host : machines_.up()) others.insert(host);
@@ -304,59 +309,59 @@
   }
 }
 
-void World::leave_alone(int controller, Cut how) {
+void World::leave_alone(int controller, LinkCut how) {
   cut(name_of(controller), "state", how);
   for (int i = 0; i < site_.controllers; ++i) {
     if (i != controller) cut(name_of(controller), name_of(i), how);
   }
 }
 
-void World::deafen(const std::string& host, Cut how) {
+void World::drop_inbound(const std::string& host, LinkCut how) {
   for (int i = 0; i < site_.controllers; ++i) cut_one_way(name_of(i), host, how);
 }
 
-void World::mute(const std::string& host, Cut how) {
-  for (int i = 0; i < site_.controllers; ++i) wires_.links.cut_requests(host, name_of(i), how);
+void World::drop_replies(const std::string& host, LinkCut how) {
+  for (int i = 0; i < site_.controllers; ++i) transport_.links.cut_requests(host, name_of(i), how);
 }
 
 /// Users cancel jobs that run and have long to go, all at once; some of their machines hang.
 void World::cancel_many(int count, Micros hang_for) {
-  const auto jobs = machines_.with_long_to_go(kLongToGo);
-  std::vector<std::string> refs;
-  for (const auto& [ref, hosts] : jobs) refs.push_back(ref);
-  std::erase_if(refs, [&](const std::string& ref) { return checker.asked(ref); });
-  std::shuffle(refs.begin(), refs.end(), wires_.random());
-  refs.resize(std::min(refs.size(), static_cast<std::size_t>(count)));
+  const auto jobs = machines_.with_long_to_go(kLongRemaining);
+  std::vector<std::string> job_ids;
+  for (const auto& [ref, hosts] : jobs) job_ids.push_back(ref);
+  std::erase_if(job_ids, [&](const std::string& job_id) { return checker.asked(job_id); });
+  std::shuffle(job_ids.begin(), job_ids.end(), transport_.random());
+  job_ids.resize(std::min(job_ids.size(), static_cast<std::size_t>(count)));
   std::set<std::string> theirs;
-  for (const std::string& ref : refs) {
-    at(from_seconds(uniform(0, kAllAtOnce)), [this, ref] { withdraw(ref); });
-    theirs.insert(jobs.at(ref).begin(), jobs.at(ref).end());
+  for (const std::string& job_id : job_ids) {
+    at(from_seconds(uniform(0, kAllAtOnce)), [this, job_id] { cancel(job_id); });
+    theirs.insert(jobs.at(job_id).begin(), jobs.at(job_id).end());
   }
   std::vector<std::string> hang_too(theirs.begin(), theirs.end());
-  std::shuffle(hang_too.begin(), hang_too.end(), wires_.random());
-  hang_too.resize(hang_for.count() > 0 ? std::min(hang_too.size(), kMostHang) : 0);
+  std::shuffle(hang_too.begin(), hang_too.end(), transport_.random());
+  hang_too.resize(hang_for.count() > 0 ? std::min(hang_too.size(), kMaxHang) : 0);
   for (const std::string& host : hang_too) hang(host, hang_for);
 }
 
 mail::Readiness World::ready(int controller) const {
   const auto& n = nodes_[static_cast<std::size_t>(controller)];
-  return n ? n->controller.ready() : mail::Readiness::cold;
+  return n ? n->controller.readiness() : mail::Readiness::cold;
 }
 
 int World::leader() const {
   for (std::size_t i = 0; i < nodes_.size(); ++i) {
-    if (nodes_[i] && nodes_[i]->controller.certain()) return static_cast<int>(i);
+    if (nodes_[i] && nodes_[i]->controller.lease_valid()) return static_cast<int>(i);
   }
   return -1;
 }
 
 std::uint64_t World::state_requests(const std::string& who) const {
-  const auto it = state_.requests().find(who);
-  return it == state_.requests().end() ? 0 : it->second;
+  const auto it = kv_service_.requests().find(who);
+  return it == kv_service_.requests().end() ? 0 : it->second;
 }
 
 std::uint64_t World::terms() const {
-  const Entry* e = state_.find("epoch");
+  const KvEntry* e = kv_service_.find("epoch");
   return e == nullptr ? 0 : e->value["epoch"].count().value_or(0);
 }
 
@@ -368,9 +373,9 @@
   return pick(site_.controllers);
 }
 
-void World::strike(const TroubleSpec& t) {
+void World::inject_fault(const FaultSpec& t) {
   const auto some = [&](std::vector<std::string> hosts) {
-    std::shuffle(hosts.begin(), hosts.end(), wires_.random());
+    std::shuffle(hosts.begin(), hosts.end(), transport_.random());
     const auto n = t.share > 0 ? static_cast<std::size_t>(t.share * static_cast<double>(hosts.size())) : 1;
     hosts.resize(std::min(hosts.size(), n));
     return hosts;
@@ -383,12 +388,13 @@
   } else if (t.what == "rolling_restart") {
     for (int i = 0; i < site_.controllers; ++i) at(t.lasts * i, [this, i] { crash(i, from_seconds(3)); });
   } else if (t.what == "controller_cut") {
-    isolate(name_of(controller(t.whom)), pick(2) == 0 ? Cut::hold : Cut::reset);
+    isolate(name_of(controller(t.whom)), pick(2) == 0 ? LinkCut::hold : LinkCut::reset);
     ends([this] { heal(); });
   } else if (t.what == "controller_stalls") {
     stall(controller(t.whom), t.lasts);
   } else if (t.what == "controller_alone") {
-    leave_alone(controller(t.whom.empty() ? "leader" : t.whom), pick(2) == 0 ? Cut::hold : Cut::reset);
+    leave_alone(controller(t.whom.empty() ? "leader" : t.whom),
+                pick(2) == 0 ? LinkCut::hold : LinkCut::reset);
     ends([this] { heal(); });
   } else if (t.what == "controller_flickers") {
     // Back within a fraction of a second, again and again.
@@ -397,33 +403,34 @@
       at(at_, [this, c] { crash(c, from_seconds(uniform(0.05, 0.9))); });
   } else if (t.what == "machine_deaf") {
     for (const std::string& h : t.whom.empty() ? some(hosts()) : std::vector<std::string>{t.whom})
-      deafen(h, pick(2) == 0 ? Cut::hold : Cut::reset);
+      drop_inbound(h, pick(2) == 0 ? LinkCut::hold : LinkCut::reset);
     ends([this] { heal(); });
   } else if (t.what == "machine_mute") {
     for (const std::string& h : t.whom.empty() ? some(hosts()) : std::vector<std::string>{t.whom})
-      mute(h, pick(2) == 0 ? Cut::hold : Cut::reset);
+      drop_replies(h, pick(2) == 0 ? LinkCut::hold : LinkCut::reset);
     ends([this] { heal(); });
   } else if (t.what == "mass_cancel") {
     cancel_many(t.count > 0 ? t.count : kManyJobs, t.lasts);
   } else if (t.what == "machine_reborn") {
-    for (const std::string& h : t.whom.empty() ? some(hosts()) : std::vector<std::string>{t.whom}) reborn(h);
+    for (const std::string& h : t.whom.empty() ? some(hosts()) : std::vector<std::string>{t.whom})
+      restart_worker(h);
   } else if (t.what == "late_copies") {
     copy_late({t.share > 0 ? t.share : 0.2,
                from_seconds(1),
-               Micros{static_cast<std::int64_t>(to_seconds(site_.settings.lease) * kCopyLeases * 1e6)},
+               Micros{static_cast<std::int64_t>(to_seconds(site_.settings.worker_lease) * kCopyLeases * 1e6)},
                {}});
     ends([this] { copy_late({}); });
   } else if (t.what == "late_writes") {
     write_late(t.share > 0 ? t.share : 0.2);
     ends([this] { write_late(0); });
   } else if (t.what == "lost_answers") {
-    SimWires::LostAnswers l;
+    SimTransport::AnswerLoss l;
     l.share = t.share > 0 ? t.share : 0.2;
     if (!t.whom.empty()) l.keys = {t.whom};
     ends([this, number = lose_answers(std::move(l))] { answer_again(number); });
   } else if (t.what == "question_storm") {
-    storm(8);
-    ends([this] { storm(1); });
+    query_storm(8);
+    ends([this] { query_storm(1); });
   } else if (t.what == "close_looks") {
     users_.look_closely(true);
     ends([this] { users_.look_closely(false); });
@@ -451,7 +458,7 @@
     });
     at(from_seconds(1) + t.lasts, [this] { state_outage(false); });
   } else if (t.what == "state_slow") {
-    state_slow(millis(300));
+    state_slow(from_millis(300));
     ends([this] { state_slow(Micros{0}); });
   } else if (t.what == "cloud_outage") {
     cloud_outage(true);
@@ -459,10 +466,10 @@
   } else if (t.what == "zone_cut") {
     const auto& zones = site_.settings.zones;
     cut_zone(t.whom.empty() ? zones[static_cast<std::size_t>(pick(static_cast<int>(zones.size())))] : t.whom,
-             pick(2) == 0 ? Cut::hold : Cut::reset);
+             pick(2) == 0 ? LinkCut::hold : LinkCut::reset);
     ends([this] { heal(); });
   } else if (t.what == "domain_cut") {
-    cut_domain(t.whom, pick(2) == 0 ? Cut::hold : Cut::reset);
+    cut_domain(t.whom, pick(2) == 0 ? LinkCut::hold : LinkCut::reset);
     ends([this] { heal(); });
   } else if (t.what == "domain_dies") {
     kill_domain(t.whom);
@@ -473,7 +480,7 @@
       hang(h, t.lasts);
   } else if (t.what == "spot_wave") {
     std::vector<std::string> spot = hosts();
-    std::erase_if(spot, [&](const std::string& h) { return !machines_.standby(h); });
+    std::erase_if(spot, [&](const std::string& h) { return !machines_.is_spot(h); });
     for (const std::string& h : some(spot)) take(h, t.lasts);
   }
 }
--- a/src/accounts/include/wrenusher/accounts/accounts.hpp
+++ b/src/accounts/include/wrenusher/accounts/accounts.hpp
@@ -14,20 +14,20 @@
 using namespace base;
 using namespace protocol;
 
-inline constexpr Micros kEvery = from_seconds(60);
+inline constexpr Micros kLogInterval = from_seconds(60);
 
 /// What starts waited for once they had a place, by queue.
-class Waits {
+class StartLatencyMetrics {
  public:
   struct Start {
-    Micros ordered{};  ///< from the claim until the worker had its order
-    Micros fetched{};
-    Micros gathered{};  ///< a gang's task, for the others
+    Micros command_wait{};  ///< from the claim until the worker had its order
+    Micros fetch_wait{};
+    Micros gang_wait{};  ///< a gang's task, for the others
     bool fetches = false;
   };
-  void started(const std::string& queue, const Start& s);
+  void started(const std::string& job_class, const Start& start);
   /// Logs them if it is time.
-  void tell(Instant now);
+  void log_if_due(Instant now);
 
  private:
   struct Sum {
@@ -35,25 +35,25 @@
     std::uint32_t fetches = 0;  ///< starts that had to wait for their image
     Start sum;
   };
-  std::map<std::string, Sum> queues_;
-  Instant next_{};
+  std::map<std::string, Sum> by_job_class_;
+  Instant next_log_{};
 };
 
 /// What was spent on each kind of machine (type; spot or not), by what it was spent on.
-class Money {
+class CostMetrics {
  public:
   /// A machine in the time since the last reckoning; amounts as cores, see planner::in_cores.
   struct Use {
     bool up = false;
-    Amount booked = 0;
+    Amount reserved = 0;
     Amount working = 0;
   };
   void begin(Instant now);
   /// Hours since the last call.
   double elapse(Instant now);
-  void spend(double hours, const Flavor& f, bool standby, const Use& use);
+  void spend(double hours, const MachineType& machine_type, bool spot, const Use& use);
   /// Logs the sums if it is time.
-  void tell(Instant now);
+  void log_if_due(Instant now);
 
  private:
   struct Spent {
@@ -64,9 +64,9 @@
     double run = 0;
     double total() const { return boot + idle + spare + wait + run; }
   };
-  std::map<std::pair<std::string, bool>, Spent> kinds_;
-  Instant at_{};
-  Instant next_{};
+  std::map<std::pair<std::string, bool>, Spent> by_class_;
+  Instant last_elapse_{};
+  Instant next_log_{};
 };
 
 }  // namespace wrenusher::accounts
