--- a/src/base/include/wrenusher/base/range_set.hpp
+++ b/src/base/include/wrenusher/base/range_set.hpp
@@ -24,8 +24,8 @@
   /// [first, last, first, last, ...] of the part between `first` and `last`, both included.
   Value write(std::uint32_t first, std::uint32_t last) const;
   /// Adds what `write` wrote, refusing numbers of `limit` and above.
-  bool read(const Value& v, std::uint32_t limit);
-  bool operator==(const RangeSet& o) const { return ranges_ == o.ranges_; }
+  bool read(const Value& value, std::uint32_t limit);
+  bool operator==(const RangeSet& other) const { return ranges_ == other.ranges_; }
 
  private:
   std::map<std::uint32_t, std::uint32_t> ranges_;  // first -> last
--- a/src/base/include/wrenusher/base/runtime.hpp
+++ b/src/base/include/wrenusher/base/runtime.hpp
@@ -21,8 +21,8 @@
   std::string method;
   std::string target;
   std::string body;
-  bool once = false;     ///< nothing else is to be asked there soon: its connection is not kept
-  std::size_t most = 0;  ///< an answer with a larger body is not taken; 0: any is
+  bool close_after = false;            ///< nothing else is to be asked there soon: its connection is not kept
+  std::size_t max_response_bytes = 0;  ///< an answer with a larger body is not taken; 0: any is
 };
 
 struct Response {
@@ -32,15 +32,15 @@
 };
 
 /// The end of one outgoing call.
-struct Outcome {
-  bool answered = false;  ///< a whole response came
-  bool sent = true;       ///< false: the request certainly never reached the other side
+struct CallResult {
+  bool answered = false;         ///< a whole response came
+  bool may_have_arrived = true;  ///< false: the request certainly never reached the other side
   Response response;
   bool too_large = false;  ///< not answered, since the answer was more than was asked for
 };
 
-using Answer = std::function<void(Response)>;
-using Done = std::function<void(Outcome)>;
+using Responder = std::function<void(Response)>;
+using CallHandler = std::function<void(CallResult)>;
 
 class Runtime {
  public:
@@ -50,12 +50,12 @@
   virtual ~Runtime() = default;
 
   virtual Instant now() const = 0;
-  virtual WallTime wall() const = 0;
+  virtual WallTime wall_time() const = 0;
   virtual std::mt19937_64& random() = 0;
   /// Runs `f` after the present event, in the order of the calls: the mail between actors.
-  virtual void post(std::function<void()> f) = 0;
-  virtual void after(Micros delay, std::function<void()> f) = 0;
-  virtual void fetch(const Endpoint& to, Request request, Micros timeout, Done done) = 0;
+  virtual void post(std::function<void()> action) = 0;
+  virtual void after(Micros delay, std::function<void()> action) = 0;
+  virtual void call(const Endpoint& endpoint, Request request, Micros timeout, CallHandler done) = 0;
 
   /// A random delay between 0 and `most`.
   Micros jitter(Micros most) {
@@ -66,20 +66,20 @@
 /// Where an actor puts messages of one kind; whoever wires the actors decides who receives them. Messages are
 /// delivered through the runtime's mail, never inside the sender's call.
 template <typename Message>
-class Sink {
+class EventSink {
  public:
-  void connect(Runtime& rt, std::function<void(const Message&)> receiver) {
-    rt_ = &rt;
+  void connect(Runtime& runtime, std::function<void(const Message&)> receiver) {
+    runtime_ = &runtime;
     receivers_.push_back(std::move(receiver));
   }
-  void operator()(const Message& m) const {
+  void operator()(const Message& message) const {
     for (const auto& receiver : receivers_) {
-      rt_->post([receiver, m] { receiver(m); });
+      runtime_->post([receiver, message] { receiver(message); });
     }
   }
 
  private:
-  Runtime* rt_ = nullptr;
+  Runtime* runtime_ = nullptr;
   std::vector<std::function<void(const Message&)>> receivers_;
 };
 
--- a/src/base/include/wrenusher/base/time.hpp
+++ b/src/base/include/wrenusher/base/time.hpp
@@ -9,24 +9,24 @@
 using Micros = std::chrono::duration<std::int64_t, std::micro>;
 
 /// Tag of the steady clock: never goes back, may drift a little against other machines.
-struct Steady {
+struct SteadyClock {
   using duration = Micros;
   using rep = Micros::rep;
   using period = Micros::period;
-  using time_point = std::chrono::time_point<Steady, Micros>;
+  using time_point = std::chrono::time_point<SteadyClock, Micros>;
   static constexpr bool is_steady = true;
 };
-using Instant = Steady::time_point;
+using Instant = SteadyClock::time_point;
 
 /// Tag of the time of day, which agrees between machines within the bound of the settings.
-struct Wall {
+struct WallClock {
   using duration = Micros;
   using rep = Micros::rep;
   using period = Micros::period;
-  using time_point = std::chrono::time_point<Wall, Micros>;
+  using time_point = std::chrono::time_point<WallClock, Micros>;
   static constexpr bool is_steady = false;
 };
-using WallTime = Wall::time_point;
+using WallTime = WallClock::time_point;
 
 constexpr Micros from_seconds(double s) {
   return Micros{static_cast<std::int64_t>(s * 1e6 + (s < 0 ? -0.5 : 0.5))};
@@ -34,7 +34,7 @@
 constexpr double to_seconds(Micros d) {
   return static_cast<double>(d.count()) / 1e6;
 }
-constexpr Micros millis(std::int64_t ms) {
+constexpr Micros from_millis(std::int64_t ms) {
   return Micros{ms * 1000};
 }
 
--- a/src/base/include/wrenusher/base/value.hpp
+++ b/src/base/include/wrenusher/base/value.hpp
@@ -35,8 +35,8 @@
   Value(std::string s) : data_(std::move(s)) {}
   Value(std::string_view s) : data_(std::string(s)) {}
   Value(const char* s) : data_(std::string(s)) {}
-  Value(List l) : data_(std::move(l)) {}
-  Value(Map m) : data_(std::move(m)) {}
+  Value(List list) : data_(std::move(list)) {}
+  Value(Map fields) : data_(std::move(fields)) {}
 
   bool is_null() const { return std::holds_alternative<std::nullptr_t>(data_); }
   const std::string* text() const { return std::get_if<std::string>(&data_); }
@@ -65,7 +65,7 @@
       nullptr;
 };
 
-std::string encode(const Value& v);
+std::string encode(const Value& value);
 
 /// Deepest nesting that a body may have.
 inline constexpr std::size_t kMaxDepth = 32;
--- a/src/base/range_set.cpp
+++ b/src/base/range_set.cpp
@@ -55,12 +55,12 @@
   return out;
 }
 
-bool RangeSet::read(const Value& v, std::uint32_t limit) {
-  const Value::List* l = v.list();
-  if (l == nullptr || l->size() % 2 != 0) return false;
-  for (std::size_t i = 0; i < l->size(); i += 2) {
-    const auto a = (*l)[i].count();
-    const auto b = (*l)[i + 1].count();
+bool RangeSet::read(const Value& value, std::uint32_t limit) {
+  const Value::List* list = value.list();
+  if (list == nullptr || list->size() % 2 != 0) return false;
+  for (std::size_t i = 0; i < list->size(); i += 2) {
+    const auto a = (*list)[i].count();
+    const auto b = (*list)[i + 1].count();
     if (!a || !b || *a > *b || *b >= limit) return false;
     add(static_cast<std::uint32_t>(*a), static_cast<std::uint32_t>(*b));
   }
--- a/src/base/refusal.cpp
+++ b/src/base/refusal.cpp
@@ -4,11 +4,11 @@
 
 namespace wrenusher::base {
 
-Response refuse(const Refusal& r) {
-  Value::Map body{{"code", r.code}, {"error", r.error}};
-  if (!r.field.empty()) body.emplace_back("field", r.field);
-  if (r.retry_after_s > 0) body.emplace_back("retry_after_s", r.retry_after_s);
-  return {r.status, encode(std::move(body)), r.retry_after_s};
+Response error_response(const ErrorResponse& refusal) {
+  Value::Map body{{"code", refusal.code}, {"error", refusal.error}};
+  if (!refusal.field.empty()) body.emplace_back("field", refusal.field);
+  if (refusal.retry_after_s > 0) body.emplace_back("retry_after_s", refusal.retry_after_s);
+  return {refusal.status, encode(std::move(body)), refusal.retry_after_s};
 }
 
 }  // namespace wrenusher::base
--- a/src/base/value.cpp
+++ b/src/base/value.cpp
@@ -47,12 +47,12 @@
   bool done() const { return finished_; }
   Value take() { return std::move(root_); }
 
-  void scalar(Value v) {
+  void scalar(Value value) {
     if (!open_.empty() && open_.back().kind == Kind::chunks) {
       failed = true;
       return;
     }
-    add(std::move(v));
+    add(std::move(value));
   }
 
   void text(std::string_view s) {
@@ -103,46 +103,46 @@
   };
 
   void close() {
-    Frame f = std::move(open_.back());
+    Frame frame = std::move(open_.back());
     open_.pop_back();
-    switch (f.kind) {
+    switch (frame.kind) {
       case Kind::list:
-        add(Value(std::move(f.items)));
+        add(Value(std::move(frame.items)));
         break;
       case Kind::map:
-        add(Value(std::move(f.fields)));
+        add(Value(std::move(frame.fields)));
         break;
       case Kind::chunks:
-        add(Value(std::move(f.key)));
+        add(Value(std::move(frame.key)));
         break;
     }
   }
 
-  void add(Value v) {
+  void add(Value value) {
     if (open_.empty()) {
       if (finished_) failed = true;
-      root_ = std::move(v);
+      root_ = std::move(value);
       finished_ = true;
       return;
     }
-    Frame& f = open_.back();
-    if (f.kind == Kind::map) {
-      if (!f.has_key) {
-        if (v.text() == nullptr) {
+    Frame& frame = open_.back();
+    if (frame.kind == Kind::map) {
+      if (!frame.has_key) {
+        if (value.text() == nullptr) {
           failed = true;
           return;
         }
-        f.key = *v.text();
-        f.has_key = true;
+        frame.key = *value.text();
+        frame.has_key = true;
         return;
       }
-      f.fields.emplace_back(std::move(f.key), std::move(v));
-      f.key.clear();
-      f.has_key = false;
+      frame.fields.emplace_back(std::move(frame.key), std::move(value));
+      frame.key.clear();
+      frame.has_key = false;
     } else {
-      f.items.push_back(std::move(v));
+      frame.items.push_back(std::move(value));
     }
-    if (f.left && --*f.left == 0) close();
+    if (frame.left && --*frame.left == 0) close();
   }
 
   std::vector<Frame> open_;
@@ -234,18 +234,18 @@
 }
 
 const Value& Value::operator[](std::string_view key) const {
-  if (const Map* m = map()) {
-    for (const Field& f : *m) {
-      if (f.first == key) return f.second;
+  if (const Map* fields = map()) {
+    for (const Field& field : *fields) {
+      if (field.first == key) return field.second;
     }
   }
   return kNull;
 }
 
 Value Value::take(std::string_view key) {
-  if (Map* m = std::get_if<Map>(&data_)) {
-    for (Field& f : *m) {
-      if (f.first == key) return std::exchange(f.second, Value());
+  if (Map* fields = std::get_if<Map>(&data_)) {
+    for (Field& field : *fields) {
+      if (field.first == key) return std::exchange(field.second, Value());
     }
   }
   return {};
@@ -259,21 +259,21 @@
     std::size_t operator()(std::int64_t n) const { return std::to_string(n).size(); }
     std::size_t operator()(double) const { return 24; }  // the longest form a double takes
     std::size_t operator()(const std::string& s) const { return json_text_size(s); }
-    std::size_t operator()(const List& l) const {
+    std::size_t operator()(const List& list) const {
       std::size_t n = 2;
-      for (const Value& v : l) n += v.json_size() + 1;
+      for (const Value& value : list) n += value.json_size() + 1;
       return n;
     }
-    std::size_t operator()(const Map& m) const {
+    std::size_t operator()(const Map& fields) const {
       std::size_t n = 2;
-      for (const Field& f : m) n += json_text_size(f.first) + 2 + f.second.json_size();
+      for (const Field& field : fields) n += json_text_size(field.first) + 2 + field.second.json_size();
       return n;
     }
   };
   return std::visit(Sizer{}, data_);
 }
 
-void encode_into(const Value& v, std::string& out) {
+void encode_into(const Value& value, std::string& out) {
   struct Writer {
     std::string& out;
     void operator()(std::nullptr_t) const { put(out, cbor_encode_null); }
@@ -287,24 +287,24 @@
       put(out, cbor_encode_string_start, s.size());
       out += s;
     }
-    void operator()(const Value::List& l) const {
-      put(out, cbor_encode_array_start, l.size());
-      for (const Value& item : l) encode_into(item, out);
+    void operator()(const Value::List& list) const {
+      put(out, cbor_encode_array_start, list.size());
+      for (const Value& item : list) encode_into(item, out);
     }
-    void operator()(const Value::Map& m) const {
-      put(out, cbor_encode_map_start, m.size());
-      for (const auto& [key, item] : m) {
+    void operator()(const Value::Map& fields) const {
+      put(out, cbor_encode_map_start, fields.size());
+      for (const auto& [key, item] : fields) {
         (*this)(key);
         encode_into(item, out);
       }
     }
   };
-  std::visit(Writer{out}, v.data_);
+  std::visit(Writer{out}, value.data_);
 }
 
-std::string encode(const Value& v) {
+std::string encode(const Value& value) {
   std::string out;
-  encode_into(v, out);
+  encode_into(value, out);
   return out;
 }
 
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -6,118 +6,118 @@
 
 /// Delivers the messages of a sink to a member function of an actor.
 template <typename Message, typename Actor>
-void wire(Runtime& rt, Sink<Message>& from, Actor& to, void (Actor::*receive)(const Message&)) {
-  from.connect(rt, [&to, receive](const Message& m) { (to.*receive)(m); });
+void wire(Runtime& runtime, EventSink<Message>& from, Actor& actor, void (Actor::*receive)(const Message&)) {
+  from.connect(runtime, [&actor, receive](const Message& message) { (actor.*receive)(message); });
 }
 
 }  // namespace
 
-Controller::Controller(Runtime& rt, Settings settings, survey::Reader reader)
+Controller::Controller(Runtime& runtime, Settings settings, survey::Reader reader)
     : settings_(std::move(settings)),
-      store_(rt, settings_),
-      survey_(rt, settings_.tunables.topology, std::move(reader)),
-      leadership_(rt, settings_, store_),
-      peer_(rt, settings_),
-      standby_(rt, settings_, store_),
-      frontdesk_(rt, settings_, store_),
-      fleet_(rt, settings_),
-      ledger_(rt, settings_, store_),
-      provisioner_(rt, settings_, store_) {
-  wire(rt, store_.health, peer_, &Peer::on_health);
-
-  wire(rt, leadership_.changed, peer_, &Peer::on_term);
-  wire(rt, leadership_.changed, fleet_, &Fleet::on_term);
-  wire(rt, leadership_.changed, provisioner_, &Provisioner::on_term);
-  wire(rt, leadership_.changed, ledger_, &Ledger::on_term);
-  wire(rt, leadership_.changed, standby_, &Standby::on_term);
-  wire(rt, leadership_.certainty, fleet_, &Fleet::on_certainty);
-  wire(rt, leadership_.certainty, ledger_, &Ledger::on_certainty);
-  wire(rt, leadership_.certainty, provisioner_, &Provisioner::on_certainty);
-
-  wire(rt, leadership_.ceding, standby_, &Standby::on_ceding);
-  wire(rt, leadership_.ceding, peer_, &Peer::on_ceding);
-  wire(rt, peer_.sent, standby_, &Standby::on_beat);
-  wire(rt, peer_.aside, standby_, &Standby::on_aside);
-  wire(rt, standby_.aside, peer_, &Peer::on_aside);
-  wire(rt, standby_.readiness, peer_, &Peer::on_ready);
-  wire(rt, standby_.readiness, leadership_, &Leadership::on_ready);
-  wire(rt, standby_.inherited, fleet_, &Fleet::on_inherited);
-  wire(rt, standby_.inherited, provisioner_, &Provisioner::on_inherited);
-  wire(rt, standby_.inherited, ledger_, &Ledger::on_inherited);
-  wire(rt, standby_.copied, ledger_, &Ledger::on_copied);
-  wire(rt, ledger_.hints, standby_, &Standby::on_ledger);
-  wire(rt, provisioner_.hints, standby_, &Standby::on_rentals);
-  wire(rt, provisioner_.gone, standby_, &Standby::on_gone);
-
-  wire(rt, survey_.read, leadership_, &Leadership::on_topology);
-  wire(rt, survey_.read, peer_, &Peer::on_topology);
-  wire(rt, leadership_.force, peer_, &Peer::on_force);
-  wire(rt, leadership_.force, frontdesk_, &Frontdesk::on_topology);
-  wire(rt, leadership_.force, fleet_, &Fleet::on_topology);
-  wire(rt, leadership_.force, ledger_, &Ledger::on_topology);
-
-  wire(rt, peer_.news, leadership_, &Leadership::on_peer);
-  wire(rt, peer_.news, frontdesk_, &Frontdesk::on_peer);
+      kv_client_(runtime, settings_),
+      topology_loader_(runtime, settings_.tunables.topology, std::move(reader)),
+      leadership_(runtime, settings_, kv_client_),
+      peer_(runtime, settings_),
+      standby_(runtime, settings_, kv_client_),
+      job_api_(runtime, settings_, kv_client_),
+      worker_gateway_(runtime, settings_),
+      leader_(runtime, settings_, kv_client_),
+      provisioner_(runtime, settings_, kv_client_) {
+  wire(runtime, kv_client_.health, peer_, &Peer::on_health);
+
+  wire(runtime, leadership_.term_changed, peer_, &Peer::on_term);
+  wire(runtime, leadership_.term_changed, worker_gateway_, &WorkerGateway::on_term);
+  wire(runtime, leadership_.term_changed, provisioner_, &Provisioner::on_term);
+  wire(runtime, leadership_.term_changed, leader_, &LeaderActor::on_term);
+  wire(runtime, leadership_.term_changed, standby_, &StandbyReplica::on_term);
+  wire(runtime, leadership_.lease_validity, worker_gateway_, &WorkerGateway::on_lease_validity);
+  wire(runtime, leadership_.lease_validity, leader_, &LeaderActor::on_lease_validity);
+  wire(runtime, leadership_.lease_validity, provisioner_, &Provisioner::on_lease_validity);
+
+  wire(runtime, leadership_.stepping_down, standby_, &StandbyReplica::on_stepping_down);
+  wire(runtime, leadership_.stepping_down, peer_, &Peer::on_stepping_down);
+  wire(runtime, peer_.heartbeat_sent, standby_, &StandbyReplica::on_heartbeat_sent);
+  wire(runtime, peer_.attachment_received, standby_, &StandbyReplica::on_attachment);
+  wire(runtime, standby_.attachment, peer_, &Peer::on_attachment);
+  wire(runtime, standby_.readiness_changed, peer_, &Peer::on_readiness);
+  wire(runtime, standby_.readiness_changed, leadership_, &Leadership::on_readiness);
+  wire(runtime, standby_.hints_inherited, worker_gateway_, &WorkerGateway::on_hints_inherited);
+  wire(runtime, standby_.hints_inherited, provisioner_, &Provisioner::on_hints_inherited);
+  wire(runtime, standby_.hints_inherited, leader_, &LeaderActor::on_hints_inherited);
+  wire(runtime, standby_.replica_verified, leader_, &LeaderActor::on_replica_verified);
+  wire(runtime, leader_.hints, standby_, &StandbyReplica::on_leader_hints);
+  wire(runtime, provisioner_.rental_hints, standby_, &StandbyReplica::on_rental_hints);
+  wire(runtime, provisioner_.machine_departed, standby_, &StandbyReplica::on_machine_departed);
+
+  wire(runtime, topology_loader_.topology_loaded, leadership_, &Leadership::on_topology_loaded);
+  wire(runtime, topology_loader_.topology_loaded, peer_, &Peer::on_topology_loaded);
+  wire(runtime, leadership_.topology_activated, peer_, &Peer::on_topology_activated);
+  wire(runtime, leadership_.topology_activated, job_api_, &JobApi::on_topology_activated);
+  wire(runtime, leadership_.topology_activated, worker_gateway_, &WorkerGateway::on_topology_activated);
+  wire(runtime, leadership_.topology_activated, leader_, &LeaderActor::on_topology);
+
+  wire(runtime, peer_.peer_status, leadership_, &Leadership::on_peer_status);
+  wire(runtime, peer_.peer_status, job_api_, &JobApi::on_peer_status);
   // First what is cancelled, then how much of it is known: Peer sends in that order.
-  wire(rt, peer_.withdrawn, ledger_, &Ledger::on_withdrawn);
-  wire(rt, peer_.withdrawn, fleet_, &Fleet::on_withdrawn);
-  wire(rt, peer_.known, fleet_, &Fleet::on_known);
-  wire(rt, ledger_.cancellations_read, peer_, &Peer::on_read);
-  wire(rt, standby_.cancellations_read, peer_, &Peer::on_read);
+  wire(runtime, peer_.job_cancelled, leader_, &LeaderActor::on_job_cancelled);
+  wire(runtime, peer_.job_cancelled, worker_gateway_, &WorkerGateway::on_job_cancelled);
+  wire(runtime, peer_.cancellations_known, worker_gateway_, &WorkerGateway::on_cancellations_known);
+  wire(runtime, leader_.cancellations_read, peer_, &Peer::on_cancellations_read);
+  wire(runtime, standby_.cancellations_read, peer_, &Peer::on_cancellations_read);
 
   // Before a user is told something new the peers know that it is about to be.
-  wire(rt, frontdesk_.announcing, peer_, &Peer::on_announce);
-  wire(rt, peer_.announced, frontdesk_, &Frontdesk::on_announced);
-  wire(rt, peer_.confirmed, frontdesk_, &Frontdesk::on_confirmed);
-  wire(rt, standby_.followed, frontdesk_, &Frontdesk::on_followed);
-  wire(rt, ledger_.followed, frontdesk_, &Frontdesk::on_followed);
-
-  wire(rt, frontdesk_.withdrawn, peer_, &Peer::on_withdrawn);
-  wire(rt, frontdesk_.withdrawn, ledger_, &Ledger::on_withdrawn);
-  wire(rt, frontdesk_.withdrawn, fleet_, &Fleet::on_withdrawn);
-
-  wire(rt, fleet_.reported, ledger_, &Ledger::on_report);
-  wire(rt, fleet_.doubted, ledger_, &Ledger::on_doubted);
-  wire(rt, fleet_.quiet, ledger_, &Ledger::on_quiet);
-  wire(rt, fleet_.quiet, provisioner_, &Provisioner::on_quiet);
-  wire(rt, fleet_.useless, provisioner_, &Provisioner::on_suspect);
-  wire(rt, fleet_.hearing, leadership_, &Leadership::on_hearing);
-  wire(rt, fleet_.hearing, peer_, &Peer::on_hearing);
-  wire(rt, fleet_.deposed, leadership_, &Leadership::on_deposed);
-
-  wire(rt, ledger_.workload, provisioner_, &Provisioner::on_workload);
-  wire(rt, ledger_.progress, frontdesk_, &Frontdesk::on_progress);
-  wire(rt, ledger_.progress, peer_, &Peer::on_progress);
-  wire(rt, peer_.progress, frontdesk_, &Frontdesk::on_progress);
-  wire(rt, ledger_.direct, fleet_, &Fleet::on_direct);
-  wire(rt, ledger_.deposed, leadership_, &Leadership::on_deposed);
-  wire(rt, ledger_.suspect, provisioner_, &Provisioner::on_suspect);
-
-  wire(rt, provisioner_.catalog_seen, frontdesk_, &Frontdesk::on_catalog);
-  wire(rt, provisioner_.catalog_seen, ledger_, &Ledger::on_catalog);
-  wire(rt, provisioner_.condemned, ledger_, &Ledger::on_condemned);
-  wire(rt, provisioner_.capacity, ledger_, &Ledger::on_capacity);
-  wire(rt, provisioner_.listed, fleet_, &Fleet::on_listed);
-  wire(rt, provisioner_.gone, ledger_, &Ledger::on_gone);
-  wire(rt, provisioner_.gone, fleet_, &Fleet::on_gone);
+  wire(runtime, job_api_.stage_announcement, peer_, &Peer::on_announcement);
+  wire(runtime, peer_.stage_announced, job_api_, &JobApi::on_stage_announced);
+  wire(runtime, peer_.stage_confirmed, job_api_, &JobApi::on_stage_confirmed);
+  wire(runtime, standby_.records_changed, job_api_, &JobApi::on_records_changed);
+  wire(runtime, leader_.records_changed, job_api_, &JobApi::on_records_changed);
+
+  wire(runtime, job_api_.job_cancelled, peer_, &Peer::on_cancelled);
+  wire(runtime, job_api_.job_cancelled, leader_, &LeaderActor::on_job_cancelled);
+  wire(runtime, job_api_.job_cancelled, worker_gateway_, &WorkerGateway::on_job_cancelled);
+
+  wire(runtime, worker_gateway_.worker_reported, leader_, &LeaderActor::on_report);
+  wire(runtime, worker_gateway_.machines_suspected, leader_, &LeaderActor::on_machines_suspected);
+  wire(runtime, worker_gateway_.worker_silent, leader_, &LeaderActor::on_worker_silent);
+  wire(runtime, worker_gateway_.worker_silent, provisioner_, &Provisioner::on_worker_silent);
+  wire(runtime, worker_gateway_.machine_unreachable, provisioner_, &Provisioner::on_machine_suspect);
+  wire(runtime, worker_gateway_.reachability, leadership_, &Leadership::on_worker_reachability);
+  wire(runtime, worker_gateway_.reachability, peer_, &Peer::on_worker_reachability);
+  wire(runtime, worker_gateway_.leadership_lost, leadership_, &Leadership::on_leadership_lost);
+
+  wire(runtime, leader_.workload, provisioner_, &Provisioner::on_workload);
+  wire(runtime, leader_.progress, job_api_, &JobApi::on_progress);
+  wire(runtime, leader_.progress, peer_, &Peer::on_progress);
+  wire(runtime, peer_.progress, job_api_, &JobApi::on_progress);
+  wire(runtime, leader_.direct_commands, worker_gateway_, &WorkerGateway::on_direct_commands);
+  wire(runtime, leader_.leadership_lost, leadership_, &Leadership::on_leadership_lost);
+  wire(runtime, leader_.machine_suspect, provisioner_, &Provisioner::on_machine_suspect);
+
+  wire(runtime, provisioner_.catalog_updated, job_api_, &JobApi::on_catalog_updated);
+  wire(runtime, provisioner_.catalog_updated, leader_, &LeaderActor::on_catalog);
+  wire(runtime, provisioner_.machine_cordoned, leader_, &LeaderActor::on_machine_cordoned);
+  wire(runtime, provisioner_.capacity_changed, leader_, &LeaderActor::on_capacity);
+  wire(runtime, provisioner_.machine_listed, worker_gateway_, &WorkerGateway::on_machine_listed);
+  wire(runtime, provisioner_.machine_departed, leader_, &LeaderActor::on_machine_departed);
+  wire(runtime, provisioner_.machine_departed, worker_gateway_, &WorkerGateway::on_machine_departed);
 }
 
 void Controller::start() {
-  survey_.start();
+  topology_loader_.start();
   leadership_.start();
   peer_.start();
   standby_.start();
-  frontdesk_.start();
-  fleet_.start();
-  ledger_.start();
+  job_api_.start();
+  worker_gateway_.start();
+  leader_.start();
   provisioner_.start();
 }
 
-void Controller::serve_client(const Request& request, const Answer& answer) {
+void Controller::serve_client(const Request& request, const Responder& answer) {
   if (request.target == "/hello") {
-    fleet_.hello(request, answer);
+    worker_gateway_.on_report(request, answer);
   } else {
-    frontdesk_.serve(request, answer);
+    job_api_.serve(request, answer);
   }
 }
 
--- a/src/controller/include/wrenusher/controller/controller.hpp
+++ b/src/controller/include/wrenusher/controller/controller.hpp
@@ -26,31 +26,31 @@
 class Controller {
  public:
   /// `reader`: how the operators' topology is read, where the settings name one.
-  Controller(Runtime& rt, Settings settings, survey::Reader reader = fields::read_file);
+  Controller(Runtime& runtime, Settings settings, survey::Reader reader = fields::read_file);
   void start();
 
   /// A request on `client_listen`: a user's, a worker's or a health check.
-  void serve_client(const Request& request, const Answer& answer);
+  void serve_client(const Request& request, const Responder& answer);
   /// A request on `peer_listen`.
-  void serve_peer(const Request& request, const Answer& answer) { peer_.serve(request, answer); }
+  void serve_peer(const Request& request, const Responder& answer) { peer_.serve(request, answer); }
 
-  bool certain() const { return leadership_.certain(); }
+  bool lease_valid() const { return leadership_.lease_valid(); }
   /// The parts of this node's takeovers, as they are over.
-  Sink<TakenOver>& taken_over() { return ledger_.taken_over; }
+  EventSink<FailoverTimes>& failover_finished() { return leader_.failover_finished; }
   /// How much of what a leader knows this node has.
-  Readiness ready() const { return standby_.ready(); }
-  std::string disagreement() const { return ledger_.disagreement(); }
+  Readiness readiness() const { return standby_.readiness(); }
+  std::string disagreement() const { return leader_.disagreement(); }
 
  private:
   Settings settings_;
-  Store store_;
-  survey::Survey survey_;
+  KvClient kv_client_;
+  survey::TopologyLoader topology_loader_;
   Leadership leadership_;
   Peer peer_;
-  Standby standby_;
-  Frontdesk frontdesk_;
-  Fleet fleet_;
-  Ledger ledger_;
+  StandbyReplica standby_;
+  JobApi job_api_;
+  WorkerGateway worker_gateway_;
+  LeaderActor leader_;
   Provisioner provisioner_;
 };
 
--- a/src/desk/include/wrenusher/desk/frontdesk.hpp
+++ b/src/desk/include/wrenusher/desk/frontdesk.hpp
@@ -1,9 +1,9 @@
 #pragma once
 // Package desk: users' requests, on any node. Everything is decided by the state service, nothing by this
 // node's memory but final states; it owns the cache of those, the index of live jobs that each question has
-// brought up to date (JobIndex), and the answers that wait until they may be given (AnswerOrder). While the
-// index is not whole, records are read one by one and compared in groups. It may depend on base, settings,
-// protocol, store, records and mail.
+// brought up to date (JobIndex), and the answers that wait until they may be given (ReadConsistency). While
+// the index is not whole, records are read one by one and compared in groups. It may depend on base,
+// settings, protocol, store, records and mail.
 
 #include <deque>
 #include <memory>
@@ -23,95 +23,99 @@
 using namespace store;
 using namespace mail;
 
-class Frontdesk {
+class JobApi {
  public:
-  Frontdesk(Runtime& rt, const Settings& settings, Store& store);
+  JobApi(Runtime& runtime, const Settings& settings, KvClient& store);
   /// Begins to read the live jobs, so that questions can be answered from the index.
-  void start() { index_.begin(); }
-  void serve(const Request& request, const Answer& answer);
+  void start() { index_.load(); }
+  void serve(const Request& request, const Responder& answer);
 
-  void on_topology(const TopologyInForce& t) { topology_ = t; }
-  void on_catalog(const CatalogSeen& c) { catalog_ = c.catalog; }
-  void on_progress(const std::shared_ptr<const Progress>& p);
-  void on_peer(const PeerNews& news);
-  void on_followed(const RecordsFollowed& f);
+  void on_topology_activated(const TopologyActivated& event) { topology_ = event; }
+  void on_catalog_updated(const CatalogUpdated& event) { catalog_ = event.catalog; }
+  void on_progress(const std::shared_ptr<const Progress>& counts);
+  void on_peer_status(const PeerStatus& news);
+  void on_records_changed(const RecordsChanged& event);
   /// A peer is about to tell a user so.
-  void on_announced(const Announcement& a) { order_.announced(a.ref, a.level, rt_.now()); }
+  void on_stage_announced(const StageAnnouncement& event) {
+    consistency_.on_peer_announcement(event.job_id, event.stage, runtime_.now());
+  }
   /// Every peer knows that this node is about to.
-  void on_confirmed(const Announcement& a);
+  void on_stage_confirmed(const StageAnnouncement& event);
 
-  Sink<JobWithdrawn> withdrawn;
-  Sink<Announcement> announcing;
+  EventSink<JobCancelled> job_cancelled;
+  EventSink<StageAnnouncement> stage_announcement;
 
  private:
-  struct State {
+  struct JobState {
     std::string status;
     std::uint64_t done = 0;
     std::uint64_t running = 0;
   };
   /// The state of a job; `failed`: the state service could not be asked.
-  struct Found {
+  struct Lookup {
     bool failed = true;
-    std::optional<State> state;
-    Instant sent{};     ///< it was so then, or later
-    bool busy = false;  ///< failed since too much waits here
+    std::optional<JobState> state;
+    Instant asked_at{};       ///< it was so then, or later
+    bool queue_full = false;  ///< failed since too much waits here
   };
   /// What to answer a user who asked for a job that is in this state.
-  using Say = std::function<Response(const State&)>;
+  using ResponseFor = std::function<Response(const JobState&)>;
   /// A live record as it was last read.
-  struct Known {
-    std::uint64_t stamp = 0;
-    bool withdrawn = false;
+  struct KnownRecord {
+    std::uint64_t mod_revision = 0;
+    bool cancelled = false;
   };
-  struct Check {
-    std::string ref;
-    std::function<void(Found)> done;
+  struct PendingCheck {
+    std::string job_id;
+    std::function<void(Lookup)> done;
   };
-  void lookup(const std::string& ref, std::function<void(Found)> done);
-  void look_up_in_index(const std::string& ref, std::function<void(Found)> done);
-  void read(const std::string& ref, const std::function<void(Found)>& done);
-  void check();
-  void settle_checks(std::vector<Check> asked, const Commit& c);
-  void know(const std::string& ref, const Known& k);
-  State live_state(const std::string& ref, bool gone) const;
-  State newest(const std::string& ref) const;
-  Level level_of(const Found& f) const;
-  void ask(const std::string& ref, int tries, const std::function<void(Found)>& done);
-  std::optional<Fault> never(const JobSpec& spec, const Team* team) const;
-  void submit(const Request& request, const Answer& answer);
-  void poll(const std::string& ref, const Answer& answer);
-  void withdraw(const std::string& ref, int tries, const Answer& answer);
-  void tell(const std::string& ref, const Found& f, const Say& say, const Answer& answer);
-  void give(const std::string& ref, const Found& f, const Say& say, const Answer& answer);
-  void release(const std::string& ref, Level level);
-  void known_or(const std::string& ref, Response otherwise, const Answer& answer);
-  void remember(const std::string& ref, const State& s);
+  void lookup(const std::string& job_id, std::function<void(Lookup)> done);
+  void lookup_in_index(const std::string& job_id, std::function<void(Lookup)> done);
+  void read_records(const std::string& job_id, const std::function<void(Lookup)>& done);
+  void send_checks();
+  void on_checked(std::vector<PendingCheck> asked, const CommitReply& reply);
+  void remember_record(const std::string& job_id, const KnownRecord& record);
+  JobState live_state(const std::string& job_id, bool gone) const;
+  JobState newest_state(const std::string& job_id) const;
+  JobStage stage_of(const Lookup& found) const;
+  void lookup_consistent(const std::string& job_id, int tries, const std::function<void(Lookup)>& done);
+  std::optional<InvalidField> why_never_runs(const JobSpec& spec, const Team* team) const;
+  void submit(const Request& request, const Responder& answer);
+  void poll(const std::string& job_id, const Responder& answer);
+  void cancel_job(const std::string& job_id, int tries, const Responder& answer);
+  void announce_and_answer(const std::string& job_id, const Lookup& found, const ResponseFor& say,
+                           const Responder& answer);
+  void answer_when_consistent(const std::string& job_id, const Lookup& found, const ResponseFor& say,
+                              const Responder& answer);
+  void release_waiting(const std::string& job_id, JobStage level);
+  void answer_known_or(const std::string& job_id, Response otherwise, const Responder& answer);
+  void remember_final_state(const std::string& job_id, const JobState& state);
   bool ready() const;
 
-  Runtime& rt_;
+  Runtime& runtime_;
   const Settings& settings_;
-  Store& store_;
+  KvClient& store_;
   std::shared_ptr<const Catalog> catalog_;
-  TopologyInForce topology_;
+  TopologyActivated topology_;
   struct PeerSeen {
-    Instant reached{};                   ///< the newest question that it answered
-    bool store = false;                  ///< it has the state service
-    Instant announced = Instant::min();  ///< what it had announced by then is known here
+    Instant asked_at{};                              ///< the newest question that it answered
+    bool kv_reachable = false;                       ///< it has the state service
+    Instant announcements_through = Instant::min();  ///< what it had announced by then is known here
   };
   std::map<std::string, PeerSeen> peers_;
   /// Done and running tasks of live jobs.
   std::unordered_map<std::string, std::pair<std::uint64_t, std::uint64_t>> counts_;
   /// Final states never change, so an old answer is as good as a new one.
-  std::unordered_map<std::string, State> finals_;
-  std::deque<std::string> finals_order_;
-  std::unordered_map<std::string, Known> known_;
-  std::deque<std::string> known_order_;
-  AnswerOrder order_;
+  std::unordered_map<std::string, JobState> final_states_;
+  std::deque<std::string> final_states_order_;
+  std::unordered_map<std::string, KnownRecord> known_records_;
+  std::deque<std::string> known_records_order_;
+  ReadConsistency consistency_;
   JobIndex index_;
   /// Answers that wait until they may be given.
-  std::map<std::pair<std::string, Level>, std::vector<std::function<void()>>> held_;
+  std::map<std::pair<std::string, JobStage>, std::vector<std::function<void()>>> waiting_answers_;
   /// Questions that the next comparison settles.
-  std::deque<Check> checks_;
+  std::deque<PendingCheck> checks_;
   bool checking_ = false;
 };
 
--- a/src/desk/include/wrenusher/desk/job_index.hpp
+++ b/src/desk/include/wrenusher/desk/job_index.hpp
@@ -22,74 +22,74 @@
 class JobIndex {
  public:
   /// How a job stands by the index.
-  enum class Standing {
+  enum class Presence {
     live,
     cancelled,  ///< live, with its cancellation recorded
     absent,  ///< over or never accepted; `on_ended` has told of it if it has ended while the index was whole
     failed   ///< the state service could not be asked, or the index is not whole any more
   };
-  struct Answer {
-    Standing standing = Standing::failed;
-    Instant sent{};  ///< when the state service was asked: it was so then or later
+  struct Lookup {
+    Presence presence = Presence::failed;
+    Instant asked_at{};  ///< when the state service was asked: it was so then or later
   };
-  using Done = std::function<void(const Answer&)>;
+  using LookupHandler = std::function<void(const Lookup&)>;
 
   /// Questions that wait at the most; what is over is refused.
-  static constexpr std::size_t kMostQuestions = 12000;
+  static constexpr std::size_t kMaxQueries = 12000;
 
-  JobIndex(Runtime& rt, Store& store) : rt_(rt), store_(store) {}
+  JobIndex(Runtime& runtime, KvClient& store) : runtime_(runtime), store_(store) {}
 
   /// Reads all live jobs, and keeps the index from then on.
-  void begin();
+  void load();
   /// Whether questions can be answered from it.
-  bool whole() const { return whole_; }
+  bool complete() const { return complete_; }
   /// Whether one more question may wait.
-  bool has_room() const { return questions_.size() < kMostQuestions; }
+  bool has_room() const { return waiting_.size() < kMaxQueries; }
   /// Answers once the index has been brought up to date by a request that goes out from now on.
-  void ask(const std::string& ref, Done done);
+  void query(const std::string& job_id, LookupHandler done);
 
   std::size_t size() const { return jobs_.size(); }
 
   /// A job's final record was read: its state and how many tasks were done. Before any question about it is
   /// answered with `absent`.
-  std::function<void(const std::string& ref, const std::string& state, std::uint64_t done)> on_ended;
+  std::function<void(const std::string& job_id, const std::string& state, std::uint64_t done)> on_ended;
   /// What each refresh has brought.
-  std::function<void(const mail::RecordsFollowed&)> on_followed;
+  std::function<void(const mail::RecordsChanged&)> on_followed;
 
  private:
   struct Job {
-    std::uint64_t stamp = 0;
+    std::uint64_t mod_revision = 0;
     bool cancelled = false;
   };
-  struct Question {
-    std::string ref;
-    Done done;
+  struct Query {
+    std::string job_id;
+    LookupHandler done;
   };
   void read_page();
-  void take_page(const Read& page);
+  void on_page(const ReadReply& page);
   void drop(const char* why);
-  void plan_refresh();
+  void schedule_refresh();
   Micros pause() const;
   void refresh();
-  void refreshed(const FollowReply& reply);
-  bool fits(const FollowReply& reply) const;
-  void apply(const FollowReply& reply);
-  void read_ends(std::vector<Question> waiting, Instant sent);
-  void put(const Row& row);
-  Standing standing_of(const std::string& ref) const;
-  static void fail(std::vector<Question> questions);
+  void on_refreshed(const WatchReply& reply);
+  bool is_contiguous(const WatchReply& reply) const;
+  void apply(const WatchReply& reply);
+  void read_final_states(std::vector<Query> waiting, Instant sent);
+  void put(const KeyValue& row);
+  Presence presence_of(const std::string& job_id) const;
+  static void fail(std::vector<Query> questions);
 
-  Runtime& rt_;
-  Store& store_;
+  Runtime& runtime_;
+  KvClient& store_;
   std::unordered_map<std::string, Job> jobs_;
-  bool whole_ = false;
-  std::string page_from_;
-  std::optional<std::uint64_t> first_page_;  ///< its revision
-  std::uint64_t reached_ = 0;                ///< the revision at which the index stands
-  std::uint64_t ends_reached_ = 0;           ///< final records up to this revision have been told of
-  std::vector<Question> questions_;          ///< that the next refresh answers
-  std::vector<Question> under_way_;          ///< that the present one does
-  bool planned_ = false;
+  bool complete_ = false;
+  std::string next_page_key_;
+  std::optional<std::uint64_t> first_page_revision_;  ///< its revision
+  std::uint64_t revision_ = 0;                        ///< the revision at which the index stands
+  std::uint64_t final_states_revision_ = 0;           ///< final records up to this revision have been told of
+  std::vector<Query> waiting_;                        ///< that the next refresh answers
+  std::vector<Query> in_flight_;                      ///< that the present one does
+  bool refresh_scheduled_ = false;
   bool refreshing_ = false;
   Instant last_refresh_{};
 };
--- a/src/estimates/estimator.cpp
+++ b/src/estimates/estimator.cpp
@@ -27,27 +27,28 @@
 
 }  // namespace
 
-const Estimator::Seen* Estimator::seen(const JobSpec& spec) const {
-  const auto queue = queues_.find(spec.queue);
-  if (queue == queues_.end()) return nullptr;
-  const auto& jobs = queue->second.jobs;
-  const auto it = std::find_if(jobs.begin(), jobs.end(), [&](const Seen& s) { return s.ref == spec.ref; });
+const Estimator::JobSample* Estimator::find_sample(const JobSpec& spec) const {
+  const auto job_class = job_classes_.find(spec.job_class);
+  if (job_class == job_classes_.end()) return nullptr;
+  const auto& jobs = job_class->second.jobs;
+  const auto it = std::find_if(jobs.begin(), jobs.end(),
+                               [&](const JobSample& sample) { return sample.job_id == spec.job_id; });
   return it == jobs.end() ? nullptr : &*it;
 }
 
-double Estimator::usual(const std::deque<Seen>& jobs) {
+double Estimator::typical_ratio(const std::deque<JobSample>& jobs) {
   std::vector<double> means;
-  for (const Seen& s : jobs) means.push_back(s.mean());
+  for (const JobSample& sample : jobs) means.push_back(sample.mean());
   return cautious_median(std::move(means), kPrior);
 }
 
-void Estimator::Host::reckon() {
+void Estimator::Host::update_speed() {
   speed = std::clamp(std::exp(-cautious_median({ratios.begin(), ratios.end()}, kHostPrior)), 0.2, 1.5);
 }
 
-std::vector<std::string> Estimator::queues() const {
+std::vector<std::string> Estimator::job_classes() const {
   std::vector<std::string> out;
-  for (const auto& [name, q] : queues_) out.push_back(name);
+  for (const auto& [name, q] : job_classes_) out.push_back(name);
   return out;
 }
 
@@ -58,59 +59,61 @@
   return {static_cast<int>(ratios.size()), cautious_median({ratios.begin(), ratios.end()}, 0)};
 }
 
-void Estimator::inherit(const std::string& queue, std::deque<Seen> jobs) {
-  std::erase_if(jobs, [](const Seen& s) { return s.tasks <= 0; });
+void Estimator::adopt_class(const std::string& job_class, std::deque<JobSample> jobs) {
+  std::erase_if(jobs, [](const JobSample& sample) { return sample.tasks <= 0; });
   while (jobs.size() > kJobs) jobs.pop_front();
   if (jobs.empty()) return;
-  Queue& q = queues_[queue];
-  q.jobs = std::move(jobs);
-  q.usual = usual(q.jobs);
-  ++q.version;
+  JobClass& history = job_classes_[job_class];
+  history.jobs = std::move(jobs);
+  history.typical_ratio = typical_ratio(history.jobs);
+  ++history.version;
 }
 
-void Estimator::inherit_host(const std::string& host, int tasks, double slowness) {
+void Estimator::adopt_host(const std::string& host, int tasks, double slowness) {
   if (tasks <= 0) return;
-  Host& h = hosts_[host];
-  h.ratios.assign(std::min<std::size_t>(static_cast<std::size_t>(tasks), kHostTasks), slowness);
-  h.reckon();
+  Host& record = hosts_[host];
+  record.ratios.assign(std::min<std::size_t>(static_cast<std::size_t>(tasks), kHostTasks), slowness);
+  record.update_speed();
 }
 
-void Estimator::ran(const JobSpec& spec, const std::string& host, Micros took) {
-  if (spec.expected.count() <= 0 || took.count() <= 0) return;
-  const double ratio = std::log(to_seconds(took) / to_seconds(spec.expected));
-  if (const Seen* s = seen(spec)) {
+void Estimator::record_run(const JobSpec& spec, const std::string& host, Micros took) {
+  if (spec.expected_runtime.count() <= 0 || took.count() <= 0) return;
+  const double ratio = std::log(to_seconds(took) / to_seconds(spec.expected_runtime));
+  if (const JobSample* sample = find_sample(spec)) {
     // Against other tasks of the same job only the machine differs.
-    auto& h = hosts_[host];
-    h.ratios.push_back(ratio - s->mean());
-    if (h.ratios.size() > kHostTasks) h.ratios.pop_front();
-    h.reckon();
+    auto& record = hosts_[host];
+    record.ratios.push_back(ratio - sample->mean());
+    if (record.ratios.size() > kHostTasks) record.ratios.pop_front();
+    record.update_speed();
   }
-  Queue& seen_there = queues_[spec.queue];
+  JobClass& seen_there = job_classes_[spec.job_class];
   auto& queue = seen_there.jobs;
-  auto it = std::find_if(queue.begin(), queue.end(), [&](const Seen& s) { return s.ref == spec.ref; });
+  auto it = std::find_if(queue.begin(), queue.end(),
+                         [&](const JobSample& sample) { return sample.job_id == spec.job_id; });
   if (it == queue.end()) {
-    queue.push_back({spec.ref, 0, 0});
+    queue.push_back({spec.job_id, 0, 0});
     if (queue.size() > kJobs) queue.pop_front();
     it = std::prev(queue.end());
   }
   it->sum += ratio;
   ++it->tasks;
-  seen_there.usual = usual(queue);
+  seen_there.typical_ratio = typical_ratio(queue);
   ++seen_there.version;
 }
 
 Micros Estimator::estimate(const JobSpec& spec) const {
-  if (spec.expected.count() <= 0) return kUnknown;
-  const auto queue = queues_.find(spec.queue);
-  double log_ratio = queue == queues_.end() ? 0 : queue->second.usual;
+  if (spec.expected_runtime.count() <= 0) return kUnknown;
+  const auto job_class = job_classes_.find(spec.job_class);
+  double log_ratio = job_class == job_classes_.end() ? 0 : job_class->second.typical_ratio;
   // What the job's own tasks showed is worth more than what its queue usually does.
-  if (const Seen* s = seen(spec)) log_ratio = (log_ratio + s->sum) / (1 + s->tasks);
-  return from_seconds(to_seconds(spec.expected) * std::exp(log_ratio));
+  if (const JobSample* sample = find_sample(spec))
+    log_ratio = (log_ratio + sample->sum) / (1 + sample->tasks);
+  return from_seconds(to_seconds(spec.expected_runtime) * std::exp(log_ratio));
 }
 
-std::uint64_t Estimator::version(const std::string& queue) const {
-  const auto it = queues_.find(queue);
-  return it == queues_.end() ? 0 : it->second.version;
+std::uint64_t Estimator::version(const std::string& job_class) const {
+  const auto it = job_classes_.find(job_class);
+  return it == job_classes_.end() ? 0 : it->second.version;
 }
 
 double Estimator::speed(const std::string& host) const {
--- a/src/fields/include/wrenusher/fields/fields.hpp
+++ b/src/fields/include/wrenusher/fields/fields.hpp
@@ -17,13 +17,13 @@
 using namespace base;
 
 /// A mistake in a file; what() is one line: file, line, field, what is wrong.
-struct FieldError : std::runtime_error {
+struct ConfigError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
 /// The whole file; nothing where it cannot be read.
 std::optional<std::string> read_file(const std::string& path);
-/// Likewise; throws FieldError where it cannot be read.
+/// Likewise; throws ConfigError where it cannot be read.
 std::string read_text(const std::string& path);
 /// "10.1.0.7"; nothing when it is no IPv4 address.
 std::optional<std::uint32_t> parse_ipv4(const std::string& text);
@@ -32,35 +32,35 @@
 std::optional<Micros> parse_duration(const std::string& text);
 
 /// A place in a file that knows its own name and line.
-class Node {
+class ConfigNode {
  public:
-  Node(YAML::Node at, std::string name, std::string file)
-      : at_(std::move(at)), name_(std::move(name)), file_(std::move(file)) {}
-  /// The root of a file; throws FieldError where the text is no YAML.
-  static Node root(const std::string& yaml, const std::string& file);
+  ConfigNode(YAML::Node at, std::string name, std::string file)
+      : node_(std::move(at)), name_(std::move(name)), file_(std::move(file)) {}
+  /// The root of a file; throws ConfigError where the text is no YAML.
+  static ConfigNode root(const std::string& yaml, const std::string& file);
 
   [[noreturn]] void fail(const std::string& what) const;
   /// Counted from 1.
-  int line() const { return at_.Mark().line + 1; }
+  int line() const { return node_.Mark().line + 1; }
   /// The field exists and is not null. Asked-for fields are known ones, see `no_more`.
   bool has(const std::string& key);
-  Node operator[](const std::string& key);
+  ConfigNode operator[](const std::string& key);
   /// To be called once every field was asked for: what was not is unknown.
-  void no_more() const;
-  std::vector<Node> items() const;
+  void reject_unknown_fields() const;
+  std::vector<ConfigNode> items() const;
   /// The entries of a map of names, in the order of the file; a name that is there twice is a mistake.
-  std::vector<std::pair<std::string, Node>> entries() const;
+  std::vector<std::pair<std::string, ConfigNode>> entries() const;
 
-  bool is_map() const { return at_.IsMap(); }
+  bool is_map() const { return node_.IsMap(); }
   std::string text() const;
   std::string one_of(const std::vector<std::string>& names) const;
   double number(double least, double most) const;
-  int whole(int least, int most) const;
+  int integer(int least, int most) const;
   bool boolean() const;
   Micros duration() const;
 
  private:
-  YAML::Node at_;
+  YAML::Node node_;
   std::string name_;
   std::string file_;
   std::set<std::string> known_;
--- a/src/fleet/include/wrenusher/fleet/fleet.hpp
+++ b/src/fleet/include/wrenusher/fleet/fleet.hpp
@@ -21,122 +21,127 @@
 using namespace protocol;
 using namespace mail;
 
-class Fleet {
+class WorkerGateway {
  public:
-  Fleet(Runtime& rt, const Settings& settings);
+  WorkerGateway(Runtime& runtime, const Settings& settings);
   void start();
-  void hello(const Request& request, const Answer& answer);
+  void on_report(const Request& request, const Responder& answer);
 
-  void on_term(const TermChanged& t);
-  void on_certainty(const Certainty& c) { certain_until_ = c.until; }
-  void on_withdrawn(const JobWithdrawn& w);
-  void on_known(const CancellationsKnown& k);
-  void on_gone(const HostGone& g);
-  void on_topology(const TopologyInForce& t);
-  void on_direct(const DirectOrders& d);
+  void on_term(const TermChanged& term);
+  void on_lease_validity(const LeaseValidity& event) { lease_valid_until_ = event.until; }
+  void on_job_cancelled(const JobCancelled& event);
+  void on_cancellations_known(const CancellationsKnown& event);
+  void on_machine_departed(const MachineDeparted& event);
+  void on_topology_activated(const TopologyActivated& event);
+  void on_direct_commands(const DirectCommands& event);
   /// Calls the workers that the last leader had over to this one.
-  void on_inherited(const std::shared_ptr<const Inheritance>& all);
+  void on_hints_inherited(const std::shared_ptr<const InheritedHints>& all);
   /// Calls a worker over that is not heard, and of which no hint told.
-  void on_listed(const HostListed& l);
+  void on_machine_listed(const MachineListed& event);
 
-  Sink<HostReported> reported;
-  Sink<HostQuiet> quiet;
-  Sink<HostCondemned> useless;
-  Sink<Doubted> doubted;
-  Sink<Hearing> hearing;
-  Sink<Deposed> deposed;
+  EventSink<WorkerReported> worker_reported;
+  EventSink<WorkerSilent> worker_silent;
+  EventSink<MachineCordoned> machine_unreachable;
+  EventSink<MachinesSuspected> machines_suspected;
+  EventSink<WorkerReachability> reachability;
+  EventSink<LeadershipLost> leadership_lost;
 
  private:
   /// Where a worker's word stands among its others: the higher is the newer one. The token comes first:
   /// within one life of the worker it only rises, and a copy from an earlier life, whose count may be higher,
   /// has the lower token.
-  struct Word {
-    std::uint64_t epoch = 0;
-    std::uint64_t tenure = 0;
-    std::uint64_t serial = 0;
-    auto operator<=>(const Word&) const = default;
+  struct ReportPosition {
+    std::uint64_t fencing_token = 0;
+    std::uint64_t incarnation = 0;
+    std::uint64_t sequence = 0;
+    auto operator<=>(const ReportPosition&) const = default;
   };
-  static Word word_of(const WorkerReport& r) { return {r.epoch, r.tenure, r.serial}; }
-  struct Host {
-    std::string addr;
-    std::string flavor;
-    std::string site;
-    topology::Place place;
-    Word word;
-    Instant heard{};
-    bool quiet = false;
-    std::optional<Instant> taken;  ///< by then the cloud will have taken it away, as it said itself
-    Heed heed;
-    bool useless = false;  ///< it is being returned: it hears nothing, or has begun anew
-    Instant challenged{};  ///< when it was last asked which of its words is the newest
+  static ReportPosition position_of(const WorkerReport& report) {
+    return {report.fencing_token, report.incarnation, report.sequence};
+  }
+  struct WorkerState {
+    std::string address;
+    std::string machine_type;
+    std::string zone;
+    topology::MachineLocation place;
+    ReportPosition position;
+    Instant heard_at{};
+    bool silent = false;
+    std::optional<Instant> reclaimed_by;  ///< by then the cloud will have taken it away, as it said itself
+    DeliveryMonitor delivery;
+    bool cordoned = false;    ///< it is being returned: it hears nothing, or has begun anew
+    Instant challenged_at{};  ///< when it was last asked which of its words is the newest
   };
   /// A worker that is asked for its word by empty orders: that raises its token, so that it reports at once.
-  struct Call {
+  struct Poll {
     std::string host;
-    std::string addr;
-    std::uint64_t tenure = 0;
+    std::string address;
+    std::uint64_t incarnation = 0;
     int tries = 0;
   };
-  void call_over();
-  void called(const Call& c, std::uint64_t epoch, const Outcome& o);
-  void miss_called();
+  void poll_next();
+  void on_polled(const Poll& poll, std::uint64_t fencing_token, const CallResult& result);
+  void give_up_polls();
   void tick();
-  void look_at_domains(Micros late);
-  void look_for_unheeding(Micros limit);
-  void note_answer(const std::string& host, const Word& word, const std::vector<Order>& orders);
-  void challenge(const std::string& host, Host& h, const WorkerReport& r);
-  void give_up(const std::string& host, Host& h, const char* why);
-  bool news(const WorkerReport& r);
-  Response elsewhere() const;
+  void check_domains(Micros late);
+  void check_delivery(Micros limit);
+  void record_reply(const std::string& host, const ReportPosition& word,
+                    const std::vector<WorkerCommand>& commands);
+  void challenge_position(const std::string& host, WorkerState& worker, const WorkerReport& received);
+  void cordon(const std::string& host, WorkerState& worker, const char* why);
+  bool is_newest(const WorkerReport& report);
+  Response redirect() const;
   using Report = std::shared_ptr<const WorkerReport>;
-  void take(const Report& report, bool settled, const std::function<void(std::vector<Order>)>& reply);
-  void respond(const Report& r, std::uint64_t epoch, std::vector<Order> orders, const Answer& answer);
-  void stop_cancelled(const WorkerReport& r, std::vector<Order>& orders) const;
-  bool may_renew(const WorkerReport& r) const;
-  Micros unknown_for() const;
-  void answer_waiting();
-  void note_letting_go(bool now_so);
-  Micros quiet_after() const;
+  void accept_report(const Report& report, bool settled,
+                     const std::function<void(std::vector<WorkerCommand>)>& reply);
+  void send_reply(const Report& report, std::uint64_t fencing_token, std::vector<WorkerCommand> commands,
+                  const Responder& answer);
+  void add_cancelled_stops(const WorkerReport& report, std::vector<WorkerCommand>& commands) const;
+  bool may_renew_lease(const WorkerReport& report) const;
+  Micros cancellation_gap() const;
+  void reply_waiting();
+  void log_lease_renewal(bool now_so);
+  Micros silence_limit() const;
 
-  Runtime& rt_;
+  Runtime& runtime_;
   const Settings& settings_;
   TermChanged term_;
-  Instant certain_until_{};
-  Instant heard_any_{};
-  Instant led_since_{};
-  Instant ticked_{};
-  double starved_ = 0;    ///< part of the time that this node stood still, of late
-  Instant most_heard_{};  ///< when this leader last heard a fair part of its workers
-  bool ever_heard_ = false;
-  std::map<std::string, Host> hosts_;
+  Instant lease_valid_until_{};
+  Instant last_report_{};
+  Instant leading_since_{};
+  Instant last_tick_{};
+  double stall_share_ = 0;       ///< part of the time that this node stood still, of late
+  Instant majority_heard_at_{};  ///< when this leader last heard a fair part of its workers
+  bool majority_ever_heard_ = false;
+  std::map<std::string, WorkerState> workers_;
   /// The newest word of each worker here, leading or not, and when it came.
-  std::unordered_map<std::string, std::pair<Word, Instant>> words_;
-  Instant next_tidy_{};
+  std::unordered_map<std::string, std::pair<ReportPosition, Instant>> positions_;
+  Instant next_cleanup_{};
   Instant next_challenge_{};
-  bool mute_ = false;  ///< most workers show nothing of this leader's answers
+  bool replies_lost_ = false;  ///< most workers show nothing of this leader's answers
   std::shared_ptr<const topology::Topology> topology_;
-  watch::Watch watch_;
-  std::set<std::string> doubted_;  ///< as it was last told
-  std::deque<Call> calls_;         ///< still to be made, in order
-  std::size_t calling_ = 0;
-  std::set<std::string> uncalled_;  ///< of those that the last leader had: not heard yet
-  std::size_t to_call_ = 0;         ///< how many there were
-  Instant last_word_{};             ///< of the last leader
-  std::set<std::string> gone_;
-  std::deque<std::string> gone_order_;
+  watch::DomainFailureDetector domain_failures_;
+  std::set<std::string> suspected_;  ///< as it was last told
+  std::deque<Poll> polls_;           ///< still to be made, in order
+  std::size_t polls_in_flight_ = 0;
+  std::set<std::string> unheard_inherited_;  ///< of those that the last leader had: not heard yet
+  std::size_t polls_planned_ = 0;            ///< how many there were
+  Instant last_leader_heartbeat_{};          ///< of the last leader
+  std::set<std::string> departed_;
+  std::deque<std::string> departed_order_;
   /// Jobs that are cancelled, for as long as a task of theirs may be anywhere.
   std::unordered_map<std::string, Instant> cancelled_;
   std::deque<std::pair<Instant, std::string>> cancelled_order_;
-  CancellationsKnown known_;
+  CancellationsKnown cancellations_known_;
   /// Reports that can't be answered yet, since their tasks may have been cancelled.
-  struct Waiting {
+  struct WaitingReport {
     Report report;
-    std::uint64_t epoch = 0;
-    Answer answer;
-    Instant until{};
+    std::uint64_t fencing_token = 0;
+    Responder answer;
+    Instant deadline{};
   };
-  std::deque<Waiting> waiting_;
-  bool letting_go_ = false;  ///< it was told that leases are
+  std::deque<WaitingReport> waiting_;
+  bool withholding_renewals_ = false;  ///< it was told that leases are
 };
 
 }  // namespace wrenusher::fleet
--- a/src/fleet/include/wrenusher/fleet/heed.hpp
+++ b/src/fleet/include/wrenusher/fleet/heed.hpp
@@ -14,29 +14,29 @@
 
 /// So many reports in a row that show nothing of the answer before them: it hears nothing. An answer is lost
 /// now and then; three in a row are not.
-inline constexpr int kUnheeded = 3;
+inline constexpr int kMaxUnobserved = 3;
 
-class Heed {
+class DeliveryMonitor {
  public:
   /// It was answered its newest report with this.
-  void answered(std::uint64_t epoch, const std::vector<Order>& orders);
+  void on_reply(std::uint64_t fencing_token, const std::vector<WorkerCommand>& commands);
   /// It was called, and may have spent a number of its count on an answer that never came.
-  void called() { ++calls_; }
+  void on_polled() { ++polls_; }
   /// Its next report. `steady`: it came about when it was due, so that a lease that ran out ran out for want
   /// of answers alone.
-  void reported(const WorkerReport& r, bool steady);
+  void on_report(const WorkerReport& report, bool steady);
   /// Reports in a row that showed nothing of what had been answered.
-  int unheeded() const { return unheeded_; }
+  int unobserved_replies() const { return unobserved_replies_; }
 
  private:
-  bool answered_ = false;
-  std::uint64_t epoch_ = 0;    ///< of the answer
-  std::uint64_t tenure_ = 0;   ///< of the last report
-  std::uint64_t seen_ = 0;     ///< token of the last report
-  std::uint64_t serial_ = 0;   ///< of the last report
-  std::uint64_t calls_ = 0;    ///< since then
-  std::vector<Order> orders_;  ///< in the answer, those that tell whether it came
-  int unheeded_ = 0;
+  bool replied_ = false;
+  std::uint64_t fencing_token_ = 0;      ///< of the answer
+  std::uint64_t incarnation_ = 0;        ///< of the last report
+  std::uint64_t reported_token_ = 0;     ///< token of the last report
+  std::uint64_t sequence_ = 0;           ///< of the last report
+  std::uint64_t polls_ = 0;              ///< since then
+  std::vector<WorkerCommand> commands_;  ///< in the answer, those that tell whether it came
+  int unobserved_replies_ = 0;
 };
 
 }  // namespace wrenusher::fleet
--- a/src/held/held.cpp
+++ b/src/held/held.cpp
@@ -4,7 +4,7 @@
 
 namespace wrenusher::held {
 
-void Answers::void_answer(const std::string& host) {
+void PendingReplies::reply_empty(const std::string& host) {
   const auto it = waiting_.find(host);
   if (it == waiting_.end()) return;
   const Reply reply = std::move(it->second.reply);
@@ -12,15 +12,15 @@
   reply({});
 }
 
-void Answers::void_all() {
+void PendingReplies::reply_all_empty() {
   for (const auto& [host, a] : std::exchange(waiting_, {})) a.reply({});
 }
 
-void Answers::give(
-    const std::function<std::optional<std::vector<Order>>(const std::string& host, const Answer&)>& orders) {
+void PendingReplies::reply_ready(const std::function<std::optional<std::vector<WorkerCommand>>(
+                                     const std::string& host, const PendingReply&)>& commands) {
   for (auto it = waiting_.begin(); it != waiting_.end();) {
-    if (auto o = orders(it->first, it->second)) {
-      it->second.reply(std::move(*o));
+    if (auto command = commands(it->first, it->second)) {
+      it->second.reply(std::move(*command));
       it = waiting_.erase(it);
     } else {
       ++it;
--- a/src/held/include/wrenusher/held/held.hpp
+++ b/src/held/include/wrenusher/held/held.hpp
@@ -16,27 +16,27 @@
 using namespace base;
 using namespace protocol;
 
-using Reply = std::function<void(std::vector<Order>)>;
+using Reply = std::function<void(std::vector<WorkerCommand>)>;
 
-struct Answer {
+struct PendingReply {
   std::shared_ptr<const WorkerReport> report;
   Reply reply;
-  Instant until{};          ///< given then at the latest
-  std::uint64_t plans = 0;  ///< made before it came
+  Instant deadline{};              ///< given then at the latest
+  std::uint64_t plans_before = 0;  ///< made before it came
 };
 
-class Answers {
+class PendingReplies {
  public:
-  void keep(const std::string& host, Answer a) { waiting_[host] = std::move(a); }
+  void add(const std::string& host, PendingReply pending) { waiting_[host] = std::move(pending); }
   /// Answers without orders: the worker has given up waiting, or its machine is gone.
-  void void_answer(const std::string& host);
-  void void_all();
+  void reply_empty(const std::string& host);
+  void reply_all_empty();
   /// Gives those for which `orders` has some; the rest stay.
-  void give(
-      const std::function<std::optional<std::vector<Order>>(const std::string& host, const Answer&)>& orders);
+  void reply_ready(const std::function<std::optional<std::vector<WorkerCommand>>(
+                       const std::string& host, const PendingReply&)>& commands);
 
  private:
-  std::map<std::string, Answer> waiting_;  ///< by machine
+  std::map<std::string, PendingReply> waiting_;  ///< by machine
 };
 
 }  // namespace wrenusher::held
--- a/src/ledger/include/wrenusher/ledger/ledger.hpp
+++ b/src/ledger/include/wrenusher/ledger/ledger.hpp
@@ -28,96 +28,98 @@
 using namespace settings;
 using namespace mail;
 using machines::Machine;
-using machines::Machines;
+using machines::MachineInventory;
 
-class Ledger {
+class LeaderActor {
  public:
-  Ledger(Runtime& rt, const Settings& settings, Store& store);
+  LeaderActor(Runtime& runtime, const Settings& settings, KvClient& store);
   void start();
 
-  void on_term(const TermChanged& t);
-  void on_certainty(const Certainty& c) { certain_until_ = c.until; }
-  void on_report(const HostReported& in);
-  void on_quiet(const HostQuiet& q);
-  void on_gone(const HostGone& g);
-  void on_condemned(const HostCondemned& c);
-  void on_catalog(const CatalogSeen& c);
-  void on_topology(const TopologyInForce& t);
-  void on_doubted(const Doubted& d);
-  void on_withdrawn(const JobWithdrawn& w);
-  void on_inherited(const std::shared_ptr<const Inheritance>& all);
-  void on_copied(const RecordsCopied& c);
-  void on_capacity(const CapacitySeen& c) { rounds_.take_capacity(c); }
+  void on_term(const TermChanged& term);
+  void on_lease_validity(const LeaseValidity& event) { lease_valid_until_ = event.until; }
+  void on_report(const WorkerReported& event);
+  void on_worker_silent(const WorkerSilent& event);
+  void on_machine_departed(const MachineDeparted& event);
+  void on_machine_cordoned(const MachineCordoned& event);
+  void on_catalog(const CatalogUpdated& event);
+  void on_topology(const TopologyActivated& event);
+  void on_machines_suspected(const MachinesSuspected& event);
+  void on_job_cancelled(const JobCancelled& event);
+  void on_hints_inherited(const std::shared_ptr<const InheritedHints>& all);
+  void on_replica_verified(const ReplicaVerified& event);
+  void on_capacity(const CapacityChanged& event) { scheduler_.on_capacity(event); }
 
   /// Has every room reckon anew what it keeps up step by step, and says what differs; empty when nothing
   /// does.
   std::string disagreement() const;
 
-  Sink<std::shared_ptr<const Workload>> workload;
-  Sink<std::shared_ptr<const Progress>> progress;
-  Sink<DirectOrders> direct;
-  Sink<Deposed> deposed;
-  Sink<HostCondemned> suspect;
-  Sink<std::shared_ptr<const LedgerHints>> hints;
-  Sink<TakenOver> taken_over;
-  Sink<CancellationsRead> cancellations_read;
-  Sink<RecordsFollowed> followed;
+  EventSink<std::shared_ptr<const Workload>> workload;
+  EventSink<std::shared_ptr<const Progress>> progress;
+  EventSink<DirectCommands> direct_commands;
+  EventSink<LeadershipLost> leadership_lost;
+  EventSink<MachineCordoned> machine_suspect;
+  EventSink<std::shared_ptr<const LeaderHints>> hints;
+  EventSink<FailoverTimes> failover_finished;
+  EventSink<CancellationsRead> cancellations_read;
+  EventSink<RecordsChanged> records_changed;
 
  private:
   /// Leads, and has read what there is.
-  bool open() const { return term_.leading && loaded_; }
-  bool open_in(std::uint64_t epoch) const { return open() && term_.epoch == epoch; }
-  bool certain() const { return rt_.now() < certain_until_; }
+  bool serving() const { return term_.leading && records_loaded_; }
+  bool serving_term(std::uint64_t fencing_token) const {
+    return serving() && term_.fencing_token == fencing_token;
+  }
+  bool lease_valid() const { return runtime_.now() < lease_valid_until_; }
   void begin();
   void read_records();
-  void loaded(std::uint64_t revision, bool by_copy);
+  void on_records_loaded(std::uint64_t revision, bool by_copy);
   /// Reads the jobs once more at leisure: one that a copy missed and that has no claims would never be run.
-  void look_for_missed(const std::string& from, std::uint64_t epoch);
-  void follow(std::uint64_t from, std::uint64_t epoch);
-  void take_news(const FollowReply& f);
-  void take_up(const Row& row);
-  void refresh(const std::string& ref);
-  void withdraw(Job& job);
+  void find_missed_jobs(const std::string& from, std::uint64_t fencing_token);
+  void watch_records(std::uint64_t from, std::uint64_t fencing_token);
+  void apply_watch(const WatchReply& reply);
+  void add_job(const KeyValue& row);
+  void refresh_job(const std::string& job_id);
+  void cancel_job(Job& job);
 
-  MachineHint hint_of(const Machine& m) const;
-  void tell_hints();
-  bool inherit(const WorkerReport& r);
-  void inherit_failures();
-  void expect_images(const MachineHint& h, bool comes);
+  MachineHint hint_of(const Machine& machine) const;
+  void publish_hints();
+  bool adopt_machine_hint(const WorkerReport& report);
+  void adopt_failure_hints();
+  void expect_images(const MachineHint& hint, bool comes);
 
   void tick();
   void wake();
-  void round();
-  void answer_held();
-  void send(const std::vector<DirectOrders>& orders);
+  void run_cycle();
+  void reply_pending();
+  void send_direct(const std::vector<DirectCommands>& commands);
 
-  Runtime& rt_;
+  Runtime& runtime_;
   const Settings& settings_;
-  Store& store_;
+  KvClient& store_;
   estimates::Estimator estimator_;
-  accounts::Waits waits_;
-  Machines machines_;
-  Book book_;
-  Writer writer_;
-  held::Answers held_;
-  reports::Reports reports_;
-  rounds::Rounds rounds_;
-  Takeover takeover_;
+  accounts::StartLatencyMetrics start_latency_;
+  MachineInventory machines_;
+  JobTable jobs_;
+  CommitBatcher batcher_;
+  held::PendingReplies pending_replies_;
+  reports::Reconciler reconciler_;
+  rounds::SchedulingCycle scheduler_;
+  Failover failover_;
   TermChanged term_;
-  Instant certain_until_{};
+  Instant lease_valid_until_{};
   Instant term_began_{};
-  bool loaded_ = false;
-  bool woken_ = false;
-  Instant last_round_{};
-  TakeoverTimes times_;
-  std::map<std::string, MachineHint> inherited_;        ///< of machines not heard in this term yet
-  std::map<std::string, std::uint32_t> coming_images_;  ///< on how many of those with room, by bundle
-  std::vector<JobHint> failing_;                        ///< until the records are there
-  std::map<std::string, HostReported> early_;           ///< each machine's newest word, likewise
+  bool records_loaded_ = false;
+  bool wake_scheduled_ = false;
+  Instant last_cycle_{};
+  FailoverTimer failover_timer_;
+  std::map<std::string, MachineHint> inherited_machines_;  ///< of machines not heard in this term yet
+  std::map<std::string, std::uint32_t> expected_images_;   ///< on how many of those with room, by bundle
+  std::vector<JobHint> failure_hints_;                     ///< until the records are there
+  std::map<std::string, WorkerReported> early_reports_;    ///< each machine's newest word, likewise
   Instant next_hints_{};
-  Instant next_queue_hints_{};
-  std::map<std::string, std::uint64_t> queues_told_;  ///< version of what was told
-  std::set<std::string> jobs_told_;
+  Instant next_class_hints_{};
+  std::map<std::string, std::uint64_t> published_class_versions_;  ///< version of what was told
+  std::set<std::string> published_jobs_;
 };
 
 }  // namespace wrenusher::ledger
--- a/src/ledger/include/wrenusher/ledger/takeover.hpp
+++ b/src/ledger/include/wrenusher/ledger/takeover.hpp
@@ -16,51 +16,51 @@
 using namespace base;
 using namespace protocol;
 using namespace store;
-using book::Book;
 using book::Job;
-using writer::Writer;
+using book::JobTable;
+using writer::CommitBatcher;
 
 /// A job's root as it stands in the store; false, and a line in the log, where it cannot be read.
-bool accept_root(Book& book, const Row& row);
+bool add_stored_job(JobTable& jobs, const KeyValue& row);
 
-class Takeover {
+class Failover {
  public:
-  Takeover(Runtime& rt, Store& store, Book& book, Writer& writer)
-      : rt_(rt), store_(store), book_(book), writer_(writer) {}
+  Failover(Runtime& runtime, KvClient& store, JobTable& jobs, CommitBatcher& batcher)
+      : runtime_(runtime), store_(store), jobs_(jobs), batcher_(batcher) {}
 
   /// Reads into book and writer, which are to be empty, and then calls `done` with the revision from which
   /// changes are to be followed. Tries for as long as it takes.
-  void begin(std::function<void(std::uint64_t revision)> done);
+  void start_reading(std::function<void(std::uint64_t revision)> done);
   /// Takes the copy into book and writer, which are to be empty.
-  void take(const records::Snapshot& copy);
+  void load_replica(const records::RecordSnapshot& copy);
   /// What is being read concerns nobody any more.
   void stop() { ++generation_; }
 
  private:
-  struct Found {
+  struct FoundBlock {
     std::uint64_t version = 0;
-    std::uint32_t slot = 0;
+    std::uint32_t shard = 0;
     records::BlockRecord state;
   };
   /// The newest copy of every block of a live job.
-  using Blocks = std::map<std::pair<std::string, std::uint32_t>, Found>;
-  struct Reading {
+  using Blocks = std::map<std::pair<std::string, std::uint32_t>, FoundBlock>;
+  struct ReadState {
     std::uint64_t generation = 0;
-    std::uint64_t revision = 0;  ///< of the first page: what changes meanwhile is followed from there
-    bool slots = false;          ///< first the jobs, then the slots
-    std::string from;
+    std::uint64_t revision = 0;   ///< of the first page: what changes meanwhile is followed from there
+    bool reading_shards = false;  ///< first the jobs, then the slots
+    std::string next_key;
     Blocks blocks;
     std::function<void(std::uint64_t)> done;
   };
-  void read(const std::shared_ptr<Reading>& r);
-  void take_page(const std::shared_ptr<Reading>& r, const Read& page);
-  void accept_slot(Blocks& blocks, std::uint32_t slot, const records::Snapshot::Slot& s);
-  void restore(const Blocks& blocks);
+  void read(const std::shared_ptr<ReadState>& reading);
+  void on_page(const std::shared_ptr<ReadState>& reading, const ReadReply& page);
+  void read_shard_row(Blocks& blocks, std::uint32_t slot, const records::RecordSnapshot::Shard& shard);
+  void restore_blocks(const Blocks& blocks);
 
-  Runtime& rt_;
-  Store& store_;
-  Book& book_;
-  Writer& writer_;
+  Runtime& runtime_;
+  KvClient& store_;
+  JobTable& jobs_;
+  CommitBatcher& batcher_;
   std::uint64_t generation_ = 0;
 };
 
--- a/src/ledger/include/wrenusher/ledger/takeover_times.hpp
+++ b/src/ledger/include/wrenusher/ledger/takeover_times.hpp
@@ -14,26 +14,26 @@
 using namespace base;
 using namespace mail;
 
-class TakeoverTimes {
+class FailoverTimer {
  public:
-  void begin(const TermChanged& t, Instant now);
-  void stop() { open_ = false; }
+  void begin(const TermChanged& term, Instant now);
+  void stop() { running_ = false; }
   /// A machine that the last term had.
-  void awaits(const std::string& host);
-  void read(bool by_copy, Instant now);
+  void expect_machine(const std::string& host);
+  void on_records_read(bool by_copy, Instant now);
   /// A worker that has taken the term's epoch was heard.
-  void heard(const std::string& host, Instant now);
-  void gone(const std::string& host) { awaited_.erase(host); }
-  void started(Instant now);
+  void on_machine_reported(const std::string& host, Instant now);
+  void on_machine_departed(const std::string& host) { expected_machines_.erase(host); }
+  void on_first_start(Instant now);
   /// Whether it is over: nothing is left open, or it takes too long. Told once.
-  std::optional<TakenOver> ended(std::size_t claims_unproven, Instant now);
+  std::optional<FailoverTimes> finish(std::size_t claims_unproven, Instant now);
 
  private:
-  bool open_ = false;
+  bool running_ = false;
   Instant began_{};
-  TakenOver told_;
-  std::set<std::string> awaited_;
-  std::vector<Micros> times_;  ///< of the machines heard that were awaited
+  FailoverTimes times_so_far_;
+  std::set<std::string> expected_machines_;
+  std::vector<Micros> report_times_;  ///< of the machines heard that were awaited
 };
 
 }  // namespace wrenusher::ledger
--- a/src/ledger/ledger.cpp
+++ b/src/ledger/ledger.cpp
@@ -12,41 +12,41 @@
 /// Nothing is known to be known but up to when the last follow that was answered was asked.
 constexpr Micros kFollowWait = from_seconds(2);
 /// Between two follows, so that a burst of our own writes does not come back one by one.
-constexpr Micros kFollowPause = millis(100);
-constexpr Micros kRetryRead = millis(250);
-constexpr int kMissedPage = 100;
-constexpr Micros kMissedPause = millis(500);
+constexpr Micros kFollowPause = from_millis(100);
+constexpr Micros kRetryRead = from_millis(250);
+constexpr int kMissedJobsPageSize = 100;
+constexpr Micros kMissedJobsPagePause = from_millis(500);
 /// The answer to a report waits this long for the commit of what the report brought: the room that a task
 /// leaves is then used at once, not at the worker's next report.
-constexpr Micros kHoldAnswer = millis(800);
+constexpr Micros kMaxReplyDelay = from_millis(800);
 
 }  // namespace
 
-Ledger::Ledger(Runtime& rt, const Settings& settings, Store& store)
-    : rt_(rt),
+LeaderActor::LeaderActor(Runtime& runtime, const Settings& settings, KvClient& store)
+    : runtime_(runtime),
       settings_(settings),
       store_(store),
-      machines_(rt, estimator_),
-      book_(rt, machines_),
-      writer_(rt, settings, store, book_),
-      reports_(rt, book_, machines_, estimator_, waits_),
-      rounds_(rt, settings, book_, machines_, estimator_),
-      takeover_(rt, store, book_, writer_) {
-  writer_.on_committed = [this] {
-    answer_held();
+      machines_(runtime, estimator_),
+      jobs_(runtime, machines_),
+      batcher_(runtime, settings, store, jobs_),
+      reconciler_(runtime, jobs_, machines_, estimator_, start_latency_),
+      scheduler_(runtime, settings, jobs_, machines_, estimator_),
+      failover_(runtime, store, jobs_, batcher_) {
+  batcher_.on_committed = [this] {
+    reply_pending();
     wake();
   };
-  writer_.on_ready = [this] { wake(); };
-  writer_.on_doubt = [this](const std::string& ref) { refresh(ref); };
-  writer_.on_deposed = [this] { deposed(Deposed{0}); };
+  batcher_.on_ready = [this] { wake(); };
+  batcher_.on_job_uncertain = [this](const std::string& job_id) { refresh_job(job_id); };
+  batcher_.on_leadership_lost = [this] { leadership_lost(LeadershipLost{0}); };
 }
 
-void Ledger::start() {
+void LeaderActor::start() {
   tick();
 }
 
-std::string Ledger::disagreement() const {
-  for (const std::string& said : {book_.disagreement(), writer_.disagreement(), rounds_.disagreement()}) {
+std::string LeaderActor::disagreement() const {
+  for (const std::string& said : {jobs_.disagreement(), batcher_.disagreement(), scheduler_.disagreement()}) {
     if (!said.empty()) return said;
   }
   return {};
@@ -54,311 +54,322 @@
 
 // ---------------------------------------------------------------- terms and news from the store
 
-void Ledger::on_term(const TermChanged& t) {
-  const bool same = t.leading && term_.leading && t.epoch == term_.epoch;
-  term_ = t;
+void LeaderActor::on_term(const TermChanged& term) {
+  const bool same = term.leading && term_.leading && term.fencing_token == term_.fencing_token;
+  term_ = term;
   if (same) return;
   begin();
-  times_.stop();
+  failover_timer_.stop();
   if (!term_.leading) return;
-  times_.begin(t, rt_.now());
+  failover_timer_.begin(term, runtime_.now());
   // A standby's copy of the records comes by itself, or the word that there is none.
-  if (!settings_.stands_by()) read_records();
+  if (!settings_.has_standby()) read_records();
 }
 
 /// Nothing is known of the records.
-void Ledger::begin() {
-  loaded_ = false;
-  held_.void_all();
-  book_.begin(term_.epoch);
+void LeaderActor::begin() {
+  records_loaded_ = false;
+  pending_replies_.reply_all_empty();
+  jobs_.begin(term_.fencing_token);
   machines_.clear();
-  writer_.begin(term_.stamp);
-  takeover_.stop();
-  term_began_ = rt_.now();
-  inherited_.clear();
-  coming_images_.clear();
-  failing_.clear();
-  early_.clear();
-  queues_told_.clear();
+  batcher_.begin(term_.mod_revision);
+  failover_.stop();
+  term_began_ = runtime_.now();
+  inherited_machines_.clear();
+  expected_images_.clear();
+  failure_hints_.clear();
+  early_reports_.clear();
+  published_class_versions_.clear();
 }
 
-void Ledger::read_records() {
-  takeover_.begin([this](std::uint64_t revision) { loaded(revision, false); });
+void LeaderActor::read_records() {
+  failover_.start_reading([this](std::uint64_t revision) { on_records_loaded(revision, false); });
 }
 
-void Ledger::on_copied(const RecordsCopied& c) {
-  if (!term_.leading || term_.epoch != c.term || loaded_) return;
-  if (!c.snapshot) {
+void LeaderActor::on_replica_verified(const ReplicaVerified& event) {
+  if (!term_.leading || term_.fencing_token != event.term || records_loaded_) return;
+  if (!event.snapshot) {
     read_records();
     return;
   }
-  takeover_.take(*c.snapshot);
-  loaded(c.snapshot->revision, true);
-  look_for_missed({}, term_.epoch);
+  failover_.load_replica(*event.snapshot);
+  on_records_loaded(event.snapshot->revision, true);
+  find_missed_jobs({}, term_.fencing_token);
 }
 
-void Ledger::look_for_missed(const std::string& from, std::uint64_t epoch) {
-  store_.list("job/", from, kMissedPage, Store::Urgent::spare, [this, from, epoch](const Read& page) {
-    if (!open_in(epoch)) return;
-    std::string last = from;
-    for (const Row& row : page.rows) {
-      last = row.key;
-      const auto ref = records::parse_job_key(row.key);
-      // One that has ended since it was read comes back for a moment: its claims and its end fail by its
-      // root.
-      if (ref && book_.find(*ref) == nullptr) take_up(row);
-    }
-    if (page.result == Read::Result::ok && !page.truncated) return;
-    rt_.after(kMissedPause, [this, last, epoch] {
-      if (open_in(epoch)) look_for_missed(last, epoch);
-    });
-  });
+void LeaderActor::find_missed_jobs(const std::string& from, std::uint64_t fencing_token) {
+  store_.list("job/", from, kMissedJobsPageSize, KvClient::RequestClass::background,
+              [this, from, fencing_token](const ReadReply& page) {
+                if (!serving_term(fencing_token)) return;
+                std::string last = from;
+                for (const KeyValue& row : page.rows) {
+                  last = row.key;
+                  const auto job_id = records::parse_job_key(row.key);
+                  // One that has ended since it was read comes back for a moment: its claims and its end fail
+                  // by its root.
+                  if (job_id && jobs_.find(*job_id) == nullptr) add_job(row);
+                }
+                if (page.result == ReadReply::Result::ok && !page.truncated) return;
+                runtime_.after(kMissedJobsPagePause, [this, last, fencing_token] {
+                  if (serving_term(fencing_token)) find_missed_jobs(last, fencing_token);
+                });
+              });
 }
 
-void Ledger::loaded(std::uint64_t revision, bool by_copy) {
-  loaded_ = true;
-  std::size_t claims = 0;
+void LeaderActor::on_records_loaded(std::uint64_t revision, bool by_copy) {
+  records_loaded_ = true;
+  std::size_t assignments = 0;
   for (const auto& [host, m] : machines_.all()) {
-    claims += m.use.claims;
-    times_.awaits(host);
+    assignments += m.use.assignments;
+    failover_timer_.expect_machine(host);
   }
-  times_.read(by_copy, rt_.now());
-  inherit_failures();
+  failover_timer_.on_records_read(by_copy, runtime_.now());
+  adopt_failure_hints();
   log::info("records_read", "term {term}: {jobs} live jobs and {claims} claims {way} in {seconds:.2f} s",
-            log::with("term", term_.epoch), log::with("jobs", book_.jobs().size()),
-            log::with("claims", claims), log::with("way", by_copy ? "taken over" : "read"),
-            log::with("seconds", to_seconds(rt_.now() - term_began_)));
+            log::with("term", term_.fencing_token), log::with("jobs", jobs_.jobs().size()),
+            log::with("claims", assignments), log::with("way", by_copy ? "taken over" : "read"),
+            log::with("seconds", to_seconds(runtime_.now() - term_began_)));
   CancellationsRead read{term_began_, {}};
-  for (const auto& [ref, job] : book_.jobs()) {
-    if (job.rec.withdrawn) read.refs.push_back(ref);
+  for (const auto& [ref, job] : jobs_.jobs()) {
+    if (job.record.cancelled) read.job_ids.push_back(ref);
   }
   cancellations_read(read);
-  for (const auto& [host, in] : std::exchange(early_, {})) on_report(in);
-  follow(revision, term_.epoch);
+  for (const auto& [host, in] : std::exchange(early_reports_, {})) on_report(in);
+  watch_records(revision, term_.fencing_token);
 }
 
-void Ledger::follow(std::uint64_t from, std::uint64_t epoch) {
-  store_.follow(
-      "job/", from, kFollowWait, Store::Urgent::hold,
-      [this, from, epoch, asked = rt_.now()](const FollowReply& f) {
-        if (!open_in(epoch)) return;
+void LeaderActor::watch_records(std::uint64_t from, std::uint64_t fencing_token) {
+  store_.watch(
+      "job/", from, kFollowWait, KvClient::RequestClass::lease,
+      [this, from, fencing_token, asked = runtime_.now()](const WatchReply& reply) {
+        if (!serving_term(fencing_token)) return;
         std::uint64_t next = from;
-        if (f.result == FollowReply::Result::too_old || f.result == FollowReply::Result::too_large) {
+        if (reply.result == WatchReply::Result::too_old || reply.result == WatchReply::Result::too_large) {
           log::warn("changes_missed", "changes were missed: reading all live jobs again");
           begin();
           read_records();
           return;
         }
-        if (f.result == FollowReply::Result::ok) {
-          next = std::max(from, f.revision);
-          take_news(f);
+        if (reply.result == WatchReply::Result::ok) {
+          next = std::max(from, reply.revision);
+          apply_watch(reply);
           CancellationsRead read{asked, {}};
-          for (const Row& row : f.puts) {
-            if (auto ref = records::cancelled_job(row.key, row.value)) read.refs.push_back(std::move(*ref));
+          for (const KeyValue& row : reply.puts) {
+            if (auto job_id = records::cancelled_job(row.key, row.value))
+              read.job_ids.push_back(std::move(*job_id));
           }
           cancellations_read(read);
         }
-        rt_.after(kFollowPause, [this, next, epoch] {
-          if (term_.leading && term_.epoch == epoch) follow(next, epoch);
+        runtime_.after(kFollowPause, [this, next, fencing_token] {
+          if (term_.leading && term_.fencing_token == fencing_token) watch_records(next, fencing_token);
         });
       });
 }
 
 /// A job that is not known here yet.
-void Ledger::take_up(const Row& row) {
-  if (accept_root(book_, row))
+void LeaderActor::add_job(const KeyValue& row) {
+  if (add_stored_job(jobs_, row))
     log::debug("job_new", "job {job} is new", log::with("job", *records::parse_job_key(row.key)));
 }
 
-void Ledger::take_news(const FollowReply& f) {
-  for (const Row& row : f.puts) {
-    const auto ref = records::parse_job_key(row.key);
-    Job* job = ref ? book_.find(*ref) : nullptr;
+void LeaderActor::apply_watch(const WatchReply& reply) {
+  for (const KeyValue& row : reply.puts) {
+    const auto job_id = records::parse_job_key(row.key);
+    Job* job = job_id ? jobs_.find(*job_id) : nullptr;
     if (job == nullptr) {
-      take_up(row);
-    } else if (row.stamp > job->stamp) {
+      add_job(row);
+    } else if (row.mod_revision > job->mod_revision) {
       // Only users' cancellations change this record while its job lives.
-      job->stamp = row.stamp;
-      if (row.value["wd"].boolean().value_or(false)) withdraw(*job);
+      job->mod_revision = row.mod_revision;
+      if (row.value["wd"].boolean().value_or(false)) cancel_job(*job);
     }
   }
-  RecordsFollowed seen;
-  for (const Row& row : f.puts) seen.put(row.key, row.value);
-  for (const auto& [key, stamp] : f.deletes) seen.gone(key);
-  followed(seen);
+  RecordsChanged seen;
+  for (const KeyValue& row : reply.puts) seen.put(row.key, row.value);
+  for (const auto& [key, stamp] : reply.deletes) seen.erase(key);
+  records_changed(seen);
   wake();
 }
 
 /// Reads a job's root anew after a conflict or an unknown outcome: it tells of a cancellation, or that our
 /// final write had been executed after all.
-void Ledger::refresh(const std::string& ref) {
-  Job* refreshed = book_.find(ref);
+void LeaderActor::refresh_job(const std::string& job_id) {
+  Job* refreshed = jobs_.find(job_id);
   if (refreshed == nullptr) return;
-  refreshed->refresh = true;
-  store_.get(records::job_key(ref), Store::Urgent::schedule, [this, ref, epoch = term_.epoch](const Read& r) {
-    if (!open_in(epoch)) return;
-    Job* job = book_.find(ref);
-    if (job == nullptr) return;
-    if (r.result != Read::Result::ok) {
-      rt_.after(kRetryRead, [this, ref, epoch] {
-        if (term_.leading && term_.epoch == epoch) refresh(ref);
-      });
-      return;
-    }
-    if (r.rows.empty()) {
-      writer_.drop(ref);
-      return;
-    }
-    job->stamp = r.rows[0].stamp;
-    job->refresh = false;
-    if (r.rows[0].value["wd"].boolean().value_or(false)) withdraw(*job);
-    wake();
-  });
+  refreshed->needs_refresh = true;
+  store_.get(records::job_key(job_id), KvClient::RequestClass::scheduling,
+             [this, job_id, fencing_token = term_.fencing_token](const ReadReply& reply) {
+               if (!serving_term(fencing_token)) return;
+               Job* job = jobs_.find(job_id);
+               if (job == nullptr) return;
+               if (reply.result != ReadReply::Result::ok) {
+                 runtime_.after(kRetryRead, [this, job_id, fencing_token] {
+                   if (term_.leading && term_.fencing_token == fencing_token) refresh_job(job_id);
+                 });
+                 return;
+               }
+               if (reply.rows.empty()) {
+                 batcher_.remove(job_id);
+                 return;
+               }
+               job->mod_revision = reply.rows[0].mod_revision;
+               job->needs_refresh = false;
+               if (reply.rows[0].value["wd"].boolean().value_or(false)) cancel_job(*job);
+               wake();
+             });
 }
 
-void Ledger::on_withdrawn(const JobWithdrawn& w) {
-  if (!open()) return;
-  if (Job* job = book_.find(w.ref)) withdraw(*job);
+void LeaderActor::on_job_cancelled(const JobCancelled& event) {
+  if (!serving()) return;
+  if (Job* job = jobs_.find(event.job_id)) cancel_job(*job);
 }
 
-void Ledger::withdraw(Job& job) {
-  if (job.rec.withdrawn) return;
-  book_.withdraw(job);
-  for (auto& [host, orders] : book_.halt(job, Micros{0})) direct(DirectOrders{host, std::move(orders)});
+void LeaderActor::cancel_job(Job& job) {
+  if (job.record.cancelled) return;
+  jobs_.cancel(job);
+  for (auto& [host, orders] : jobs_.stop_job(job, Micros{0}))
+    direct_commands(DirectCommands{host, std::move(orders)});
 }
 
 // ---------------------------------------------------------------- workers, machines
 
-void Ledger::on_report(const HostReported& in) {
-  if (!open()) {
-    in.reply({});
+void LeaderActor::on_report(const WorkerReported& event) {
+  if (!serving()) {
+    event.reply({});
     // A word that came before the records is not lost; its answer was, so that it settles no start.
-    if (term_.leading) early_[in.report->host] = {in.report, in.current, false, [](const auto&) {}};
+    if (term_.leading)
+      early_reports_[event.report->host] = {event.report, event.token_accepted, false, [](const auto&) {}};
     return;
   }
-  const WorkerReport& r = *in.report;
+  const WorkerReport& report = *event.report;
   // The worker has given up waiting for the last answer; orders in it would come too late to be settled by
   // this report.
-  held_.void_answer(r.host);
-  const bool heir = inherit(r);
-  const std::uint64_t shown = reports_.shown();
-  const reports::Reports::Taken taken = reports_.take(r, in.current, in.settled);
+  pending_replies_.reply_empty(report.host);
+  const bool heir = adopt_machine_hint(report);
+  const std::uint64_t shown = reconciler_.shown_starts();
+  const reports::Reconciler::Result taken = reconciler_.apply(report, event.token_accepted, event.settled);
   // What the report did not show to be under way is not.
-  if (heir) machines_.at(r.host).fetched.clear();
-  if (in.current) times_.heard(r.host, rt_.now());
-  if (reports_.shown() != shown) times_.started(rt_.now());
-  if (taken.usable_changed) rounds_.need();
-  send(taken.halts);
-  for (const HostCondemned& c : taken.suspects) suspect(c);
-  const Machine& m = machines_.at(r.host);
+  if (heir) machines_.get_or_add(report.host).inherited_fetches.clear();
+  if (event.token_accepted) failover_timer_.on_machine_reported(report.host, runtime_.now());
+  if (reconciler_.shown_starts() != shown) failover_timer_.on_first_start(runtime_.now());
+  if (taken.usable_changed) scheduler_.request_plan();
+  send_direct(taken.stops);
+  for (const MachineCordoned& cordoned : taken.suspects) machine_suspect(cordoned);
+  const Machine& machine = machines_.get_or_add(report.host);
   // Only answers to reports carry orders; what a task left is used at once, so its worker waits for the next
   // round.
-  if (in.settled && m.current && certain() && (taken.left || reports_.awaits_commit(m, r))) {
-    held_.keep(r.host, {in.report, in.reply, rt_.now() + std::min(kHoldAnswer, settings_.lease / 8),
-                        rounds_.plans()});
-    if (taken.left) wake();
+  if (event.settled && machine.token_accepted && lease_valid() &&
+      (taken.tasks_left || reconciler_.awaits_commit(machine, report))) {
+    pending_replies_.add(report.host, {event.report, event.reply,
+                                       runtime_.now() + std::min(kMaxReplyDelay, settings_.worker_lease / 8),
+                                       scheduler_.plan_count()});
+    if (taken.tasks_left) wake();
     return;
   }
-  in.reply(reports_.orders(m, r));
+  event.reply(reconciler_.commands_for(machine, report));
 }
 
-void Ledger::on_quiet(const HostQuiet& q) {
-  if (Machine* m = machines_.find(q.host)) {
-    m->quiet = true;
-    machines_.touch(*m);
+void LeaderActor::on_worker_silent(const WorkerSilent& event) {
+  if (Machine* machine = machines_.find(event.host)) {
+    machine->silent = true;
+    machines_.mark_changed(*machine);
   }
-  rounds_.need();
+  scheduler_.request_plan();
 }
 
-void Ledger::on_condemned(const HostCondemned& c) {
-  Machine& m = machines_.at(c.host);
-  m.condemned = true;
-  machines_.touch(m);
+void LeaderActor::on_machine_cordoned(const MachineCordoned& event) {
+  Machine& machine = machines_.get_or_add(event.host);
+  machine.cordoned = true;
+  machines_.mark_changed(machine);
 }
 
-void Ledger::on_gone(const HostGone& g) {
-  times_.gone(g.host);
-  if (auto h = inherited_.extract(g.host)) expect_images(h.mapped(), false);
-  early_.erase(g.host);
-  if (!open()) return;
-  const Machine* m = machines_.find(g.host);
-  if (m == nullptr) return;
-  const book::Tenants there = book_.on(*m);
+void LeaderActor::on_machine_departed(const MachineDeparted& event) {
+  failover_timer_.on_machine_departed(event.host);
+  if (auto hint = inherited_machines_.extract(event.host)) expect_images(hint.mapped(), false);
+  early_reports_.erase(event.host);
+  if (!serving()) return;
+  const Machine* machine = machines_.find(event.host);
+  if (machine == nullptr) return;
+  const book::MachineAssignments there = jobs_.assignments_on(*machine);
   if (!there.empty())
-    log::info("machine_gone", "machine {machine} is gone with {tasks} tasks", log::with("machine", g.host),
-              log::with("tasks", there.size()));
-  for (const auto& [id, job] : there) book_.release(*job, id.second, "its machine is gone", true);
-  held_.void_answer(g.host);
-  machines_.erase(g.host);
-  estimator_.forget_host(g.host);
-  rounds_.need();
+    log::info("machine_gone", "machine {machine} is gone with {tasks} tasks",
+              log::with("machine", event.host), log::with("tasks", there.size()));
+  for (const auto& [id, job] : there) jobs_.release(*job, id.second, "its machine is gone", true);
+  pending_replies_.reply_empty(event.host);
+  machines_.erase(event.host);
+  estimator_.forget_host(event.host);
+  scheduler_.request_plan();
 }
 
-void Ledger::on_topology(const TopologyInForce& t) {
-  machines_.take_topology(t.topology);
-  rounds_.need();
+void LeaderActor::on_topology(const TopologyActivated& event) {
+  machines_.set_topology(event.topology);
+  scheduler_.request_plan();
 }
 
-void Ledger::on_doubted(const Doubted& d) {
+void LeaderActor::on_machines_suspected(const MachinesSuspected& event) {
   for (auto& [name, m] : machines_.all()) {
-    const bool doubted = d.hosts.contains(name);
-    if (m.doubted == doubted) continue;
-    m.doubted = doubted;
-    machines_.touch(m);
+    const bool doubted = event.hosts.contains(name);
+    if (m.suspected == doubted) continue;
+    m.suspected = doubted;
+    machines_.mark_changed(m);
   }
-  rounds_.need();
+  scheduler_.request_plan();
 }
 
-void Ledger::on_catalog(const CatalogSeen& c) {
-  machines_.take_catalog(c.catalog);
-  rounds_.need();
+void LeaderActor::on_catalog(const CatalogUpdated& event) {
+  machines_.set_catalog(event.catalog);
+  scheduler_.request_plan();
 }
 
 // ---------------------------------------------------------------- rounds
 
-void Ledger::tick() {
-  round();
-  rt_.after(settings_.tunables.round, [this] { tick(); });
+void LeaderActor::tick() {
+  run_cycle();
+  runtime_.after(settings_.tunables.scheduling_interval, [this] { tick(); });
 }
 
 /// News that should not wait for the next tick.
-void Ledger::wake() {
-  if (woken_) return;
-  woken_ = true;
-  const Micros gap = settings_.tunables.round / 2;
-  rt_.after(std::max(Micros{0}, last_round_ + gap - rt_.now()), [this] {
-    woken_ = false;
-    round();
+void LeaderActor::wake() {
+  if (wake_scheduled_) return;
+  wake_scheduled_ = true;
+  const Micros gap = settings_.tunables.scheduling_interval / 2;
+  runtime_.after(std::max(Micros{0}, last_cycle_ + gap - runtime_.now()), [this] {
+    wake_scheduled_ = false;
+    run_cycle();
   });
 }
 
-void Ledger::round() {
-  last_round_ = rt_.now();
-  if (!open()) return;
-  if (certain() && rounds_.due()) {
-    const rounds::Rounds::Result planned = rounds_.plan();
-    send(planned.halts);
+void LeaderActor::run_cycle() {
+  last_cycle_ = runtime_.now();
+  if (!serving()) return;
+  if (lease_valid() && scheduler_.due()) {
+    const rounds::SchedulingCycle::Result planned = scheduler_.plan();
+    send_direct(planned.stops);
     if (planned.workload) workload(planned.workload);
   }
-  writer_.flush();
-  answer_held();
-  if (auto p = rounds_.progress()) progress(std::move(p));
-  waits_.tell(rt_.now());
-  tell_hints();
-  if (const auto told = times_.ended(book_.loaded(), rt_.now())) taken_over(*told);
+  batcher_.flush();
+  reply_pending();
+  if (auto counts = scheduler_.progress()) progress(std::move(counts));
+  start_latency_.log_if_due(runtime_.now());
+  publish_hints();
+  if (const auto told = failover_timer_.finish(jobs_.unconfirmed_count(), runtime_.now()))
+    failover_finished(*told);
 }
 
-void Ledger::answer_held() {
-  held_.give([this](const std::string& host, const held::Answer& a) -> std::optional<std::vector<Order>> {
-    const Machine& m = machines_.at(host);
-    const bool ready = a.plans < rounds_.plans() && !reports_.awaits_commit(m, *a.report);
-    if (!ready && rt_.now() < a.until) return std::nullopt;
-    return reports_.orders(m, *a.report);
-  });
+void LeaderActor::reply_pending() {
+  pending_replies_.reply_ready(
+      [this](const std::string& host,
+             const held::PendingReply& pending) -> std::optional<std::vector<WorkerCommand>> {
+        const Machine& machine = machines_.get_or_add(host);
+        const bool ready = pending.plans_before < scheduler_.plan_count() &&
+                           !reconciler_.awaits_commit(machine, *pending.report);
+        if (!ready && runtime_.now() < pending.deadline) return std::nullopt;
+        return reconciler_.commands_for(machine, *pending.report);
+      });
 }
 
-void Ledger::send(const std::vector<DirectOrders>& orders) {
-  for (const DirectOrders& d : orders) direct(d);
+void LeaderActor::send_direct(const std::vector<DirectCommands>& commands) {
+  for (const DirectCommands& event : commands) direct_commands(event);
 }
 
 }  // namespace wrenusher::ledger
--- a/src/ledger/takeover.cpp
+++ b/src/ledger/takeover.cpp
@@ -6,104 +6,105 @@
 
 namespace {
 
-constexpr int kPage = 400;
-constexpr Micros kRetryRead = millis(250);
+constexpr int kShardPageSize = 400;
+constexpr Micros kRetryRead = from_millis(250);
 
-void tell_unreadable(const std::string& key) {
+void log_unreadable(const std::string& key) {
   log::error("record_unreadable", "record {key} cannot be read", log::with("key", key));
 }
 
 }  // namespace
 
-bool accept_root(Book& book, const Row& row) {
-  const auto ref = records::parse_job_key(row.key);
-  auto rec = ref ? records::read_job(row.value) : std::nullopt;
+bool add_stored_job(JobTable& jobs, const KeyValue& row) {
+  const auto job_id = records::parse_job_key(row.key);
+  auto rec = job_id ? records::read_job(row.value) : std::nullopt;
   if (!rec) {
-    tell_unreadable(row.key);
+    log_unreadable(row.key);
     return false;
   }
-  book.accept(*ref, std::move(*rec), row.stamp);
+  jobs.add(*job_id, std::move(*rec), row.mod_revision);
   return true;
 }
 
-void Takeover::begin(std::function<void(std::uint64_t revision)> done) {
-  auto r = std::make_shared<Reading>();
-  r->generation = ++generation_;
-  r->done = std::move(done);
-  read(r);
+void Failover::start_reading(std::function<void(std::uint64_t revision)> done) {
+  auto reading = std::make_shared<ReadState>();
+  reading->generation = ++generation_;
+  reading->done = std::move(done);
+  read(reading);
 }
 
-void Takeover::read(const std::shared_ptr<Reading>& r) {
-  store_.list(r->slots ? "claims/" : "job/", r->from, kPage, Store::Urgent::schedule,
-              [this, r](const Read& page) {
-                if (r->generation != generation_) return;
-                if (page.result == Read::Result::ok) {
-                  take_page(r, page);
+void Failover::read(const std::shared_ptr<ReadState>& reading) {
+  store_.list(reading->reading_shards ? "claims/" : "job/", reading->next_key, kShardPageSize,
+              KvClient::RequestClass::scheduling, [this, reading](const ReadReply& page) {
+                if (reading->generation != generation_) return;
+                if (page.result == ReadReply::Result::ok) {
+                  on_page(reading, page);
                   return;
                 }
-                rt_.after(kRetryRead, [this, r] {
-                  if (r->generation == generation_) read(r);
+                runtime_.after(kRetryRead, [this, reading] {
+                  if (reading->generation == generation_) read(reading);
                 });
               });
 }
 
-void Takeover::take_page(const std::shared_ptr<Reading>& r, const Read& page) {
-  if (r->revision == 0) r->revision = page.revision;
-  for (const Row& row : page.rows) {
-    if (r->slots) {
-      const auto slot = records::parse_slot_key(row.key);
+void Failover::on_page(const std::shared_ptr<ReadState>& reading, const ReadReply& page) {
+  if (reading->revision == 0) reading->revision = page.revision;
+  for (const KeyValue& row : page.rows) {
+    if (reading->reading_shards) {
+      const auto slot = records::parse_shard_key(row.key);
       std::size_t unreadable = 0;
-      auto blocks = slot ? records::read_slot(row.value, *slot, unreadable) : std::nullopt;
-      if (!blocks || unreadable > 0) tell_unreadable(row.key);
-      if (blocks) accept_slot(r->blocks, *slot, {row.stamp, std::move(*blocks)});
+      auto blocks = slot ? records::read_shard(row.value, *slot, unreadable) : std::nullopt;
+      if (!blocks || unreadable > 0) log_unreadable(row.key);
+      if (blocks) read_shard_row(reading->blocks, *slot, {row.mod_revision, std::move(*blocks)});
     } else {
-      accept_root(book_, row);
+      add_stored_job(jobs_, row);
     }
-    r->from = row.key;
+    reading->next_key = row.key;
   }
   if (page.truncated && !page.rows.empty()) {
-    read(r);
-  } else if (!r->slots) {
-    r->slots = true;
-    r->from.clear();
-    read(r);
+    read(reading);
+  } else if (!reading->reading_shards) {
+    reading->reading_shards = true;
+    reading->next_key.clear();
+    read(reading);
   } else {
-    restore(r->blocks);
-    r->done(r->revision);
+    restore_blocks(reading->blocks);
+    reading->done(reading->revision);
   }
 }
 
 /// Takes note of the newest copy of every block of a live job.
-void Takeover::accept_slot(Blocks& blocks, std::uint32_t slot, const records::Snapshot::Slot& s) {
-  writer_.found_slot(slot, s.stamp);
-  for (const records::BlockAt& b : s.blocks) {
-    const Job* job = book_.find(b.id.ref);
-    if (job == nullptr || b.id.block >= job->blocks.size()) continue;  // its job is over
-    Found& f = blocks[{b.id.ref, b.id.block}];
-    if (f.version >= b.id.version) continue;
-    if (!b.within(job->spec().units)) {
-      tell_unreadable(records::slot_key(slot));
+void Failover::read_shard_row(Blocks& blocks, std::uint32_t slot,
+                              const records::RecordSnapshot::Shard& shard) {
+  batcher_.restore_shard(slot, shard.mod_revision);
+  for (const records::StoredBlock& stored : shard.blocks) {
+    const Job* job = jobs_.find(stored.id.job_id);
+    if (job == nullptr || stored.id.block >= job->blocks.size()) continue;  // its job is over
+    FoundBlock& found = blocks[{stored.id.job_id, stored.id.block}];
+    if (found.version >= stored.id.version) continue;
+    if (!stored.within_task_count(job->spec().task_count)) {
+      log_unreadable(records::shard_key(slot));
       continue;
     }
-    f = {b.id.version, slot, b.state};
+    found = {stored.id.version, slot, stored.state};
   }
 }
 
-void Takeover::restore(const Blocks& blocks) {
+void Failover::restore_blocks(const Blocks& blocks) {
   for (const auto& [id, found] : blocks) {
-    Job* job = book_.find(id.first);
+    Job* job = jobs_.find(id.first);
     if (job == nullptr || found.version == 0) continue;
-    book_.restore(*job, id.second, found.version, found.state);
-    writer_.found_block(*job, id.second, found.slot);
+    jobs_.restore_block(*job, id.second, found.version, found.state);
+    batcher_.restore_block(*job, id.second, found.shard);
   }
 }
 
-void Takeover::take(const records::Snapshot& copy) {
+void Failover::load_replica(const records::RecordSnapshot& copy) {
   ++generation_;
-  for (const auto& [ref, root] : copy.jobs) book_.accept(ref, root.rec, root.stamp);
+  for (const auto& [ref, root] : copy.jobs) jobs_.add(ref, root.record, root.mod_revision);
   Blocks blocks;
-  for (const auto& [slot, s] : copy.slots) accept_slot(blocks, slot, s);
-  restore(blocks);
+  for (const auto& [slot, s] : copy.shards) read_shard_row(blocks, slot, s);
+  restore_blocks(blocks);
 }
 
 }  // namespace wrenusher::ledger
--- a/src/log/include/wrenusher/log/log.hpp
+++ b/src/log/include/wrenusher/log/log.hpp
@@ -34,12 +34,12 @@
 }
 
 /// Collects an event's fields for JSON, typed as they are.
-class Fields {
+class JsonFields {
  public:
-  Fields();
-  ~Fields();
-  Fields(const Fields&) = delete;
-  Fields& operator=(const Fields&) = delete;
+  JsonFields();
+  ~JsonFields();
+  JsonFields(const JsonFields&) = delete;
+  JsonFields& operator=(const JsonFields&) = delete;
   void add(const char* name, std::string_view value);
   void add(const char* name, bool value);
   void add(const char* name, double value);
@@ -74,7 +74,7 @@
   if (!spdlog::should_log(level)) return;
   std::string line = fill(text, fmt::make_format_args(fmt::arg(fields.name, fields.value)...));
   if (as_json()) {
-    Fields all;
+    JsonFields all;
     (all.add_any(fields.name, fields.value), ...);
     line = all.line(event, line);
   }
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -37,29 +37,29 @@
   }
 }
 
-Fields::Fields() : json_(new nlohmann::json(nlohmann::json::object())) {}
-Fields::~Fields() {
+JsonFields::JsonFields() : json_(new nlohmann::json(nlohmann::json::object())) {}
+JsonFields::~JsonFields() {
   delete json_;
 }
-void Fields::add(const char* name, std::string_view value) {
+void JsonFields::add(const char* name, std::string_view value) {
   (*json_)[name] = value;
 }
-void Fields::add(const char* name, bool value) {
+void JsonFields::add(const char* name, bool value) {
   (*json_)[name] = value;
 }
-void Fields::add(const char* name, double value) {
+void JsonFields::add(const char* name, double value) {
   (*json_)[name] = value;
 }
-void Fields::add(const char* name, std::uint64_t value) {
+void JsonFields::add(const char* name, std::uint64_t value) {
   (*json_)[name] = value;
 }
-void Fields::add(const char* name, std::int64_t value) {
+void JsonFields::add(const char* name, std::int64_t value) {
   (*json_)[name] = value;
 }
 
-std::string Fields::line(const char* event, const std::string& text) const {
-  const auto dump = [](const nlohmann::json& j) {
-    return j.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
+std::string JsonFields::line(const char* event, const std::string& text) const {
+  const auto dump = [](const nlohmann::json& json) {
+    return json.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
   };
   std::string out = "\"event\":" + dump(event) + ",\"message\":" + dump(text);
   const std::string rest = dump(*json_);
--- a/src/machines/machines.cpp
+++ b/src/machines/machines.cpp
@@ -5,235 +5,241 @@
 
 namespace wrenusher::machines {
 
-Machine& Machines::at(const std::string& host) {
+Machine& MachineInventory::get_or_add(const std::string& host) {
   if (Machine* known = find(host)) return *known;
-  Machine& m = machines_[host];
-  m.name = host;
-  by_name_.emplace(m.name, &m);
-  return m;
+  Machine& machine = machines_[host];
+  machine.name = host;
+  by_name_.emplace(machine.name, &machine);
+  return machine;
 }
 
-Machine* Machines::find(const std::string& host) {
+Machine* MachineInventory::find(const std::string& host) {
   const auto it = by_name_.find(host);
   return it == by_name_.end() ? nullptr : it->second;
 }
 
-void Machines::clear() {
+void MachineInventory::clear() {
   by_name_.clear();
   machines_.clear();
-  touched_.clear();
-  untold_.clear();
-  freed_.clear();
-  pulling_.clear();
+  changed_.clear();
+  pending_hints_.clear();
+  freed_slots_.clear();
+  fetching_.clear();
   ++generation_;
 }
 
-void Machines::erase(const std::string& host) {
+void MachineInventory::erase(const std::string& host) {
   const auto it = machines_.find(host);
   if (it == machines_.end()) return;
-  Machine& m = it->second;
-  if (m.touched) std::erase(touched_, &m);
-  if (m.untold) std::erase(untold_, &m);
-  pulling_.erase(&m);
-  if (m.slot != Machine::kNoSlot) freed_.push_back(m.slot);
-  by_name_.erase(m.name);
+  Machine& machine = it->second;
+  if (machine.changed) std::erase(changed_, &machine);
+  if (machine.hint_pending) std::erase(pending_hints_, &machine);
+  fetching_.erase(&machine);
+  if (machine.slot != Machine::kNoSlot) freed_slots_.push_back(machine.slot);
+  by_name_.erase(machine.name);
   machines_.erase(it);
 }
 
-void Machines::seen(Machine& m, const WorkerReport& r, bool current) {
-  const bool moved = m.addr != r.addr || m.flavor != r.flavor || m.site != r.site;
-  if (moved || m.standby != r.standby || m.current != current || m.quiet || m.warned != r.warning.has_value())
-    touch(m);
-  m.addr = r.addr;
-  m.flavor = r.flavor;
-  m.site = r.site;
-  m.standby = r.standby;
-  m.tenure = r.tenure;
-  m.current = current;
-  m.quiet = false;
-  m.warned = r.warning.has_value();
-  if (moved && topology_) m.place = topology_->find(m.name, m.addr, m.flavor, m.site);
-}
-
-void Machines::take_catalog(std::shared_ptr<const Catalog> catalog) {
+void MachineInventory::update_from_report(Machine& machine, const WorkerReport& report, bool current) {
+  const bool moved = machine.address != report.address || machine.machine_type != report.machine_type ||
+                     machine.zone != report.zone;
+  if (moved || machine.spot != report.spot || machine.token_accepted != current || machine.silent ||
+      machine.evicting != report.eviction_notice.has_value())
+    mark_changed(machine);
+  machine.address = report.address;
+  machine.machine_type = report.machine_type;
+  machine.zone = report.zone;
+  machine.spot = report.spot;
+  machine.incarnation = report.incarnation;
+  machine.token_accepted = current;
+  machine.silent = false;
+  machine.evicting = report.eviction_notice.has_value();
+  if (moved && topology_)
+    machine.place = topology_->find(machine.name, machine.address, machine.machine_type, machine.zone);
+}
+
+void MachineInventory::set_catalog(std::shared_ptr<const Catalog> catalog) {
   // The planner's board points into it: the same types once more change nothing.
   if (catalog_ && catalog && *catalog == *catalog_) return;
   catalog_ = std::move(catalog);
   ++generation_;
 }
 
-void Machines::take_topology(std::shared_ptr<const topology::Topology> t) {
-  if (topology_ == t) return;
-  topology_ = std::move(t);
+void MachineInventory::set_topology(std::shared_ptr<const topology::Topology> topology) {
+  if (topology_ == topology) return;
+  topology_ = std::move(topology);
   // Where every job's tasks are reads otherwise from now on.
   ++generation_;
   for (auto& [name, m] : machines_) {
-    m.place =
-        topology_ && !m.site.empty() ? topology_->find(m.name, m.addr, m.flavor, m.site) : topology::Place{};
+    m.place = topology_ && !m.zone.empty() ? topology_->find(m.name, m.address, m.machine_type, m.zone)
+                                           : topology::MachineLocation{};
   }
 }
 
-void Machines::want_devices(std::set<std::string> names) {
-  if (names == wanted_) return;
-  wanted_ = std::move(names);
+void MachineInventory::set_wanted_devices(std::set<std::string> names) {
+  if (names == wanted_devices_) return;
+  wanted_devices_ = std::move(names);
   for (auto& [name, m] : machines_) {
-    if (!m.place.devices.empty()) touch(m);
+    if (!m.place.devices.empty()) mark_changed(m);
   }
 }
 
-void Machines::touch(Machine& m) {
-  if (!std::exchange(m.untold, true)) untold_.push_back(&m);
-  if (!std::exchange(m.touched, true)) touched_.push_back(&m);
+void MachineInventory::mark_changed(Machine& machine) {
+  if (!std::exchange(machine.hint_pending, true)) pending_hints_.push_back(&machine);
+  if (!std::exchange(machine.changed, true)) changed_.push_back(&machine);
 }
 
-std::vector<Machine*> Machines::take_untold(std::size_t most) {
-  const auto n = static_cast<std::ptrdiff_t>(std::min(most, untold_.size()));
-  std::vector<Machine*> out(untold_.begin(), untold_.begin() + n);
-  untold_.erase(untold_.begin(), untold_.begin() + n);
-  for (Machine* m : out) m->untold = false;
+std::vector<Machine*> MachineInventory::take_pending_hints(std::size_t most) {
+  const auto n = static_cast<std::ptrdiff_t>(std::min(most, pending_hints_.size()));
+  std::vector<Machine*> out(pending_hints_.begin(), pending_hints_.begin() + n);
+  pending_hints_.erase(pending_hints_.begin(), pending_hints_.begin() + n);
+  for (Machine* machine : out) machine->hint_pending = false;
   return out;
 }
 
-void Machines::inherit(Machine& m, const std::vector<Held>& held) {
-  touch(m);
-  for (const Held& h : held) {
-    if (h.left_gb > 0) {
-      m.fetched[h.bundle] = h.left_gb;
+void MachineInventory::adopt_images(Machine& machine, const std::vector<InheritedImage>& held) {
+  mark_changed(machine);
+  for (const InheritedImage& image : held) {
+    if (image.remaining_gb > 0) {
+      machine.inherited_fetches[image.image] = image.remaining_gb;
     } else {
-      m.images[h.bundle] = ++uses_;
-      m.image_gb[h.bundle] = h.gb;
+      machine.images[image.image] = ++image_uses_;
+      machine.image_gb[image.image] = image.gb;
     }
   }
 }
 
-std::vector<Machine*> Machines::take_touched() {
-  for (Machine* m : touched_) m->touched = false;
-  return std::exchange(touched_, {});
+std::vector<Machine*> MachineInventory::take_changed() {
+  for (Machine* machine : changed_) machine->changed = false;
+  return std::exchange(changed_, {});
 }
 
-const Flavor* Machines::type(const std::string& name) const {
+const MachineType* MachineInventory::find_type(const std::string& name) const {
   if (!catalog_) return nullptr;
   const auto it = catalog_->find(name);
   return it == catalog_->end() ? nullptr : &it->second;
 }
 
-void Machines::book(Machine& m, const JobSpec& spec) {
-  touch(m);
-  m.use.booked += spec.needs;
-  ++m.use.claims;
-  for (const auto& [name, n] : spec.devices()) m.use.devices[name] += n;
-  if (spec.shape != Shape::daemon) return;
-  m.use.lasting += spec.needs;
-  ++m.use.services;
+void MachineInventory::reserve(Machine& machine, const JobSpec& spec) {
+  mark_changed(machine);
+  machine.use.reserved += spec.resources;
+  ++machine.use.assignments;
+  for (const auto& [name, n] : spec.devices()) machine.use.devices[name] += n;
+  if (spec.type != JobType::service) return;
+  machine.use.service_load += spec.resources;
+  ++machine.use.services;
 }
 
-void Machines::unbook(Machine& m, const JobSpec& spec) {
-  touch(m);
-  m.use.booked -= spec.needs;
-  --m.use.claims;
+void MachineInventory::release(Machine& machine, const JobSpec& spec) {
+  mark_changed(machine);
+  machine.use.reserved -= spec.resources;
+  --machine.use.assignments;
   for (const auto& [name, n] : spec.devices()) {
-    if ((m.use.devices[name] -= n) == 0) m.use.devices.erase(name);
+    if ((machine.use.devices[name] -= n) == 0) machine.use.devices.erase(name);
   }
-  if (spec.shape != Shape::daemon) return;
-  m.use.lasting -= spec.needs;
-  --m.use.services;
+  if (spec.type != JobType::service) return;
+  machine.use.service_load -= spec.resources;
+  --machine.use.services;
 }
 
-void Machines::progress_pulls(Machine& m) {
+void MachineInventory::advance_fetches(Machine& machine) {
   constexpr double kLeast = 0.05;
-  const double seconds = to_seconds(rt_.now() - m.pulled_at);
-  m.pulled_at = rt_.now();
-  const Flavor* f = m.pulling.empty() ? nullptr : flavor(m);
-  if (f == nullptr) return;
-  const double each = seconds * f->pull_gb_per_s / static_cast<double>(m.pulling.size());
-  for (auto& [bundle, p] : m.pulling) p.left_gb = std::max(p.left_gb - each, p.size_gb * kLeast);
-}
-
-bool Machines::begin_pull(Machine& m, const JobSpec& spec) {
-  if (m.images.contains(spec.bundle)) return false;
-  progress_pulls(m);
-  touch(m);
-  pulling_.insert(&m);
+  const double seconds = to_seconds(runtime_.now() - machine.fetches_as_of);
+  machine.fetches_as_of = runtime_.now();
+  const MachineType* machine_type = machine.fetches.empty() ? nullptr : type_of(machine);
+  if (machine_type == nullptr) return;
+  const double each = seconds * machine_type->fetch_gb_per_s / static_cast<double>(machine.fetches.size());
+  for (auto& [bundle, p] : machine.fetches)
+    p.remaining_gb = std::max(p.remaining_gb - each, p.size_gb * kLeast);
+}
+
+bool MachineInventory::begin_fetch(Machine& machine, const JobSpec& spec) {
+  if (machine.images.contains(spec.image)) return false;
+  advance_fetches(machine);
+  mark_changed(machine);
+  fetching_.insert(&machine);
   const auto [it, first] =
-      m.pulling.try_emplace(spec.bundle, Pulling{spec.image_gb, spec.image_gb, 0, spec.urgency});
-  if (auto begun = m.fetched.extract(spec.bundle))
-    it->second.left_gb = std::min(it->second.left_gb, begun.mapped());
+      machine.fetches.try_emplace(spec.image, ImageFetch{spec.image_gb, spec.image_gb, 0, spec.priority});
+  if (auto begun = machine.inherited_fetches.extract(spec.image))
+    it->second.remaining_gb = std::min(it->second.remaining_gb, begun.mapped());
   ++it->second.tasks;
-  it->second.urgency = std::min(it->second.urgency, spec.urgency);
+  it->second.priority = std::min(it->second.priority, spec.priority);
   return true;
 }
 
-void Machines::end_pull(Machine& m, const JobSpec& spec) {
-  progress_pulls(m);
-  const auto it = m.pulling.find(spec.bundle);
-  touch(m);
-  if (--it->second.tasks == 0) m.pulling.erase(it);
-  if (m.pulling.empty()) pulling_.erase(&m);
+void MachineInventory::end_fetch(Machine& machine, const JobSpec& spec) {
+  advance_fetches(machine);
+  const auto it = machine.fetches.find(spec.image);
+  mark_changed(machine);
+  if (--it->second.tasks == 0) machine.fetches.erase(it);
+  if (machine.fetches.empty()) fetching_.erase(&machine);
 }
 
-void Machines::use_image(Machine& m, const JobSpec& spec) {
-  if (!m.images.contains(spec.bundle)) touch(m);
-  m.images[spec.bundle] = ++uses_;
-  m.image_gb[spec.bundle] = spec.image_gb;
-  const Flavor* f = flavor(m);
-  if (f == nullptr) return;
+void MachineInventory::record_image_use(Machine& machine, const JobSpec& spec) {
+  if (!machine.images.contains(spec.image)) mark_changed(machine);
+  machine.images[spec.image] = ++image_uses_;
+  machine.image_gb[spec.image] = spec.image_gb;
+  const MachineType* machine_type = type_of(machine);
+  if (machine_type == nullptr) return;
   double total = 0;
-  for (const auto& [bundle, used] : m.images) total += m.image_gb[bundle];
-  while (total > f->cache_gb && m.images.size() > 1) {
-    const auto oldest = std::min_element(m.images.begin(), m.images.end(),
+  for (const auto& [bundle, used] : machine.images) total += machine.image_gb[bundle];
+  while (total > machine_type->image_cache_gb && machine.images.size() > 1) {
+    const auto oldest = std::min_element(machine.images.begin(), machine.images.end(),
                                          [](const auto& a, const auto& b) { return a.second < b.second; });
-    touch(m);
-    total -= m.image_gb[oldest->first];
-    m.image_gb.erase(oldest->first);
-    m.images.erase(oldest);
+    mark_changed(machine);
+    total -= machine.image_gb[oldest->first];
+    machine.image_gb.erase(oldest->first);
+    machine.images.erase(oldest);
   }
 }
 
-void Machines::lose_image(Machine& m, const JobSpec& spec) {
-  touch(m);
-  m.images.erase(spec.bundle);
-  m.image_gb.erase(spec.bundle);
+void MachineInventory::record_image_eviction(Machine& machine, const JobSpec& spec) {
+  mark_changed(machine);
+  machine.images.erase(spec.image);
+  machine.image_gb.erase(spec.image);
 }
 
-std::vector<planner::Pull> Machines::pulls_of(const Machine& m) {
-  std::vector<planner::Pull> out;
-  out.reserve(m.pulling.size());
-  for (const auto& [bundle, p] : m.pulling) out.push_back({bundle, p.left_gb, p.urgency});
+std::vector<planner::PlannedFetch> MachineInventory::fetches_of(const Machine& machine) {
+  std::vector<planner::PlannedFetch> out;
+  out.reserve(machine.fetches.size());
+  for (const auto& [bundle, p] : machine.fetches) out.push_back({bundle, p.remaining_gb, p.priority});
   return out;
 }
 
-planner::PlanHost Machines::plan_host(const Machine& m, const Flavor& f) const {
-  planner::PlanHost h;
-  h.name = m.name;
-  h.site = m.site;
-  h.flavor = &f;
-  h.standby = m.standby;
-  h.stays = m.use.services > 0;
-  h.free.room = f.room;
-  h.free.room -= m.use.booked;
-  h.speed = estimator_.speed(m.name);
-  h.images = &m.images;
-  h.pulls = pulls_of(m);
-  if (!topology_) return h;
-  h.place = &m.place;
-  for (const auto& [device, n] : m.place.devices) {
-    const auto used = m.use.devices.find(device);
-    const std::uint32_t booked = used == m.use.devices.end() ? 0 : used->second;
-    h.free.devices[device] = n - std::min(n, booked);
-    h.guarded = h.guarded || wanted_.contains(device);
+planner::PlanMachine MachineInventory::to_plan_machine(const Machine& machine,
+                                                       const MachineType& machine_type) const {
+  planner::PlanMachine planned;
+  planned.name = machine.name;
+  planned.zone = machine.zone;
+  planned.machine_type = &machine_type;
+  planned.spot = machine.spot;
+  planned.runs_services = machine.use.services > 0;
+  planned.free.resources = machine_type.capacity;
+  planned.free.resources -= machine.use.reserved;
+  planned.speed = estimator_.speed(machine.name);
+  planned.images = &machine.images;
+  planned.fetches = fetches_of(machine);
+  if (!topology_) return planned;
+  planned.place = &machine.place;
+  for (const auto& [device, n] : machine.place.devices) {
+    const auto used = machine.use.devices.find(device);
+    const std::uint32_t booked = used == machine.use.devices.end() ? 0 : used->second;
+    planned.free.devices[device] = n - std::min(n, booked);
+    planned.reserved_for_devices = planned.reserved_for_devices || wanted_devices_.contains(device);
   }
-  return h;
+  return planned;
 }
 
-std::string Machines::disagreement(const std::map<const Machine*, Reckoned>& anew) const {
-  static const Reckoned kNothing;
+std::string MachineInventory::disagreement(const std::map<const Machine*, Recomputed>& anew) const {
+  static const Recomputed kNothing;
   for (const auto& [name, m] : machines_) {
     const auto it = anew.find(&m);
-    const Reckoned& r = it == anew.end() ? kNothing : it->second;
-    const bool pulls = std::equal(
-        m.pulling.begin(), m.pulling.end(), r.pulls.begin(), r.pulls.end(),
-        [](const auto& a, const auto& b) { return a.first == b.first && a.second.tasks == b.second; });
-    if (!(r.use == m.use) || !pulls) return "machine " + name + " is booked wrongly";
+    const Recomputed& recomputed = it == anew.end() ? kNothing : it->second;
+    const bool pulls = std::equal(m.fetches.begin(), m.fetches.end(), recomputed.fetching_tasks.begin(),
+                                  recomputed.fetching_tasks.end(), [](const auto& a, const auto& b) {
+                                    return a.first == b.first && a.second.tasks == b.second;
+                                  });
+    if (!(recomputed.use == m.use) || !pulls) return "machine " + name + " is booked wrongly";
   }
   return {};
 }
--- a/src/membership/include/wrenusher/membership/leadership.hpp
+++ b/src/membership/include/wrenusher/membership/leadership.hpp
@@ -16,94 +16,95 @@
 using namespace mail;
 
 /// An edition as a field of a record or beat; none is no field.
-void write_edition(Value::Map& out, const char* field, const topology::Edition& e);
-topology::Edition read_edition(const Value& v);
+void write_topology_version(Value::Map& out, const char* field, const topology::TopologyVersion& version);
+topology::TopologyVersion read_topology_version(const Value& value);
 
 class Leadership {
  public:
-  Leadership(Runtime& rt, const Settings& settings, Store& store);
+  Leadership(Runtime& runtime, const Settings& settings, KvClient& store);
   void start();
 
-  void on_peer(const PeerNews& news);
-  void on_deposed(const Deposed& d);
-  void on_hearing(const Hearing& h);
-  void on_topology(const TopologyRead& t);
-  void on_ready(const Readiness& r) { ready_ = r; }
+  void on_peer_status(const PeerStatus& news);
+  void on_leadership_lost(const LeadershipLost& event);
+  void on_worker_reachability(const WorkerReachability& event);
+  void on_topology_loaded(const TopologyLoaded& event);
+  void on_readiness(const Readiness& event) { readiness_ = event; }
 
   /// Leads, and may be sure that nobody else does.
-  bool certain() const { return leading_ && rt_.now() < certain_until_; }
+  bool lease_valid() const { return leading_ && runtime_.now() < lease_valid_until_; }
 
-  Sink<TermChanged> changed;
-  Sink<Certainty> certainty;
-  Sink<TopologyInForce> force;
-  Sink<Ceding> ceding;
+  EventSink<TermChanged> term_changed;
+  EventSink<LeaseValidity> lease_validity;
+  EventSink<TopologyActivated> topology_activated;
+  EventSink<SteppingDown> stepping_down;
 
  private:
   struct PeerState {
-    PeerNews news;
-    Instant at{};
+    PeerStatus status;
+    Instant received_at{};
   };
   void tick();
-  void look();
-  void leave(std::uint64_t stamp);
-  void watch(std::uint64_t from);
-  void take_watched(const FollowReply& f);
-  void vacant();
+  void check_leader();
+  void revoke_own_lease(std::uint64_t mod_revision);
+  void watch_leader(std::uint64_t from);
+  void on_leader_watched(const WatchReply& reply);
+  void on_vacancy();
   /// Candidates that go before this node.
-  int before_me() const;
-  bool warm_peer() const;
-  Micros alone_after() const;
-  void cede(const char* why, const std::function<bool(const PeerNews&)>& fit);
-  void campaign(std::uint64_t stamp);
-  void abandon(std::uint64_t tenancy);
-  void win(std::uint64_t tenancy, std::uint64_t epoch, std::uint64_t stamp, Instant sent);
-  void extend();
-  void stand_down(const char* why, Micros abstain);
-  void note_epoch(std::uint64_t epoch, const std::string& leader);
-  void prove(Instant sent);
-  bool fresh(const PeerState& p) const;
-  topology::Edition mine() const;
+  int candidates_ahead() const;
+  bool has_warm_peer() const;
+  Micros wait_for_peers() const;
+  void step_down_for(const char* why, const std::function<bool(const PeerStatus&)>& fit);
+  void campaign(std::uint64_t mod_revision);
+  void abandon_campaign(std::uint64_t lease_id);
+  void begin_term(std::uint64_t lease_id, std::uint64_t fencing_token, std::uint64_t mod_revision,
+                  Instant sent);
+  void renew_lease();
+  void step_down(const char* why, Micros abstain);
+  void note_token(std::uint64_t fencing_token, const std::string& leader);
+  void extend_validity(Instant sent);
+  bool is_fresh(const PeerState& peer) const;
+  topology::TopologyVersion own_topology() const;
   /// A peer heard of late has read this edition and reaches the state service.
-  bool peer_has(const topology::Edition& e) const;
-  void defer(std::uint64_t tenancy);
-  void note_force(const topology::Edition& e);
-  void tell_force();
-  void complain();
-  void adopt();
-  void read_force();
+  bool peer_has_topology(const topology::TopologyVersion& version) const;
+  void defer_to_peer(std::uint64_t lease_id);
+  void note_active_topology(const topology::TopologyVersion& version);
+  void publish_topology();
+  void warn_topology_mismatch();
+  void adopt_topology();
+  void read_active_topology();
 
-  Runtime& rt_;
+  Runtime& runtime_;
   const Settings& settings_;
-  Store& store_;
+  KvClient& store_;
   std::map<std::string, PeerState> peers_;
   std::shared_ptr<const topology::Topology> topology_;  ///< as read here
-  topology::Edition force_;                             ///< as the state service or the leader told
-  std::uint64_t term_stamp_ = 0;                        ///< of the `leader` record, while leading
-  std::uint64_t epoch_stamp_ = 0;                       ///< of the record that names it, while leading
-  std::pair<topology::Edition, topology::Edition> complained_;
+  topology::TopologyVersion active_topology_;           ///< as the state service or the leader told
+  std::uint64_t leader_revision_ = 0;                   ///< of the `leader` record, while leading
+  std::uint64_t token_revision_ = 0;                    ///< of the record that names it, while leading
+  std::pair<topology::TopologyVersion, topology::TopologyVersion> warned_topologies_;
   Instant deferring_since_{};  ///< to a peer that has the topology in force; nobody has led since
-  Instant ceded_{};            ///< when the lead was last given to such a peer, or to a better placed one
+  Instant stepped_down_at_{};  ///< when the lead was last given to such a peer, or to a better placed one
   bool adopting_ = false;
   Instant next_adopt_{};
   bool leading_ = false;
-  bool busy_ = false;
-  std::uint64_t epoch_ = 0;
-  std::uint64_t tenancy_ = 0;
+  bool campaigning_ = false;
+  std::uint64_t fencing_token_ = 0;
+  std::uint64_t lease_id_ = 0;
   std::string leader_;
-  Instant certain_until_{};
-  Instant next_look_{};
-  Instant started_{};
-  bool watching_ = false;   ///< the `leader` record
-  Instant vacant_since_{};  ///< nobody led when it was last seen
-  Instant noticed_{};       ///< the same, when the campaign under way began
-  Instant last_word_{};     ///< of a peer that leads
-  Readiness ready_ = Readiness::cold;
-  Instant next_extend_{};
+  Instant lease_valid_until_{};
+  Instant next_check_{};
+  Instant started_at_{};
+  bool watching_ = false;            ///< the `leader` record
+  Instant vacant_since_{};           ///< nobody led when it was last seen
+  Instant vacancy_noticed_{};        ///< the same, when the campaign under way began
+  Instant last_leader_heartbeat_{};  ///< of a peer that leads
+  Readiness readiness_ = Readiness::cold;
+  Instant next_renewal_{};
   Instant abstain_until_{};
-  Instant heard_peer_{};  ///< any of them
-  Instant deaf_since_{};
-  bool deaf_ = false;
-  bool mute_ = false;
+  Instant last_peer_heartbeat_{};  ///< any of them
+  Instant unheard_since_{};
+  bool receives_nothing_ = false;
+  bool replies_lost_ = false;
   bool had_workers_ = false;
   bool starved_ = false;
 };
--- a/src/net/include/wrenusher/net/net.hpp
+++ b/src/net/include/wrenusher/net/net.hpp
@@ -20,7 +20,7 @@
 
 class UvRuntime : public Runtime {
  public:
-  using Handler = std::function<void(Request, Answer)>;
+  using Handler = std::function<void(Request, Responder)>;
 
   /// `max_sockets` is the limit of the whole process, `pool` that of connections kept to one address.
   explicit UvRuntime(int max_sockets, int pool = 12);
@@ -37,11 +37,11 @@
   uv_loop_t* loop() { return &loop_; }
 
   Instant now() const override;
-  WallTime wall() const override;
+  WallTime wall_time() const override;
   std::mt19937_64& random() override { return random_; }
-  void post(std::function<void()> f) override;
-  void after(Micros delay, std::function<void()> f) override;
-  void fetch(const Endpoint& to, Request request, Micros timeout, Done done) override;
+  void post(std::function<void()> action) override;
+  void after(Micros delay, std::function<void()> action) override;
+  void call(const Endpoint& endpoint, Request request, Micros timeout, CallHandler done) override;
 
  private:
   struct Listener;
@@ -50,12 +50,12 @@
   struct Pool;
   void drain();
   void sweep();
-  void pump(Pool& pool);
+  void send_waiting(Pool& pool);
 
   uv_loop_t loop_{};
-  uv_check_t mail_check_{};
-  uv_idle_t mail_idle_{};
-  std::deque<std::function<void()>> mail_;
+  uv_check_t posted_check_{};
+  uv_idle_t posted_idle_{};
+  std::deque<std::function<void()>> posted_;
   bool draining_ = false;
   std::mt19937_64 random_;
   int max_sockets_;
--- a/src/net/net.cpp
+++ b/src/net/net.cpp
@@ -68,14 +68,14 @@
   }
 }
 
-std::string serialize(const Response& r, bool close) {
-  std::string out = "HTTP/1.1 " + std::to_string(r.status) + " " + reason(r.status) + "\r\n";
-  if (!r.body.empty()) out += "Content-Type: application/cbor\r\n";
-  out += "Content-Length: " + std::to_string(r.body.size()) + "\r\n";
-  if (r.retry_after_s > 0) out += "Retry-After: " + std::to_string(r.retry_after_s) + "\r\n";
+std::string serialize(const Response& response, bool close) {
+  std::string out = "HTTP/1.1 " + std::to_string(response.status) + " " + reason(response.status) + "\r\n";
+  if (!response.body.empty()) out += "Content-Type: application/cbor\r\n";
+  out += "Content-Length: " + std::to_string(response.body.size()) + "\r\n";
+  if (response.retry_after_s > 0) out += "Retry-After: " + std::to_string(response.retry_after_s) + "\r\n";
   if (close) out += "Connection: close\r\n";
   out += "\r\n";
-  out += r.body;
+  out += response.body;
   return out;
 }
 
@@ -111,12 +111,12 @@
 // ---------------------------------------------------------------- incoming
 
 struct UvRuntime::Listener {
-  UvRuntime* rt = nullptr;
-  Endpoint at;
+  UvRuntime* runtime = nullptr;
+  Endpoint address;
   uv_tcp_t tcp{};
-  int most = 0;
+  int max_connections = 0;
   Handler handler;
-  std::list<std::shared_ptr<Inbound>> open;
+  std::list<std::shared_ptr<Inbound>> open_connections;
 };
 
 struct UvRuntime::Inbound : std::enable_shared_from_this<Inbound> {
@@ -133,24 +133,24 @@
   Instant last{};
   std::list<std::shared_ptr<Inbound>>::iterator place;
 
-  static Inbound& of(http_parser* p) { return *static_cast<Inbound*>(p->data); }
+  static Inbound& of(http_parser* parser) { return *static_cast<Inbound*>(parser->data); }
 
   void close() {
     if (closing) return;
     closing = true;
-    uv_close(reinterpret_cast<uv_handle_t*>(&tcp), [](uv_handle_t* h) {
-      auto* self = static_cast<Inbound*>(h->data);
-      --self->owner->rt->open_sockets_;
-      self->owner->open.erase(self->place);  // the last owner unless an answer is still out
+    uv_close(reinterpret_cast<uv_handle_t*>(&tcp), [](uv_handle_t* handle) {
+      auto* self = static_cast<Inbound*>(handle->data);
+      --self->owner->runtime->open_sockets_;
+      self->owner->open_connections.erase(self->place);  // the last owner unless an answer is still out
     });
   }
 
-  void answer(const Response& r, bool keep) {
+  void answer(const Response& response, bool keep) {
     if (closing) return;
     answering = false;
     begun = false;
-    last = owner->rt->now();
-    write_bytes(&tcp, serialize(r, !keep));
+    last = owner->runtime->now();
+    write_bytes(&tcp, serialize(response, !keep));
     if (!keep) {
       finish();
       return;
@@ -180,19 +180,19 @@
     // Requests are not pipelined: nothing more is read until this one is answered.
     uv_read_stop(reinterpret_cast<uv_stream_t*>(&tcp));
     if (too_large) {
-      answer(refuse({400, "too_large", "The body is larger than 64 KiB.", "", 0}), false);
+      answer(error_response({400, "too_large", "The body is larger than 64 KiB.", "", 0}), false);
       return;
     }
     if (sent_away) {
-      answer(
-          refuse({503, "too_many_connections", "This node has no connection to spare; others may.", "", 3}),
-          false);
+      answer(error_response(
+                 {503, "too_many_connections", "This node has no connection to spare; others may.", "", 3}),
+             false);
       return;
     }
     std::weak_ptr<Inbound> weak = weak_from_this();
-    Request r = std::move(request);
+    Request received = std::move(request);
     request = {};
-    owner->handler(std::move(r), [weak, keep](Response response) {
+    owner->handler(std::move(received), [weak, keep](Response response) {
       if (auto self = weak.lock(); self && self->answering) self->answer(response, keep);
     });
   }
@@ -206,7 +206,7 @@
     }
     if (self->finished) return;
     const auto keep_alive = self->shared_from_this();
-    self->last = self->owner->rt->now();
+    self->last = self->owner->runtime->now();
     self->begun = true;
     const std::size_t used =
         http_parser_execute(&self->parser, &settings(), buf->base, static_cast<std::size_t>(n));
@@ -215,104 +215,106 @@
         HTTP_PARSER_ERRNO(&self->parser) != HPE_OK) {
       self->answering = true;
       uv_read_stop(stream);
-      self->answer(self->too_large ? refuse({400, "too_large", "The body is larger than 64 KiB.", "", 0})
-                                   : refuse({400, "not_http", "This is not a request in HTTP/1.1.", "", 0}),
+      self->answer(self->too_large
+                       ? error_response({400, "too_large", "The body is larger than 64 KiB.", "", 0})
+                       : error_response({400, "not_http", "This is not a request in HTTP/1.1.", "", 0}),
                    false);
     }
   }
 
   static const http_parser_settings& settings() {
-    static const http_parser_settings s = [] {
+    static const http_parser_settings settings = [] {
       http_parser_settings x;
       http_parser_settings_init(&x);
-      x.on_message_begin = [](http_parser* p) {
-        of(p).request = {};
-        of(p).too_large = false;
+      x.on_message_begin = [](http_parser* parser) {
+        of(parser).request = {};
+        of(parser).too_large = false;
         return 0;
       };
-      x.on_url = [](http_parser* p, const char* at, std::size_t n) {
-        of(p).request.target.append(at, n);
-        return of(p).request.target.size() > 4096 ? 1 : 0;
+      x.on_url = [](http_parser* parser, const char* at, std::size_t n) {
+        of(parser).request.target.append(at, n);
+        return of(parser).request.target.size() > 4096 ? 1 : 0;
       };
-      x.on_headers_complete = [](http_parser* p) {
-        of(p).request.method = http_method_str(static_cast<http_method>(p->method));
-        if (p->content_length != ULLONG_MAX && p->content_length > kMaxBody) {
-          of(p).too_large = true;
+      x.on_headers_complete = [](http_parser* parser) {
+        of(parser).request.method = http_method_str(static_cast<http_method>(parser->method));
+        if (parser->content_length != ULLONG_MAX && parser->content_length > kMaxBody) {
+          of(parser).too_large = true;
           return 2;  // no body is read: the answer goes out at once
         }
         return 0;
       };
-      x.on_body = [](http_parser* p, const char* at, std::size_t n) {
-        Inbound& in = of(p);
-        if (in.request.body.size() + n > kMaxBody) {
-          in.too_large = true;
+      x.on_body = [](http_parser* parser, const char* at, std::size_t n) {
+        Inbound& connection = of(parser);
+        if (connection.request.body.size() + n > kMaxBody) {
+          connection.too_large = true;
           return 1;
         }
-        in.request.body.append(at, n);
+        connection.request.body.append(at, n);
         return 0;
       };
-      x.on_message_complete = [](http_parser* p) {
-        of(p).dispatch();
+      x.on_message_complete = [](http_parser* parser) {
+        of(parser).dispatch();
         return 0;
       };
       return x;
     }();
-    return s;
+    return settings;
   }
 };
 
 void UvRuntime::listen(const Endpoint& at, int most, Handler handler) {
-  auto l = std::make_unique<Listener>();
-  l->rt = this;
-  l->at = at;
-  l->most = most;
-  l->handler = std::move(handler);
-  uv_tcp_init(&loop_, &l->tcp);
-  l->tcp.data = l.get();
+  auto opened = std::make_unique<Listener>();
+  opened->runtime = this;
+  opened->address = at;
+  opened->max_connections = most;
+  opened->handler = std::move(handler);
+  uv_tcp_init(&loop_, &opened->tcp);
+  opened->tcp.data = opened.get();
   const sockaddr_in addr = address(at);
-  int rc = uv_tcp_bind(&l->tcp, reinterpret_cast<const sockaddr*>(&addr), 0);
+  int rc = uv_tcp_bind(&opened->tcp, reinterpret_cast<const sockaddr*>(&addr), 0);
   if (rc == 0) {
     rc = uv_listen(
-        reinterpret_cast<uv_stream_t*>(&l->tcp), kListenBacklog, [](uv_stream_t* server, int status) {
+        reinterpret_cast<uv_stream_t*>(&opened->tcp), kListenBacklog, [](uv_stream_t* server, int status) {
           auto* listener = static_cast<Listener*>(server->data);
           if (status < 0) return;
-          auto in = std::make_shared<Inbound>();
-          in->owner = listener;
-          uv_tcp_init(&listener->rt->loop_, &in->tcp);
-          in->tcp.data = in.get();
-          in->last = listener->rt->now();
-          http_parser_init(&in->parser, HTTP_REQUEST);
-          in->parser.data = in.get();
-          in->place = listener->open.insert(listener->open.end(), in);
-          ++listener->rt->open_sockets_;
-          if (uv_accept(server, reinterpret_cast<uv_stream_t*>(&in->tcp)) != 0) {
-            in->close();
+          auto connection = std::make_shared<Inbound>();
+          connection->owner = listener;
+          uv_tcp_init(&listener->runtime->loop_, &connection->tcp);
+          connection->tcp.data = connection.get();
+          connection->last = listener->runtime->now();
+          http_parser_init(&connection->parser, HTTP_REQUEST);
+          connection->parser.data = connection.get();
+          connection->place = listener->open_connections.insert(listener->open_connections.end(), connection);
+          ++listener->runtime->open_sockets_;
+          if (uv_accept(server, reinterpret_cast<uv_stream_t*>(&connection->tcp)) != 0) {
+            connection->close();
             return;
           }
-          uv_tcp_nodelay(&in->tcp, 1);
-          in->refusing = static_cast<int>(listener->open.size()) > listener->most ||
-                         listener->rt->open_sockets_ > listener->rt->max_sockets_ - kReservedSockets;
-          uv_read_start(reinterpret_cast<uv_stream_t*>(&in->tcp), take_buffer, Inbound::on_read);
+          uv_tcp_nodelay(&connection->tcp, 1);
+          connection->refusing =
+              static_cast<int>(listener->open_connections.size()) > listener->max_connections ||
+              listener->runtime->open_sockets_ > listener->runtime->max_sockets_ - kReservedSockets;
+          uv_read_start(reinterpret_cast<uv_stream_t*>(&connection->tcp), take_buffer, Inbound::on_read);
         });
   }
   if (rc != 0) {
     // The loop knows the handle: it must live until it is closed.
-    uv_close(reinterpret_cast<uv_handle_t*>(&l->tcp), nullptr);
-    closed_.push_back(std::move(l));
+    uv_close(reinterpret_cast<uv_handle_t*>(&opened->tcp), nullptr);
+    closed_.push_back(std::move(opened));
     throw std::runtime_error("cannot listen on " + at + ": " + uv_strerror(rc));
   }
   ++open_sockets_;
-  listeners_.push_back(std::move(l));
+  listeners_.push_back(std::move(opened));
 }
 
 void UvRuntime::close(const Endpoint& at) {
   const auto it =
-      std::find_if(listeners_.begin(), listeners_.end(), [&](const auto& l) { return l->at == at; });
+      std::find_if(listeners_.begin(), listeners_.end(), [&](const auto& l) { return l->address == at; });
   if (it == listeners_.end()) return;
   uv_close(reinterpret_cast<uv_handle_t*>(&(*it)->tcp), nullptr);
   --open_sockets_;
-  const auto open = (*it)->open;
-  for (const auto& in : open) in->close();
+  const auto open = (*it)->open_connections;
+  for (const auto& connection : open) connection->close();
   closed_.push_back(std::move(*it));
   listeners_.erase(it);
 }
@@ -322,15 +324,15 @@
 struct UvRuntime::Pool {
   struct Call {
     Request request;
-    Done done;
+    CallHandler done;
   };
-  Endpoint at;
-  std::list<std::shared_ptr<Outbound>> open;
+  Endpoint address;
+  std::list<std::shared_ptr<Outbound>> open_connections;
   std::deque<std::shared_ptr<Call>> waiting;
 };
 
 struct UvRuntime::Outbound : std::enable_shared_from_this<Outbound> {
-  UvRuntime* rt = nullptr;
+  UvRuntime* owner = nullptr;
   Pool* pool = nullptr;
   uv_tcp_t tcp{};
   uv_connect_t connect_req{};
@@ -346,27 +348,27 @@
   void close() {
     if (closing) return;
     closing = true;
-    uv_close(reinterpret_cast<uv_handle_t*>(&tcp), [](uv_handle_t* h) {
-      auto* self = static_cast<Outbound*>(h->data);
-      UvRuntime* runtime = self->rt;
-      Pool* p = self->pool;
+    uv_close(reinterpret_cast<uv_handle_t*>(&tcp), [](uv_handle_t* handle) {
+      auto* self = static_cast<Outbound*>(handle->data);
+      UvRuntime* runtime = self->owner;
+      Pool* endpoint_pool = self->pool;
       --runtime->open_sockets_;
-      p->open.erase(self->place);
-      runtime->pump(*p);
+      endpoint_pool->open_connections.erase(self->place);
+      runtime->send_waiting(*endpoint_pool);
     });
   }
 
   void settle(bool answered) {
     if (!call) return;
-    const std::shared_ptr<Pool::Call> c = std::move(call);
+    const std::shared_ptr<Pool::Call> pending = std::move(call);
     call.reset();
-    Outcome out;
+    CallResult out;
     out.answered = answered;
-    out.sent = connected;
+    out.may_have_arrived = connected;
     out.too_large = too_large;
     if (answered) out.response = std::move(response);
     response = {};
-    rt->post([c, out = std::move(out)]() mutable { c->done(std::move(out)); });
+    owner->post([pending, out = std::move(out)]() mutable { pending->done(std::move(out)); });
   }
 
   void fail() {
@@ -380,22 +382,22 @@
   }
 
   void transmit() {
-    const Request& r = call->request;
-    std::string out = r.method + " " + r.target + " HTTP/1.1\r\nHost: " + pool->at + "\r\n";
-    if (!r.body.empty()) out += "Content-Type: application/cbor\r\n";
-    if (r.method != "GET" || !r.body.empty())
-      out += "Content-Length: " + std::to_string(r.body.size()) + "\r\n";
-    if (r.once) out += "Connection: close\r\n";
+    const Request& request = call->request;
+    std::string out = request.method + " " + request.target + " HTTP/1.1\r\nHost: " + pool->address + "\r\n";
+    if (!request.body.empty()) out += "Content-Type: application/cbor\r\n";
+    if (request.method != "GET" || !request.body.empty())
+      out += "Content-Length: " + std::to_string(request.body.size()) + "\r\n";
+    if (request.close_after) out += "Connection: close\r\n";
     out += "\r\n";
-    out += r.body;
+    out += request.body;
     http_parser_init(&parser, HTTP_RESPONSE);
     parser.data = this;
     write_bytes(&tcp, std::move(out));
   }
 
   /// Whether a body of so many bytes is wanted. What is not is never held: the connection ends instead.
-  bool takes(std::uint64_t bytes) {
-    too_large = call && call->request.most > 0 && bytes > call->request.most;
+  bool accepts_call(std::uint64_t bytes) {
+    too_large = call && call->request.max_response_bytes > 0 && bytes > call->request.max_response_bytes;
     return !too_large;
   }
 
@@ -420,65 +422,66 @@
   }
 
   static const http_parser_settings& settings() {
-    static const http_parser_settings s = [] {
+    static const http_parser_settings settings = [] {
       http_parser_settings x;
       http_parser_settings_init(&x);
-      x.on_headers_complete = [](http_parser* p) {
-        const bool told = p->content_length != ULLONG_MAX;
-        return told && !static_cast<Outbound*>(p->data)->takes(p->content_length) ? -1 : 0;
+      x.on_headers_complete = [](http_parser* parser) {
+        const bool told = parser->content_length != ULLONG_MAX;
+        return told && !static_cast<Outbound*>(parser->data)->accepts_call(parser->content_length) ? -1 : 0;
       };
-      x.on_body = [](http_parser* p, const char* at, std::size_t n) {
-        auto* self = static_cast<Outbound*>(p->data);
-        if (!self->takes(self->response.body.size() + n)) return 1;
+      x.on_body = [](http_parser* parser, const char* at, std::size_t n) {
+        auto* self = static_cast<Outbound*>(parser->data);
+        if (!self->accepts_call(self->response.body.size() + n)) return 1;
         self->response.body.append(at, n);
         return 0;
       };
-      x.on_message_complete = [](http_parser* p) {
-        auto* self = static_cast<Outbound*>(p->data);
-        self->response.status = static_cast<int>(p->status_code);
-        const bool keep = http_should_keep_alive(p) != 0 && self->call && !self->call->request.once;
+      x.on_message_complete = [](http_parser* parser) {
+        auto* self = static_cast<Outbound*>(parser->data);
+        self->response.status = static_cast<int>(parser->status_code);
+        const bool keep =
+            http_should_keep_alive(parser) != 0 && self->call && !self->call->request.close_after;
         self->settle(true);
-        self->idle_since = self->rt->now();
+        self->idle_since = self->owner->now();
         if (!keep) {
           self->close();
         } else {
           // Not at once: the parser is still inside this callback and a new call would reset it.
-          self->rt->post([r = self->rt, p2 = self->pool] { r->pump(*p2); });
+          self->owner->post([r = self->owner, pool = self->pool] { r->send_waiting(*pool); });
         }
         return 0;
       };
       return x;
     }();
-    return s;
+    return settings;
   }
 };
 
-void UvRuntime::pump(Pool& pool) {
+void UvRuntime::send_waiting(Pool& pool) {
   while (!pool.waiting.empty()) {
-    const auto idle = std::find_if(pool.open.begin(), pool.open.end(),
+    const auto idle = std::find_if(pool.open_connections.begin(), pool.open_connections.end(),
                                    [](const auto& o) { return !o->closing && !o->call && o->connected; });
-    if (idle != pool.open.end()) {
-      auto c = pool.waiting.front();
+    if (idle != pool.open_connections.end()) {
+      auto pending = pool.waiting.front();
       pool.waiting.pop_front();
-      (*idle)->start(std::move(c));
+      (*idle)->start(std::move(pending));
       continue;
     }
-    if (static_cast<int>(pool.open.size()) >= pool_) return;
-    auto c = pool.waiting.front();
+    if (static_cast<int>(pool.open_connections.size()) >= pool_) return;
+    auto pending = pool.waiting.front();
     pool.waiting.pop_front();
-    const sockaddr_in addr = address(pool.at);
+    const sockaddr_in addr = address(pool.address);
     if (open_sockets_ >= max_sockets_ || addr.sin_family != AF_INET) {
-      post([c] { c->done(Outcome{false, false, {}}); });
+      post([pending] { pending->done(CallResult{false, false, {}}); });
       continue;
     }
     auto out = std::make_shared<Outbound>();
-    out->rt = this;
+    out->owner = this;
     out->pool = &pool;
     uv_tcp_init(&loop_, &out->tcp);
     out->tcp.data = out.get();
     ++open_sockets_;
-    out->place = pool.open.insert(pool.open.end(), out);
-    out->call = std::move(c);
+    out->place = pool.open_connections.insert(pool.open_connections.end(), out);
+    out->call = std::move(pending);
     const int rc = uv_tcp_connect(&out->connect_req, &out->tcp, reinterpret_cast<const sockaddr*>(&addr),
                                   [](uv_connect_t* req, int status) {
                                     auto* self = static_cast<Outbound*>(req->handle->data);
@@ -497,29 +500,29 @@
   }
 }
 
-void UvRuntime::fetch(const Endpoint& to, Request request, Micros timeout, Done done) {
-  auto& slot = pools_[to];
+void UvRuntime::call(const Endpoint& endpoint, Request request, Micros timeout, CallHandler done) {
+  auto& slot = pools_[endpoint];
   if (!slot) {
     slot = std::make_unique<Pool>();
-    slot->at = to;
+    slot->address = endpoint;
   }
   Pool* pool = slot.get();
   auto call = std::make_shared<Pool::Call>(Pool::Call{std::move(request), std::move(done)});
   pool->waiting.push_back(call);
   std::weak_ptr<Pool::Call> weak = call;
   after(timeout, [this, pool, weak] {
-    const auto c = weak.lock();
-    if (!c) return;
-    for (const auto& o : pool->open) {
-      if (o->call == c) {
-        o->fail();
+    const auto pending = weak.lock();
+    if (!pending) return;
+    for (const auto& connection : pool->open_connections) {
+      if (connection->call == pending) {
+        connection->fail();
         return;
       }
     }
-    std::erase(pool->waiting, c);
-    c->done(Outcome{false, false, {}});
+    std::erase(pool->waiting, pending);
+    pending->done(CallResult{false, false, {}});
   });
-  pump(*pool);
+  send_waiting(*pool);
 }
 
 // ---------------------------------------------------------------- loop
@@ -529,11 +532,11 @@
   uv_loop_init(&loop_);
   // Mail is delivered after every round of the loop's events; the idle handle keeps the loop from sleeping
   // while some is left.
-  uv_check_init(&loop_, &mail_check_);
-  mail_check_.data = this;
-  uv_check_start(&mail_check_, [](uv_check_t* h) { static_cast<UvRuntime*>(h->data)->drain(); });
-  uv_idle_init(&loop_, &mail_idle_);
-  mail_idle_.data = this;
+  uv_check_init(&loop_, &posted_check_);
+  posted_check_.data = this;
+  uv_check_start(&posted_check_, [](uv_check_t* h) { static_cast<UvRuntime*>(h->data)->drain(); });
+  uv_idle_init(&loop_, &posted_idle_);
+  posted_idle_.data = this;
   after(from_seconds(5), [this] { sweep(); });
 }
 
@@ -547,27 +550,27 @@
 void UvRuntime::drain() {
   if (draining_) return;
   draining_ = true;
-  while (!mail_.empty()) {
-    auto f = std::move(mail_.front());
-    mail_.pop_front();
-    f();
+  while (!posted_.empty()) {
+    auto action = std::move(posted_.front());
+    posted_.pop_front();
+    action();
   }
   draining_ = false;
-  uv_idle_stop(&mail_idle_);
+  uv_idle_stop(&posted_idle_);
 }
 
-void UvRuntime::post(std::function<void()> f) {
-  mail_.push_back(std::move(f));
-  if (!draining_) uv_idle_start(&mail_idle_, [](uv_idle_t*) {});
+void UvRuntime::post(std::function<void()> action) {
+  posted_.push_back(std::move(action));
+  if (!draining_) uv_idle_start(&posted_idle_, [](uv_idle_t*) {});
 }
 
-void UvRuntime::after(Micros delay, std::function<void()> f) {
+void UvRuntime::after(Micros delay, std::function<void()> action) {
   struct Timer {
     uv_timer_t handle{};
     std::function<void()> f;
   };
   auto* t = new Timer;
-  t->f = std::move(f);
+  t->f = std::move(action);
   uv_timer_init(&loop_, &t->handle);
   t->handle.data = t;
   uv_update_time(&loop_);
@@ -587,28 +590,29 @@
   return Instant{Micros{static_cast<std::int64_t>(uv_hrtime() / 1000)}};
 }
 
-WallTime UvRuntime::wall() const {
+WallTime UvRuntime::wall_time() const {
   return WallTime{std::chrono::duration_cast<Micros>(std::chrono::system_clock::now().time_since_epoch())};
 }
 
 void UvRuntime::sweep() {
   const Instant t = now();
-  for (const auto& l : listeners_) {
+  for (const auto& listener : listeners_) {
     std::vector<std::shared_ptr<Inbound>> old;
-    for (const auto& in : l->open) {
-      if (!in->answering && t - in->last > (in->finished ? kInboundLinger
-                                            : in->begun  ? kInboundStall
-                                                         : kInboundIdle))
-        old.push_back(in);
+    for (const auto& connection : listener->open_connections) {
+      if (!connection->answering && t - connection->last > (connection->finished ? kInboundLinger
+                                                            : connection->begun  ? kInboundStall
+                                                                                 : kInboundIdle))
+        old.push_back(connection);
     }
-    for (const auto& in : old) in->close();
+    for (const auto& connection : old) connection->close();
   }
   for (const auto& [at, pool] : pools_) {
     std::vector<std::shared_ptr<Outbound>> old;
-    for (const auto& o : pool->open) {
-      if (!o->call && o->connected && t - o->idle_since > from_seconds(30)) old.push_back(o);
+    for (const auto& connection : pool->open_connections) {
+      if (!connection->call && connection->connected && t - connection->idle_since > from_seconds(30))
+        old.push_back(connection);
     }
-    for (const auto& o : old) o->close();
+    for (const auto& connection : old) connection->close();
   }
   after(from_seconds(5), [this] { sweep(); });
 }
--- a/src/protocol/messages.cpp
+++ b/src/protocol/messages.cpp
@@ -9,94 +9,95 @@
 
 namespace {
 
-constexpr double kMostAmount = 1e9;
-constexpr double kMostSeconds = 1e9;
-constexpr std::size_t kMostDevices = 16;
-constexpr std::uint64_t kMostOfADevice = 1000;
+constexpr double kMaxAmount = 1e9;
+constexpr double kMaxSeconds = 1e9;
+constexpr std::size_t kMaxDeviceNames = 16;
+constexpr std::uint64_t kMaxDeviceCount = 1000;
 
-std::optional<double> amount(const Value& v, double most) {
-  const auto n = v.number();
+std::optional<double> amount(const Value& value, double most) {
+  const auto n = value.number();
   if (!n || *n < 0 || *n > most) return std::nullopt;
   return n;
 }
 
 /// A name as used for queues, teams, bundles, types and zones.
-const std::string* name(const Value& v) {
-  const std::string* s = v.text();
+const std::string* name(const Value& value) {
+  const std::string* s = value.text();
   return s != nullptr && !s->empty() && s->size() <= 200 ? s : nullptr;
 }
 
-std::optional<Shape> read_shape(const std::string& s) {
-  if (s == "sweep") return Shape::sweep;
-  if (s == "gang") return Shape::gang;
-  if (s == "daemon") return Shape::daemon;
+std::optional<JobType> read_job_type(const std::string& s) {
+  if (s == "sweep") return JobType::array;
+  if (s == "gang") return JobType::gang;
+  if (s == "daemon") return JobType::service;
   return std::nullopt;
 }
 
-std::optional<Urgency> read_urgency(const std::string& s) {
-  if (s == "prod") return Urgency::prod;
-  if (s == "high") return Urgency::high;
-  if (s == "normal") return Urgency::normal;
-  if (s == "low") return Urgency::low;
+std::optional<Priority> read_priority(const std::string& s) {
+  if (s == "prod") return Priority::prod;
+  if (s == "high") return Priority::high;
+  if (s == "normal") return Priority::normal;
+  if (s == "low") return Priority::low;
   return std::nullopt;
 }
 
-constexpr const char* kShapes[] = {"sweep", "gang", "daemon"};
-constexpr const char* kUrgencies[] = {"prod", "high", "normal", "low"};
+constexpr const char* kJobTypeNames[] = {"sweep", "gang", "daemon"};
+constexpr const char* kPriorityNames[] = {"prod", "high", "normal", "low"};
 
-std::optional<UnitStatus> read_status(const std::string& s) {
-  if (s == "pulling") return UnitStatus::pulling;
-  if (s == "gathering") return UnitStatus::gathering;
-  if (s == "running") return UnitStatus::running;
-  if (s == "saving") return UnitStatus::saving;
-  if (s == "ended") return UnitStatus::ended;
+std::optional<TaskStatus> read_status(const std::string& s) {
+  if (s == "pulling") return TaskStatus::fetching_image;
+  if (s == "gathering") return TaskStatus::waiting_for_gang;
+  if (s == "running") return TaskStatus::running;
+  if (s == "saving") return TaskStatus::checkpointing;
+  if (s == "ended") return TaskStatus::exited;
   return std::nullopt;
 }
 
 /// "req-000412/3" into job and task.
-bool split_unit(const std::string& unit, std::string& ref, std::uint32_t& task) {
-  const auto slash = unit.find('/');
+bool split_task_name(const std::string& task_name, std::string& job_id, std::uint32_t& task) {
+  const auto slash = task_name.find('/');
   if (slash == std::string::npos) return false;
-  ref = unit.substr(0, slash);
-  const char* end = unit.data() + unit.size();
-  const auto [at, err] = std::from_chars(unit.data() + slash + 1, end, task);
-  return err == std::errc{} && at == end && !ref.empty();
+  job_id = task_name.substr(0, slash);
+  const char* end = task_name.data() + task_name.size();
+  const auto [at, err] = std::from_chars(task_name.data() + slash + 1, end, task);
+  return err == std::errc{} && at == end && !job_id.empty();
 }
 
 }  // namespace
 
-Needs& Needs::operator+=(const Needs& o) {
-  cores += o.cores;
-  cards += o.cards;
-  memory += o.memory;
+Resources& Resources::operator+=(const Resources& other) {
+  cores += other.cores;
+  gpus += other.gpus;
+  memory += other.memory;
   return *this;
 }
 
-Needs& Needs::operator-=(const Needs& o) {
-  cores -= o.cores;
-  cards -= o.cards;
-  memory -= o.memory;
+Resources& Resources::operator-=(const Resources& other) {
+  cores -= other.cores;
+  gpus -= other.gpus;
+  memory -= other.memory;
   return *this;
 }
 
-std::uint32_t count_fitting(const Needs& need, const Needs& room, std::uint32_t most) {
+std::uint32_t count_fitting(const Resources& need, const Resources& room, std::uint32_t most) {
   Amount n = most;
   if (need.cores > 0) n = std::min(n, room.cores / need.cores);
-  if (need.cards > 0) n = std::min(n, room.cards / need.cards);
+  if (need.gpus > 0) n = std::min(n, room.gpus / need.gpus);
   if (need.memory > 0) n = std::min(n, room.memory / need.memory);
-  if (room.cores < 0 || room.cards < 0 || room.memory < 0) n = 0;
+  if (room.cores < 0 || room.gpus < 0 || room.memory < 0) n = 0;
   return static_cast<std::uint32_t>(std::max<Amount>(n, 0));
 }
 
-bool JobSpec::allows(const std::string& flavor, const std::string& zone, bool spot) const {
-  if (spot && !standby) return false;
-  if (!site.empty() && site != zone) return false;
-  return flavors.empty() || std::find(flavors.begin(), flavors.end(), flavor) != flavors.end();
+bool JobSpec::allows(const std::string& machine_type, const std::string& wanted_zone, bool spot) const {
+  if (spot && !spot_allowed) return false;
+  if (!zone.empty() && zone != wanted_zone) return false;
+  return machine_types.empty() ||
+         std::find(machine_types.begin(), machine_types.end(), machine_type) != machine_types.end();
 }
 
-std::uint32_t Layout::Spread::limit(std::uint32_t units) const {
-  if (most > 0) return most;
-  return std::max(1U, static_cast<std::uint32_t>(std::ceil(share * units - 1e-9)));
+std::uint32_t Layout::Spread::limit(std::uint32_t task_count) const {
+  if (max_tasks > 0) return max_tasks;
+  return std::max(1U, static_cast<std::uint32_t>(std::ceil(share * task_count - 1e-9)));
 }
 
 const std::map<std::string, std::uint32_t>& JobSpec::devices() const {
@@ -104,9 +105,9 @@
   return layout ? layout->devices : kNone;
 }
 
-bool valid_ref(std::string_view ref) {
-  if (!ref.starts_with("req-") || ref.size() < 5 || ref.size() > 64) return false;
-  return std::all_of(ref.begin() + 4, ref.end(), [](char c) { return c >= '0' && c <= '9'; });
+bool valid_job_id(std::string_view job_id) {
+  if (!job_id.starts_with("req-") || job_id.size() < 5 || job_id.size() > 64) return false;
+  return std::all_of(job_id.begin() + 4, job_id.end(), [](char c) { return c >= '0' && c <= '9'; });
 }
 
 namespace {
@@ -114,7 +115,7 @@
 /// Takes the fields of a submission one by one and keeps the first fault.
 class SpecReader {
  public:
-  explicit SpecReader(const Value& v) : v_(v) {}
+  explicit SpecReader(const Value& value) : v_(value) {}
 
   std::string text(const char* field) {
     const std::string* s = name(v_[field]);
@@ -131,91 +132,94 @@
     if (!b) fail(field, "must be true or false");
     return b.value_or(false);
   }
-  Micros seconds(const char* field) { return from_seconds(number(field, kMostSeconds)); }
+  Micros seconds(const char* field) { return from_seconds(number(field, kMaxSeconds)); }
   void fail(const char* field, const char* what) {
     if (!fault_.field.empty()) return;
     const bool there = !v_[std::string_view(field).substr(0, std::string_view(field).find('.'))].is_null();
     fault_ = {field, there ? what : std::string("is missing; it ") + what};
   }
   bool good() const { return fault_.field.empty(); }
-  const Fault& fault() const { return fault_; }
+  const InvalidField& fault() const { return fault_; }
 
  private:
   const Value& v_;
-  Fault fault_;
+  InvalidField fault_;
 };
 
 /// Fields that a map may have and no others: a layout that is misspelt must not pass for none.
-bool only(const Value& v, std::initializer_list<std::string_view> known) {
-  return v.map() != nullptr && std::all_of(v.map()->begin(), v.map()->end(), [&](const Value::Field& f) {
-           return std::find(known.begin(), known.end(), f.first) != known.end();
+bool only(const Value& value, std::initializer_list<std::string_view> known) {
+  return value.map() != nullptr &&
+         std::all_of(value.map()->begin(), value.map()->end(), [&](const Value::Field& field) {
+           return std::find(known.begin(), known.end(), field.first) != known.end();
          });
 }
 
-std::optional<Layout> read_layout(const Value& v, SpecReader& in) {
+std::optional<Layout> read_layout(const Value& value, SpecReader& reader) {
   Layout out;
   const auto must = [](const Value& part) -> std::optional<bool> {
     if (part["must"].is_null()) return true;
     return part["must"].boolean();
   };
-  if (!only(v, {"spread", "together", "devices"})) {
-    in.fail("layout", "must be a map of spread, together and devices");
+  if (!only(value, {"spread", "together", "devices"})) {
+    reader.fail("layout", "must be a map of spread, together and devices");
     return std::nullopt;
   }
-  if (const Value& s = v["spread"]; !s.is_null()) {
+  if (const Value& s = value["spread"]; !s.is_null()) {
     const std::string* level = name(s["level"]);
     const auto most = s["most"].count();
     const auto share = s["share"].number();
-    const bool limit = s["most"].is_null() ? share && *share > 0 && *share <= 1
-                                           : s["share"].is_null() && most && *most >= 1 && *most <= kMaxUnits;
+    const bool limit = s["most"].is_null()
+                           ? share && *share > 0 && *share <= 1
+                           : s["share"].is_null() && most && *most >= 1 && *most <= kMaxTasksPerJob;
     if (!only(s, {"level", "most", "share", "must"}) || level == nullptr || !limit || !must(s)) {
-      in.fail(
+      reader.fail(
           "layout.spread",
           "must be a map of level, most (1 to 100000) or share (above 0, to 1), and must (true or false)");
       return std::nullopt;
     }
     out.spread = {*level, static_cast<std::uint32_t>(most.value_or(0)), share.value_or(0), *must(s)};
   }
-  if (const Value& t = v["together"]; !t.is_null()) {
+  if (const Value& t = value["together"]; !t.is_null()) {
     const std::string* level = name(t["level"]);
     if (!only(t, {"level", "must"}) || level == nullptr || !must(t)) {
-      in.fail("layout.together", "must be a map of level and must (true or false)");
+      reader.fail("layout.together", "must be a map of level and must (true or false)");
       return std::nullopt;
     }
-    out.together = {*level, *must(t)};
+    out.colocation = {*level, *must(t)};
   }
-  if (const Value& d = v["devices"]; !d.is_null()) {
-    bool good = d.map() != nullptr && d.map()->size() <= kMostDevices;
+  if (const Value& d = value["devices"]; !d.is_null()) {
+    bool good = d.map() != nullptr && d.map()->size() <= kMaxDeviceNames;
     for (std::size_t i = 0; good && i < d.map()->size(); ++i) {
       const auto& [device, n] = (*d.map())[i];
       const auto count = n.count();
-      good = !device.empty() && device.size() <= 200 && count && *count >= 1 && *count <= kMostOfADevice;
+      good = !device.empty() && device.size() <= 200 && count && *count >= 1 && *count <= kMaxDeviceCount;
       if (good) out.devices[device] = static_cast<std::uint32_t>(*count);
     }
     if (!good) {
-      in.fail("layout.devices", "must be a map of 16 names at most, each with a count from 1 to 1000");
+      reader.fail("layout.devices", "must be a map of 16 names at most, each with a count from 1 to 1000");
       return std::nullopt;
     }
   }
   return out;
 }
 
-Value write_layout(const Layout& l) {
+Value write_layout(const Layout& layout) {
   Value::Map out;
-  if (l.spread) {
-    Value::Map s{{"level", l.spread->level}, {"must", l.spread->must}};
-    if (l.spread->most > 0) {
-      s.emplace_back("most", std::uint64_t{l.spread->most});
+  if (layout.spread) {
+    Value::Map s{{"level", layout.spread->level}, {"must", layout.spread->required}};
+    if (layout.spread->max_tasks > 0) {
+      s.emplace_back("most", std::uint64_t{layout.spread->max_tasks});
     } else {
-      s.emplace_back("share", l.spread->share);
+      s.emplace_back("share", layout.spread->share);
     }
     out.emplace_back("spread", std::move(s));
   }
-  if (l.together)
-    out.emplace_back("together", Value::Map{{"level", l.together->level}, {"must", l.together->must}});
-  if (!l.devices.empty()) {
+  if (layout.colocation)
+    out.emplace_back("together",
+                     Value::Map{{"level", layout.colocation->level}, {"must", layout.colocation->required}});
+  if (!layout.devices.empty()) {
     Value::Map d;
-    for (const auto& [device, n] : l.devices) d.emplace_back(device, std::uint64_t{n});
+    for (const auto& [device, n] : layout.devices) d.emplace_back(device, std::uint64_t{n});
     out.emplace_back("devices", std::move(d));
   }
   return out;
@@ -223,197 +227,205 @@
 
 }  // namespace
 
-std::optional<JobSpec> read_spec(const Value& v, Fault* fault) {
-  SpecReader in(v);
-  JobSpec s;
-  s.ref = in.text("ref");
-  if (!valid_ref(s.ref)) in.fail("ref", "must be req- and digits, 64 bytes at most");
-  s.queue = in.text("queue");
-  s.owner = in.text("owner");
-  if (const auto shape = read_shape(in.text("shape"))) {
-    s.shape = *shape;
+std::optional<JobSpec> read_spec(const Value& value, InvalidField* fault) {
+  SpecReader reader(value);
+  JobSpec spec;
+  spec.job_id = reader.text("ref");
+  if (!valid_job_id(spec.job_id)) reader.fail("ref", "must be req- and digits, 64 bytes at most");
+  spec.job_class = reader.text("queue");
+  spec.team = reader.text("owner");
+  if (const auto type = read_job_type(reader.text("shape"))) {
+    spec.type = *type;
   } else {
-    in.fail("shape", "must be sweep, gang or daemon");
+    reader.fail("shape", "must be sweep, gang or daemon");
   }
-  if (const auto urgency = read_urgency(in.text("urgency"))) {
-    s.urgency = *urgency;
+  if (const auto priority = read_priority(reader.text("urgency"))) {
+    spec.priority = *priority;
   } else {
-    in.fail("urgency", "must be prod, high, normal or low");
+    reader.fail("urgency", "must be prod, high, normal or low");
   }
-  const auto units = v["units"].count();
-  if (!units || *units < 1 || *units > kMaxUnits) in.fail("units", "must be a whole number from 1 to 100000");
-  s.units = static_cast<std::uint32_t>(std::min<std::uint64_t>(units.value_or(1), kMaxUnits));
-  s.needs = {to_amount(in.number("cores", kMostAmount)), to_amount(in.number("cards", kMostAmount)),
-             to_amount(in.number("memory_gb", kMostAmount))};
-  s.bundle = in.text("bundle");
-  s.image_gb = in.number("image_gb", kMostAmount);
-  s.same_place = in.boolean("same_place");
-  s.scatter = in.boolean("scatter");
-  s.standby = in.boolean("standby");
-  s.expected = in.seconds("expected_s");
-  s.snapshot_every = in.seconds("snapshot_every_s");
-  s.snapshot = in.seconds("snapshot_s");
-  if (const Value& f = v["flavors"]; !f.is_null()) {
+  const auto task_count = value["units"].count();
+  if (!task_count || *task_count < 1 || *task_count > kMaxTasksPerJob)
+    reader.fail("units", "must be a whole number from 1 to 100000");
+  spec.task_count =
+      static_cast<std::uint32_t>(std::min<std::uint64_t>(task_count.value_or(1), kMaxTasksPerJob));
+  spec.resources = {to_amount(reader.number("cores", kMaxAmount)),
+                    to_amount(reader.number("cards", kMaxAmount)),
+                    to_amount(reader.number("memory_gb", kMaxAmount))};
+  spec.image = reader.text("bundle");
+  spec.image_gb = reader.number("image_gb", kMaxAmount);
+  spec.single_zone = reader.boolean("same_place");
+  spec.spread_zones = reader.boolean("scatter");
+  spec.spot_allowed = reader.boolean("standby");
+  spec.expected_runtime = reader.seconds("expected_s");
+  spec.checkpoint_interval = reader.seconds("snapshot_every_s");
+  spec.checkpoint_time = reader.seconds("snapshot_s");
+  if (const Value& f = value["flavors"]; !f.is_null()) {
     const bool good =
         f.list() != nullptr && !f.list()->empty() && f.list()->size() <= 1000 &&
         std::all_of(f.list()->begin(), f.list()->end(), [](const Value& i) { return name(i) != nullptr; });
     if (good) {
-      for (const Value& item : *f.list()) s.flavors.push_back(*item.text());
+      for (const Value& item : *f.list()) spec.machine_types.push_back(*item.text());
     } else {
-      in.fail("flavors", "must be a list of 1 to 1000 names, or null");
+      reader.fail("flavors", "must be a list of 1 to 1000 names, or null");
     }
   }
-  if (!v["site"].is_null()) s.site = in.text("site");
-  if (!v["due_s"].is_null()) s.due = in.seconds("due_s");
-  if (const Value& l = v["layout"]; !l.is_null()) s.layout = read_layout(l, in);
-  if (in.good()) return s;
-  if (fault != nullptr) *fault = in.fault();
+  if (!value["site"].is_null()) spec.zone = reader.text("site");
+  if (!value["due_s"].is_null()) spec.deadline = reader.seconds("due_s");
+  if (const Value& l = value["layout"]; !l.is_null()) spec.layout = read_layout(l, reader);
+  if (reader.good()) return spec;
+  if (fault != nullptr) *fault = reader.fault();
   return std::nullopt;
 }
 
-Value write_spec(const JobSpec& s) {
-  Value::List flavors;
-  for (const std::string& f : s.flavors) flavors.emplace_back(f);
-  Value::Map m{{"ref", s.ref},
-               {"queue", s.queue},
-               {"owner", s.owner},
-               {"shape", kShapes[static_cast<int>(s.shape)]},
-               {"urgency", kUrgencies[static_cast<int>(s.urgency)]},
-               {"units", std::uint64_t{s.units}},
-               {"cores", from_amount(s.needs.cores)},
-               {"cards", from_amount(s.needs.cards)},
-               {"memory_gb", from_amount(s.needs.memory)},
-               {"bundle", s.bundle},
-               {"image_gb", s.image_gb},
-               {"same_place", s.same_place},
-               {"scatter", s.scatter},
-               {"standby", s.standby},
-               {"expected_s", to_seconds(s.expected)},
-               {"snapshot_every_s", to_seconds(s.snapshot_every)},
-               {"snapshot_s", to_seconds(s.snapshot)}};
-  if (!flavors.empty()) m.emplace_back("flavors", std::move(flavors));
-  if (!s.site.empty()) m.emplace_back("site", s.site);
-  if (s.due) m.emplace_back("due_s", to_seconds(*s.due));
-  if (s.layout) m.emplace_back("layout", write_layout(*s.layout));
-  return m;
+Value write_spec(const JobSpec& spec) {
+  Value::List machine_types;
+  for (const std::string& f : spec.machine_types) machine_types.emplace_back(f);
+  Value::Map fields{{"ref", spec.job_id},
+                    {"queue", spec.job_class},
+                    {"owner", spec.team},
+                    {"shape", kJobTypeNames[static_cast<int>(spec.type)]},
+                    {"urgency", kPriorityNames[static_cast<int>(spec.priority)]},
+                    {"units", std::uint64_t{spec.task_count}},
+                    {"cores", from_amount(spec.resources.cores)},
+                    {"cards", from_amount(spec.resources.gpus)},
+                    {"memory_gb", from_amount(spec.resources.memory)},
+                    {"bundle", spec.image},
+                    {"image_gb", spec.image_gb},
+                    {"same_place", spec.single_zone},
+                    {"scatter", spec.spread_zones},
+                    {"standby", spec.spot_allowed},
+                    {"expected_s", to_seconds(spec.expected_runtime)},
+                    {"snapshot_every_s", to_seconds(spec.checkpoint_interval)},
+                    {"snapshot_s", to_seconds(spec.checkpoint_time)}};
+  if (!machine_types.empty()) fields.emplace_back("flavors", std::move(machine_types));
+  if (!spec.zone.empty()) fields.emplace_back("site", spec.zone);
+  if (spec.deadline) fields.emplace_back("due_s", to_seconds(*spec.deadline));
+  if (spec.layout) fields.emplace_back("layout", write_layout(*spec.layout));
+  return fields;
 }
 
-std::optional<WorkerReport> read_report(const Value& v) {
-  WorkerReport r;
-  const std::string* host = name(v["host"]);
-  const std::string* addr = v["addr"].text();
-  const std::string* flavor = v["flavor"].text();
-  const std::string* site = v["site"].text();
-  const auto standby = v["standby"].boolean();
-  const auto tenure = v["tenure"].count();
-  const auto serial = v["serial"].count();
-  const auto epoch = v["epoch"].count();
-  const Value::List* units = v["units"].list();
-  if (!host || !addr || !flavor || !site || !standby || !tenure || !serial || !epoch || !units)
+std::optional<WorkerReport> read_report(const Value& value) {
+  WorkerReport report;
+  const std::string* host = name(value["host"]);
+  const std::string* address = value["addr"].text();
+  const std::string* machine_type = value["flavor"].text();
+  const std::string* zone = value["site"].text();
+  const auto standby = value["standby"].boolean();
+  const auto incarnation = value["tenure"].count();
+  const auto sequence = value["serial"].count();
+  const auto fencing_token = value["epoch"].count();
+  const Value::List* task_count = value["units"].list();
+  if (!host || !address || !machine_type || !zone || !standby || !incarnation || !sequence ||
+      !fencing_token || !task_count)
     return std::nullopt;
-  r = {*host, *addr, *flavor, *site, *standby, *tenure, *serial, *epoch, std::nullopt, {}};
-  if (const auto w = v["warning_s"].number()) r.warning = from_seconds(std::clamp(*w, 0.0, kMostSeconds));
-  r.units.reserve(units->size());
-  for (const Value& u : *units) {
-    UnitReport unit;
+  report = {*host,        *address,  *machine_type,  *zone,        *standby,
+            *incarnation, *sequence, *fencing_token, std::nullopt, {}};
+  if (const auto w = value["warning_s"].number())
+    report.eviction_notice = from_seconds(std::clamp(*w, 0.0, kMaxSeconds));
+  report.tasks.reserve(task_count->size());
+  for (const Value& u : *task_count) {
+    TaskReport unit;
     const std::string* id = u["unit"].text();
     const auto attempt = u["try"].count();
     const std::string* status = u["status"].text();
-    if (!id || !attempt || !status || !split_unit(*id, unit.ref, unit.task)) return std::nullopt;
-    const auto st = read_status(*status);
-    if (!st) return std::nullopt;
-    unit.status = *st;
+    if (!id || !attempt || !status || !split_task_name(*id, unit.job_id, unit.task)) return std::nullopt;
+    const auto task_status = read_status(*status);
+    if (!task_status) return std::nullopt;
+    unit.status = *task_status;
     unit.attempt = *attempt;
-    if (const std::string* cause = u["cause"].text()) unit.cause = *cause;
-    unit.kept = u["kept"].boolean().value_or(false);
-    r.units.push_back(std::move(unit));
+    if (const std::string* cause = u["cause"].text()) unit.exit_reason = *cause;
+    unit.progress_saved = u["kept"].boolean().value_or(false);
+    report.tasks.push_back(std::move(unit));
   }
-  return r;
+  return report;
 }
 
-std::string unit_name(const std::string& ref, std::uint32_t task) {
-  return ref + "/" + std::to_string(task);
+std::string task_name(const std::string& job_id, std::uint32_t task) {
+  return job_id + "/" + std::to_string(task);
 }
 
-Value write_orders(const std::vector<Order>& orders) {
+Value write_commands(const std::vector<WorkerCommand>& commands) {
   static constexpr const char* verbs[] = {"run", "halt", "reap"};
   Value::List out;
-  out.reserve(orders.size());
-  for (const Order& o : orders) {
-    Value::Map m{
-        {"verb", verbs[static_cast<int>(o.verb)]}, {"unit", unit_name(o.ref, o.task)}, {"try", o.attempt}};
-    if (o.verb == Order::Verb::halt) m.emplace_back("leeway_s", to_seconds(o.leeway));
-    out.emplace_back(std::move(m));
+  out.reserve(commands.size());
+  for (const WorkerCommand& command : commands) {
+    Value::Map fields{{"verb", verbs[static_cast<int>(command.verb)]},
+                      {"unit", task_name(command.job_id, command.task)},
+                      {"try", command.attempt}};
+    if (command.verb == WorkerCommand::Verb::stop)
+      fields.emplace_back("leeway_s", to_seconds(command.grace_period));
+    out.emplace_back(std::move(fields));
   }
   return out;
 }
 
-std::optional<Catalog> read_catalog(const Value& v) {
-  const Value::List* list = v["flavors"].list();
+std::optional<Catalog> read_catalog(const Value& value) {
+  const Value::List* list = value["flavors"].list();
   if (list == nullptr) return std::nullopt;
   Catalog out;
   for (const Value& f : *list) {
-    Flavor flavor;
+    MachineType machine_type;
     const std::string* n = name(f["name"]);
-    const auto cores = amount(f["cores"], kMostAmount);
-    const auto cards = amount(f["cards"], kMostAmount);
-    const auto memory = amount(f["memory_gb"], kMostAmount);
+    const auto cores = amount(f["cores"], kMaxAmount);
+    const auto gpus = amount(f["cards"], kMaxAmount);
+    const auto memory = amount(f["memory_gb"], kMaxAmount);
     const Value::List* sites = f["sites"].list();
     if (!n || !cores || !memory || !sites) return std::nullopt;
-    flavor.name = *n;
-    flavor.room = {to_amount(*cores), to_amount(cards.value_or(0)), to_amount(*memory)};
-    flavor.cache_gb = f["cache_gb"].number().value_or(0);
-    flavor.pull_gb_per_s = std::max(1e-3, f["pull_gb_per_s"].number().value_or(0));
-    flavor.rate = f["rate"].number().value_or(0);
-    flavor.low_price = f["low_price"].number().value_or(flavor.rate);
-    flavor.boot = from_seconds(std::clamp(f["boot_s"].number().value_or(0), 0.0, kMostSeconds));
+    machine_type.name = *n;
+    machine_type.capacity = {to_amount(*cores), to_amount(gpus.value_or(0)), to_amount(*memory)};
+    machine_type.image_cache_gb = f["cache_gb"].number().value_or(0);
+    machine_type.fetch_gb_per_s = std::max(1e-3, f["pull_gb_per_s"].number().value_or(0));
+    machine_type.price = f["rate"].number().value_or(0);
+    machine_type.spot_price = f["low_price"].number().value_or(machine_type.price);
+    machine_type.boot_time = from_seconds(std::clamp(f["boot_s"].number().value_or(0), 0.0, kMaxSeconds));
     for (const Value& s : *sites) {
-      if (const std::string* z = name(s)) flavor.sites.push_back(*z);
+      if (const std::string* z = name(s)) machine_type.zones.push_back(*z);
     }
-    out.emplace(flavor.name, std::move(flavor));
+    out.emplace(machine_type.name, std::move(machine_type));
   }
   return out;
 }
 
-std::optional<Rental> read_rental(const Value& v) {
-  const std::string* ref = name(v["ref"]);
-  const std::string* flavor = v["flavor"].text();
-  const std::string* site = v["site"].text();
-  const std::string* status = v["status"].text();
-  if (!ref || !flavor || !site || !status) return std::nullopt;
-  Rental r;
-  r.ref = *ref;
-  r.flavor = *flavor;
-  r.site = *site;
-  r.status = *status;
-  if (const std::string* a = v["addr"].text()) r.addr = *a;
-  r.standby = v["standby"].boolean().value_or(false);
-  r.held = from_seconds(std::clamp(v["held_s"].number().value_or(0), 0.0, kMostSeconds));
-  return r;
+std::optional<Rental> read_rental(const Value& value) {
+  const std::string* job_id = name(value["ref"]);
+  const std::string* machine_type = value["flavor"].text();
+  const std::string* zone = value["site"].text();
+  const std::string* status = value["status"].text();
+  if (!job_id || !machine_type || !zone || !status) return std::nullopt;
+  Rental rental;
+  rental.host = *job_id;
+  rental.machine_type = *machine_type;
+  rental.zone = *zone;
+  rental.status = *status;
+  if (const std::string* a = value["addr"].text()) rental.address = *a;
+  rental.spot = value["standby"].boolean().value_or(false);
+  rental.age = from_seconds(std::clamp(value["held_s"].number().value_or(0), 0.0, kMaxSeconds));
+  return rental;
 }
 
-std::optional<Fault> never_runs(const JobSpec& spec, const Catalog& catalog, const Team* team) {
-  if (team == nullptr) return Fault{"owner", "the team '" + spec.owner + "' is not known"};
-  const bool whole = spec.shape != Shape::sweep;
-  const Needs all = whole ? spec.needs * static_cast<std::int64_t>(spec.units) : spec.needs;
+std::optional<InvalidField> never_runs(const JobSpec& spec, const Catalog& catalog, const Team* team) {
+  if (team == nullptr) return InvalidField{"owner", "the team '" + spec.team + "' is not known"};
+  const bool whole = spec.type != JobType::array;
+  const Resources all = whole ? spec.resources * static_cast<std::int64_t>(spec.task_count) : spec.resources;
   const char* who = whole ? "all its tasks together need" : "a task needs";
   if (team->cores_max > 0 && all.cores > to_amount(team->cores_max))
-    return Fault{"cores", std::string(who) + " more cores than the team may use"};
-  if (team->cards_max > 0 && all.cards > to_amount(team->cards_max))
-    return Fault{"cards", std::string(who) + " more cards than the team may use"};
+    return InvalidField{"cores", std::string(who) + " more cores than the team may use"};
+  if (team->gpus_max > 0 && all.gpus > to_amount(team->gpus_max))
+    return InvalidField{"cards", std::string(who) + " more cards than the team may use"};
   // An array may do with half of its tasks at a time; what runs as a whole may not.
-  if (whole && spec.units > 1 && spec.scatter && (spec.same_place || !spec.site.empty()))
-    return Fault{"scatter", "its tasks must be in one zone and may not be"};
+  if (whole && spec.task_count > 1 && spec.spread_zones && (spec.single_zone || !spec.zone.empty()))
+    return InvalidField{"scatter", "its tasks must be in one zone and may not be"};
   for (const auto& [name, flavor] : catalog) {
-    if (!spec.needs.fits(flavor.room)) continue;
-    for (const std::string& site : flavor.sites) {
-      if (spec.allows(name, site, false)) return std::nullopt;
+    if (!spec.resources.fits(flavor.capacity)) continue;
+    for (const std::string& zone : flavor.zones) {
+      if (spec.allows(name, zone, false)) return std::nullopt;
     }
   }
-  return Fault{spec.flavors.empty() && spec.site.empty() ? "cores"
-               : spec.flavors.empty()                    ? "site"
-                                                         : "flavors",
-               "a task fits no machine type that the job allows"};
+  return InvalidField{spec.machine_types.empty() && spec.zone.empty() ? "cores"
+                      : spec.machine_types.empty()                    ? "site"
+                                                                      : "flavors",
+                      "a task fits no machine type that the job allows"};
 }
 
 }  // namespace wrenusher::protocol
--- a/src/provisioner/include/wrenusher/provisioner/provisioner.hpp
+++ b/src/provisioner/include/wrenusher/provisioner/provisioner.hpp
@@ -22,110 +22,110 @@
 
 class Provisioner {
  public:
-  Provisioner(Runtime& rt, const Settings& settings, Store& store);
+  Provisioner(Runtime& runtime, const Settings& settings, KvClient& store);
   void start();
 
-  void on_term(const TermChanged& t);
-  void on_certainty(const Certainty& c) { certain_until_ = c.until; }
-  void on_workload(const std::shared_ptr<const Workload>& w);
-  void on_inherited(const std::shared_ptr<const Inheritance>& all);
-  void on_quiet(const HostQuiet& q);
-  void on_suspect(const HostCondemned& c);
+  void on_term(const TermChanged& term);
+  void on_lease_validity(const LeaseValidity& event) { lease_valid_until_ = event.until; }
+  void on_workload(const std::shared_ptr<const Workload>& workload);
+  void on_hints_inherited(const std::shared_ptr<const InheritedHints>& all);
+  void on_worker_silent(const WorkerSilent& event);
+  void on_machine_suspect(const MachineCordoned& event);
 
-  Sink<CatalogSeen> catalog_seen;
-  Sink<HostCondemned> condemned;
-  Sink<HostGone> gone;
-  Sink<CapacitySeen> capacity;
-  Sink<HostListed> listed;
-  Sink<std::shared_ptr<const RentalHints>> hints;
+  EventSink<CatalogUpdated> catalog_updated;
+  EventSink<MachineCordoned> machine_cordoned;
+  EventSink<MachineDeparted> machine_departed;
+  EventSink<CapacityChanged> capacity_changed;
+  EventSink<MachineListed> machine_listed;
+  EventSink<std::shared_ptr<const RentalHints>> rental_hints;
 
  private:
   struct Machine {
-    std::string flavor;
-    std::string site;
-    bool standby = false;
+    std::string machine_type;
+    std::string zone;
+    bool spot = false;
     bool up = false;  ///< its worker has reported in this term
     bool returning = false;
     bool draining = false;  ///< gets no new tasks and goes back once the last has ended
     bool running = false;   ///< listed as running
     bool listed = false;
-    bool carries = false;  ///< a named device: stays though it idles
-    Amount booked = 0;
+    bool has_named_device = false;  ///< a named device: stays though it idles
+    Amount reserved = 0;
     Amount working = 0;
-    Amount lasting = 0;
-    Instant rented{};
-    Instant expected{};  ///< to report by then
+    Amount service_load = 0;
+    Instant rented_at{};
+    Instant report_due{};  ///< to report by then
     Instant idle_since{};
   };
   /// One kind of machine: type, zone, and spot or ordinary.
-  struct Kind {
-    std::string flavor;
-    std::string site;
-    bool standby = false;
-    auto operator<=>(const Kind&) const = default;
+  struct MachineClass {
+    std::string machine_type;
+    std::string zone;
+    bool spot = false;
+    auto operator<=>(const MachineClass&) const = default;
   };
-  struct Booking {
+  struct RentalRequest {
     std::string name;
-    Kind kind;
+    MachineClass machine_class;
     std::uint32_t count = 0;
     int tries = 0;
   };
 
-  struct Call {
-    bool acts = false;  ///< rents or returns, which only a leader may that is certain to lead
+  struct CloudCall {
+    bool needs_leadership = false;  ///< rents or returns, which only a leader may that is certain to lead
     std::function<void()> send;
   };
 
   /// What was last rented for a job's layout.
-  struct LayoutTry {
+  struct LayoutAttempt {
     std::uint32_t tasks = 0;
     Instant not_before{};
     Micros pause{};
   };
 
-  static bool reaches(const Workload::Demand& d, const Kind& kind);
-  bool may_rent(const Workload::Demand& d) const;
-  void rented_for(const Workload::Demand& d);
+  static bool is_eligible(const Workload::Demand& demand, const MachineClass& kind);
+  bool may_rent(const Workload::Demand& demand) const;
+  void record_layout_rental(const Workload::Demand& demand);
   void tick();
   void pump();
-  void cloud(Request request, bool first, std::function<void(const Outcome&)> done);
-  void ask_catalog();
+  void call_cloud(Request request, bool first, std::function<void(const CallResult&)> done);
+  void request_catalog();
   void read_catalog_record();
-  void take_catalog(const Value& v);
-  void write_catalog(const Value& v);
-  void ask_list(const std::string& from);
-  void take_rental(const Rental& r);
-  void book(const Kind& kind, std::uint32_t count);
-  void send_rental(const Booking& b);
-  void give_back(const std::string& host, const char* why);
-  Machine& know(const std::string& host);
-  Micros patience(const std::string& flavor) const;
-  bool certain() const { return term_.leading && rt_.now() < certain_until_; }
+  void set_catalog(const Value& value);
+  void write_catalog(const Value& value);
+  void request_list(const std::string& from);
+  void apply_listed_machine(const Rental& rental);
+  void request_rental(const MachineClass& kind, std::uint32_t count);
+  void send_rental_request(const RentalRequest& request);
+  void return_machine(const std::string& host, const char* why);
+  Machine& add_machine(const std::string& host);
+  Micros boot_timeout(const std::string& machine_type) const;
+  bool lease_valid() const { return term_.leading && runtime_.now() < lease_valid_until_; }
   void send_return();
-  void review();
+  void review_machines();
   void plan_rentals();
-  bool refused(const Kind& kind) const;
-  void tell_capacity();
-  void tell_hints();
-  void see_heirs();
-  void account();
-  Micros found_within() const;
-  void give_back_silent(const std::string& host, const char* why);
-  void see_zones(const Workload& w);
-  Micros idle_return(const Machine& m) const;
+  bool is_refused(const MachineClass& kind) const;
+  void publish_capacity();
+  void publish_hints();
+  void review_inherited();
+  void record_costs();
+  Micros adoption_window() const;
+  void return_silent(const std::string& host, const char* why);
+  void detect_zone_loss(const Workload& workload);
+  Micros idle_return(const Machine& machine) const;
 
-  Runtime& rt_;
+  Runtime& runtime_;
   const Settings& settings_;
-  Store& store_;
+  KvClient& store_;
   TermChanged term_;
-  Instant certain_until_{};
+  Instant lease_valid_until_{};
   std::shared_ptr<const Catalog> catalog_;
   std::string catalog_written_;
-  Pace pace_;
+  RateLimiter rate_limiter_;
   /// Waiting calls to the cloud; what frees stuck work stands in front.
-  std::deque<Call> calls_;
+  std::deque<CloudCall> calls_;
   bool pumping_ = false;
-  int troubles_ = 0;
+  int consecutive_failures_ = 0;
   Instant cloud_not_before_{};
   Instant next_list_{};
   Instant next_catalog_{};
@@ -134,19 +134,19 @@
   Instant term_began_{};
   bool listing_ = false;
   bool returning_ = false;
-  std::uint64_t bookings_made_ = 0;
-  std::map<std::string, Booking> open_bookings_;
-  std::map<Kind, Instant> refused_until_;
+  std::uint64_t requests_made_ = 0;
+  std::map<std::string, RentalRequest> open_requests_;
+  std::map<MachineClass, Instant> refused_until_;
   std::map<std::string, Machine> machines_;
-  std::map<std::string, std::deque<Instant>> silences_;  ///< by zone: when machines were found silent
-  std::map<std::string, Instant> lost_until_;            ///< zones of which no machine is heard
-  std::map<std::string, LayoutTry> layouts_;             ///< by job
+  std::map<std::string, std::deque<Instant>> silent_by_zone_;  ///< by zone: when machines were found silent
+  std::map<std::string, Instant> zone_lost_until_;             ///< zones of which no machine is heard
+  std::map<std::string, LayoutAttempt> layout_attempts_;       ///< by job
   std::set<std::string> to_return_;
-  std::set<std::string> gone_;   ///< given back in this term
-  std::set<std::string> heirs_;  ///< machines that the last leader had, not heard in this term yet
-  std::size_t heirs_most_ = 0;
-  accounts::Money money_;
-  std::shared_ptr<const Workload> load_;
+  std::set<std::string> returned_;   ///< given back in this term
+  std::set<std::string> inherited_;  ///< machines that the last leader had, not heard in this term yet
+  std::size_t inherited_total_ = 0;
+  accounts::CostMetrics costs_;
+  std::shared_ptr<const Workload> workload_;
 };
 
 }  // namespace wrenusher::provisioner
