--- a/src/records/include/wrenusher/records/records.hpp
+++ b/src/records/include/wrenusher/records/records.hpp
@@ -27,91 +27,92 @@
 using namespace protocol;
 
 inline constexpr const char* kJobPrefix = "job/";
-inline constexpr const char* kEndPrefix = "end/";
+inline constexpr const char* kFinalStatePrefix = "end/";
 
-inline std::string job_key(const std::string& ref) {
-  return kJobPrefix + ref;
+inline std::string job_key(const std::string& job_id) {
+  return kJobPrefix + job_id;
 }
-inline std::string end_key(const std::string& ref) {
-  return kEndPrefix + ref;
+inline std::string final_state_key(const std::string& job_id) {
+  return kFinalStatePrefix + job_id;
 }
-inline std::string slot_key(std::uint32_t slot) {
+inline std::string shard_key(std::uint32_t slot) {
   return "claims/" + std::to_string(slot);
 }
 /// The job of "job/<ref>".
 std::optional<std::string> parse_job_key(const std::string& key);
 /// The job of "end/<ref>".
-std::optional<std::string> parse_end_key(const std::string& key);
-std::optional<std::uint32_t> parse_slot_key(const std::string& key);
+std::optional<std::string> parse_final_state_key(const std::string& key);
+std::optional<std::uint32_t> parse_shard_key(const std::string& key);
 /// The job, where this is the record of a live one that is cancelled.
-std::optional<std::string> cancelled_job(const std::string& key, const Value& v);
+std::optional<std::string> cancelled_job(const std::string& key, const Value& value);
 
 /// Tasks per block so that the worst block (every task alone in its own claim) keeps within the value limit.
-std::uint32_t block_size(double value_kb);
+std::uint32_t max_tasks_per_block(double value_kb);
 
-Value new_job(const JobSpec& spec, WallTime accepted, std::uint32_t block_size);
-Value withdrawn(const Value& job);
-Value new_end(const char* status, std::uint32_t units);
+Value write_job(const JobSpec& spec, WallTime accepted, std::uint32_t block_size);
+Value cancelled_record(const Value& job);
+Value write_final_state(const char* status, std::uint32_t task_count);
 
 struct JobRecord {
   JobSpec spec;
-  WallTime accepted{};
-  std::uint32_t block = 1;
-  bool withdrawn = false;
+  WallTime accepted_at{};
+  std::uint32_t tasks_per_block = 1;
+  bool cancelled = false;
 };
-std::optional<JobRecord> read_job(const Value& v);
+std::optional<JobRecord> read_job(const Value& value);
 
-struct ClaimRow {
+struct AssignmentRow {
   std::string host;
   std::uint64_t attempt = 0;
   RangeSet tasks;
 };
 /// The done tasks and the claims of one block of a job.
 struct BlockRecord {
-  std::uint64_t last_try = 0;
+  std::uint64_t last_attempt = 0;
   RangeSet done;
-  std::vector<ClaimRow> claims;
+  std::vector<AssignmentRow> assignments;
 };
 /// Whose block a row of a slot is, and how new.
 struct BlockId {
-  std::string ref;
+  std::string job_id;
   std::uint32_t block = 0;
   std::uint64_t version = 0;
 };
 std::optional<BlockId> read_block_id(const Value& row);
-std::optional<BlockRecord> read_block(const Value& row, std::uint32_t units);
+std::optional<BlockRecord> read_block(const Value& row, std::uint32_t task_count);
 /// A block as it stands in a slot.
-struct BlockAt {
+struct StoredBlock {
   BlockId id;
   BlockRecord state;
   /// All its task numbers are below `units`.
-  bool within(std::uint32_t units) const;
+  bool within_task_count(std::uint32_t task_count) const;
 };
 /// The value of a slot, `rows` being what `write_block` made.
-Value write_slot(std::uint32_t slot, Value::List rows);
+Value write_shard(std::uint32_t slot, Value::List rows);
 /// What `write_slot` adds to the rows, as JSON.
-inline constexpr std::size_t kSlotBytes = 12;
+inline constexpr std::size_t kShardOverheadBytes = 12;
 /// What stands in the slot; blocks that cannot be read are left out and counted. Nothing when the value is
 /// not this slot's. Up to 0.5 the slot's number did not stand in it.
-std::optional<std::vector<BlockAt>> read_slot(const Value& v, std::uint32_t slot, std::size_t& unreadable);
+std::optional<std::vector<StoredBlock>> read_shard(const Value& value, std::uint32_t slot,
+                                                   std::size_t& unreadable);
 
 /// Live jobs and slots, as a copy of the state service has them.
-struct Snapshot {
-  struct Root {
-    JobRecord rec;
-    std::uint64_t stamp = 0;
+struct RecordSnapshot {
+  struct StoredJob {
+    JobRecord record;
+    std::uint64_t mod_revision = 0;
   };
-  struct Slot {
-    std::uint64_t stamp = 0;
-    std::vector<BlockAt> blocks;
+  struct Shard {
+    std::uint64_t mod_revision = 0;
+    std::vector<StoredBlock> blocks;
   };
-  std::map<std::string, Root> jobs;
-  std::map<std::uint32_t, Slot> slots;
+  std::map<std::string, StoredJob> jobs;
+  std::map<std::uint32_t, Shard> shards;
   std::uint64_t revision = 0;  ///< what changes of the jobs after it is to be followed
 };
 
 /// `done` may hold more than the block: only what is between `first` and `last` is written.
 Value write_block(const BlockId& id, std::uint64_t last_try, const RangeSet& done,
-                  const std::vector<ClaimRow>& claims, std::uint32_t first, std::uint32_t last);
+                  const std::vector<AssignmentRow>& assignments, std::uint32_t first, std::uint32_t last);
 
 }  // namespace wrenusher::records
--- a/src/records/records.cpp
+++ b/src/records/records.cpp
@@ -23,84 +23,84 @@
 }
 
 /// The job that the key names behind the prefix.
-std::optional<std::string> ref_after(const std::string& prefix, const std::string& key) {
-  if (!key.starts_with(prefix) || !valid_ref(key.substr(prefix.size()))) return std::nullopt;
+std::optional<std::string> job_id_after(const std::string& prefix, const std::string& key) {
+  if (!key.starts_with(prefix) || !valid_job_id(key.substr(prefix.size()))) return std::nullopt;
   return key.substr(prefix.size());
 }
 
 }  // namespace
 
 std::optional<std::string> parse_job_key(const std::string& key) {
-  return ref_after(kJobPrefix, key);
+  return job_id_after(kJobPrefix, key);
 }
 
-std::optional<std::string> parse_end_key(const std::string& key) {
-  return ref_after(kEndPrefix, key);
+std::optional<std::string> parse_final_state_key(const std::string& key) {
+  return job_id_after(kFinalStatePrefix, key);
 }
 
-std::optional<std::string> cancelled_job(const std::string& key, const Value& v) {
-  return v["wd"].boolean().value_or(false) ? parse_job_key(key) : std::nullopt;
+std::optional<std::string> cancelled_job(const std::string& key, const Value& value) {
+  return value["wd"].boolean().value_or(false) ? parse_job_key(key) : std::nullopt;
 }
 
-std::optional<std::uint32_t> parse_slot_key(const std::string& key) {
+std::optional<std::uint32_t> parse_shard_key(const std::string& key) {
   static const std::string prefix = "claims/";
   if (!key.starts_with(prefix)) return std::nullopt;
   return number_after<std::uint32_t>(key, prefix.size());
 }
 
-std::uint32_t block_size(double value_kb) {
+std::uint32_t max_tasks_per_block(double value_kb) {
   return static_cast<std::uint32_t>(
       std::clamp((value_kb * 1024 * 0.95 - kBytesPerBlock) / kBytesPerTask, 1.0, 4096.0));
 }
 
-Value new_job(const JobSpec& spec, WallTime accepted, std::uint32_t size) {
+Value write_job(const JobSpec& spec, WallTime accepted, std::uint32_t size) {
   return Value::Map{{"spec", write_spec(spec)},
                     {"t", static_cast<std::uint64_t>(accepted.time_since_epoch().count() / 1000)},
                     {"b", std::uint64_t{size}}};
 }
 
-Value withdrawn(const Value& job) {
-  Value::Map m = job.map() != nullptr ? *job.map() : Value::Map{};
-  std::erase_if(m, [](const Value::Field& f) { return f.first == "wd"; });
-  m.emplace_back("wd", true);
-  return m;
+Value cancelled_record(const Value& job) {
+  Value::Map fields = job.map() != nullptr ? *job.map() : Value::Map{};
+  std::erase_if(fields, [](const Value::Field& field) { return field.first == "wd"; });
+  fields.emplace_back("wd", true);
+  return fields;
 }
 
-Value new_end(const char* status, std::uint32_t units) {
-  return Value::Map{{"s", status}, {"n", std::uint64_t{units}}};
+Value write_final_state(const char* status, std::uint32_t task_count) {
+  return Value::Map{{"s", status}, {"n", std::uint64_t{task_count}}};
 }
 
-std::optional<JobRecord> read_job(const Value& v) {
-  JobRecord r;
-  const auto spec = read_spec(v["spec"]);
-  const auto t = v["t"].count();
-  const auto b = v["b"].count();
-  if (!spec || !t || !b || *b < 1 || *b > kMaxUnits) return std::nullopt;
-  r.spec = *spec;
-  r.accepted = WallTime{millis(static_cast<std::int64_t>(*t))};
-  r.block = static_cast<std::uint32_t>(*b);
-  r.withdrawn = v["wd"].boolean().value_or(false);
-  return r;
+std::optional<JobRecord> read_job(const Value& value) {
+  JobRecord record;
+  const auto spec = read_spec(value["spec"]);
+  const auto t = value["t"].count();
+  const auto b = value["b"].count();
+  if (!spec || !t || !b || *b < 1 || *b > kMaxTasksPerJob) return std::nullopt;
+  record.spec = *spec;
+  record.accepted_at = WallTime{from_millis(static_cast<std::int64_t>(*t))};
+  record.tasks_per_block = static_cast<std::uint32_t>(*b);
+  record.cancelled = value["wd"].boolean().value_or(false);
+  return record;
 }
 
 std::optional<BlockId> read_block_id(const Value& row) {
-  const Value::List* f = row.list();
-  if (f == nullptr || f->size() != 6 || (*f)[0].text() == nullptr) return std::nullopt;
-  const auto n = (*f)[1].count();
-  const auto version = (*f)[2].count();
-  if (!n || *n > kMaxUnits || !version) return std::nullopt;
-  return BlockId{*(*f)[0].text(), static_cast<std::uint32_t>(*n), *version};
+  const Value::List* list = row.list();
+  if (list == nullptr || list->size() != 6 || (*list)[0].text() == nullptr) return std::nullopt;
+  const auto n = (*list)[1].count();
+  const auto version = (*list)[2].count();
+  if (!n || *n > kMaxTasksPerJob || !version) return std::nullopt;
+  return BlockId{*(*list)[0].text(), static_cast<std::uint32_t>(*n), *version};
 }
 
-bool BlockAt::within(std::uint32_t units) const {
-  const auto below = [units](const RangeSet& r) {
-    return r.empty() || std::prev(r.ranges().end())->second < units;
+bool StoredBlock::within_task_count(std::uint32_t task_count) const {
+  const auto below = [task_count](const RangeSet& r) {
+    return r.empty() || std::prev(r.ranges().end())->second < task_count;
   };
-  return below(state.done) && std::all_of(state.claims.begin(), state.claims.end(),
-                                          [&](const ClaimRow& c) { return below(c.tasks); });
+  return below(state.done) && std::all_of(state.assignments.begin(), state.assignments.end(),
+                                          [&](const AssignmentRow& row) { return below(row.tasks); });
 }
 
-Value write_slot(std::uint32_t slot, Value::List rows) {
+Value write_shard(std::uint32_t slot, Value::List rows) {
   Value::List all;
   all.reserve(rows.size() + 1);
   all.emplace_back(std::uint64_t{slot});
@@ -108,19 +108,20 @@
   return all;
 }
 
-std::optional<std::vector<BlockAt>> read_slot(const Value& v, std::uint32_t slot, std::size_t& unreadable) {
-  const Value::List* rows = v.list();
+std::optional<std::vector<StoredBlock>> read_shard(const Value& value, std::uint32_t slot,
+                                                   std::size_t& unreadable) {
+  const Value::List* rows = value.list();
   if (rows == nullptr) return std::nullopt;
   auto row = rows->begin();
   if (row != rows->end() && row->list() == nullptr) {
     if (row->count() != std::uint64_t{slot}) return std::nullopt;
     ++row;
   }
-  std::vector<BlockAt> out;
+  std::vector<StoredBlock> out;
   out.reserve(rows->size());
   for (; row != rows->end(); ++row) {
     auto id = read_block_id(*row);
-    auto state = id ? read_block(*row, kMaxUnits) : std::nullopt;
+    auto state = id ? read_block(*row, kMaxTasksPerJob) : std::nullopt;
     if (state) {
       out.push_back({std::move(*id), std::move(*state)});
     } else {
@@ -130,37 +131,37 @@
   return out;
 }
 
-std::optional<BlockRecord> read_block(const Value& row, std::uint32_t units) {
+std::optional<BlockRecord> read_block(const Value& row, std::uint32_t task_count) {
   const Value::List* fields = row.list();
   if (fields == nullptr || fields->size() != 6) return std::nullopt;
-  BlockRecord b;
-  b.last_try = (*fields)[3].count().value_or(0);
-  if (!b.done.read((*fields)[4], units)) return std::nullopt;
-  const Value::List* claims = (*fields)[5].list();
-  if (claims == nullptr) return std::nullopt;
-  for (const Value& claim : *claims) {
-    const Value::List* f = claim.list();
-    ClaimRow c;
-    if (f == nullptr || f->size() != 3 || (*f)[0].text() == nullptr || !(*f)[1].count() ||
-        !c.tasks.read((*f)[2], units)) {
+  BlockRecord record;
+  record.last_attempt = (*fields)[3].count().value_or(0);
+  if (!record.done.read((*fields)[4], task_count)) return std::nullopt;
+  const Value::List* assignments = (*fields)[5].list();
+  if (assignments == nullptr) return std::nullopt;
+  for (const Value& claim : *assignments) {
+    const Value::List* list = claim.list();
+    AssignmentRow assignment;
+    if (list == nullptr || list->size() != 3 || (*list)[0].text() == nullptr || !(*list)[1].count() ||
+        !assignment.tasks.read((*list)[2], task_count)) {
       return std::nullopt;
     }
-    c.host = *(*f)[0].text();
-    c.attempt = *(*f)[1].count();
-    b.claims.push_back(std::move(c));
+    assignment.host = *(*list)[0].text();
+    assignment.attempt = *(*list)[1].count();
+    record.assignments.push_back(std::move(assignment));
   }
-  return b;
+  return record;
 }
 
 Value write_block(const BlockId& id, std::uint64_t last_try, const RangeSet& done,
-                  const std::vector<ClaimRow>& claims, std::uint32_t first, std::uint32_t last) {
+                  const std::vector<AssignmentRow>& assignments, std::uint32_t first, std::uint32_t last) {
   Value::List rows;
-  rows.reserve(claims.size());
-  for (const ClaimRow& c : claims) {
-    rows.emplace_back(Value::List{c.host, c.attempt, c.tasks.write(first, last)});
+  rows.reserve(assignments.size());
+  for (const AssignmentRow& row : assignments) {
+    rows.emplace_back(Value::List{row.host, row.attempt, row.tasks.write(first, last)});
   }
-  return Value::List{id.ref,   std::uint64_t{id.block}, id.version,
-                     last_try, done.write(first, last), std::move(rows)};
+  return Value::List{id.job_id, std::uint64_t{id.block}, id.version,
+                     last_try,  done.write(first, last), std::move(rows)};
 }
 
 }  // namespace wrenusher::records
--- a/src/reports/include/wrenusher/reports/reports.hpp
+++ b/src/reports/include/wrenusher/reports/reports.hpp
@@ -16,51 +16,51 @@
 using namespace base;
 using namespace protocol;
 using namespace mail;
-using book::Book;
-using book::Claim;
 using book::Job;
-using book::Phase;
+using book::JobTable;
+using book::TaskAssignment;
+using book::TaskState;
 using machines::Machine;
-using machines::Machines;
+using machines::MachineInventory;
 
-class Reports {
+class Reconciler {
  public:
-  Reports(Runtime& rt, Book& book, Machines& machines, estimates::Estimator& estimator,
-          accounts::Waits& waits)
-      : rt_(rt), book_(book), machines_(machines), estimator_(estimator), waits_(waits) {}
+  Reconciler(Runtime& runtime, JobTable& jobs, MachineInventory& machines, estimates::Estimator& estimator,
+             accounts::StartLatencyMetrics& waits)
+      : runtime_(runtime), book_(jobs), machines_(machines), estimator_(estimator), waits_(waits) {}
 
-  struct Taken {
+  struct Result {
     bool usable_changed = false;  ///< the machine may get tasks now, or no more
-    bool left = false;            ///< tasks have left the machine
-    std::vector<DirectOrders> halts;
-    std::vector<HostCondemned> suspects;
+    bool tasks_left = false;      ///< tasks have left the machine
+    std::vector<DirectCommands> stops;
+    std::vector<MachineCordoned> suspects;
   };
   /// Brings book and machines up to a report. `current`: the worker has taken this term's epoch; `settled`: a
   /// report, not the answer to /orders, so that every start sent before it has shown or never will.
-  Taken take(const WorkerReport& r, bool current, bool settled);
+  Result apply(const WorkerReport& report, bool current, bool settled);
   /// What the worker is to do, given its newest report.
-  std::vector<Order> orders(const Machine& m, const WorkerReport& r) const;
+  std::vector<WorkerCommand> commands_for(const Machine& machine, const WorkerReport& report) const;
   /// Whether a commit under way or due would add orders to the answer.
-  bool awaits_commit(const Machine& m, const WorkerReport& r) const;
+  bool awaits_commit(const Machine& machine, const WorkerReport& report) const;
   /// Tasks claimed in this term that a report has shown on their machines, so far.
-  std::uint64_t shown() const { return shown_; }
+  std::uint64_t shown_starts() const { return shown_starts_; }
 
  private:
-  void take_there(Machine& m, const WorkerReport& r, std::uint64_t mark);
-  void take_ended(Machine& m, const WorkerReport& r, Taken& out);
-  void take_missing(Machine& m, bool settled, std::uint64_t mark);
-  void show(Job& job, Claim& c, Machine& m, const UnitReport& u);
-  void account_start(const JobSpec& spec, std::uint32_t task, const Claim& c);
-  void fail_task(Job& job, Machine& m, const UnitReport& u, Taken& out);
-  void settle_warning(Machine& m, Micros left, Taken& out);
+  void apply_present(Machine& machine, const WorkerReport& report, std::uint64_t mark);
+  void apply_exited(Machine& machine, const WorkerReport& report, Result& out);
+  void apply_missing(Machine& machine, bool settled, std::uint64_t mark);
+  void apply_task(Job& job, TaskAssignment& assignment, Machine& machine, const TaskReport& task);
+  void record_start(const JobSpec& spec, std::uint32_t task, const TaskAssignment& assignment);
+  void fail_task(Job& job, Machine& machine, const TaskReport& task, Result& out);
+  void apply_eviction_notice(Machine& machine, Micros left, Result& out);
 
-  Runtime& rt_;
-  Book& book_;
-  Machines& machines_;
+  Runtime& runtime_;
+  JobTable& book_;
+  MachineInventory& machines_;
   estimates::Estimator& estimator_;
-  accounts::Waits& waits_;
-  std::uint64_t reports_ = 0;
-  std::uint64_t shown_ = 0;
+  accounts::StartLatencyMetrics& waits_;
+  std::uint64_t report_count_ = 0;
+  std::uint64_t shown_starts_ = 0;
 };
 
 }  // namespace wrenusher::reports
--- a/src/settings/include/wrenusher/settings/settings.hpp
+++ b/src/settings/include/wrenusher/settings/settings.hpp
@@ -16,33 +16,33 @@
   std::string name;
   double cores = 0;      ///< guaranteed; 0: none
   double cores_max = 0;  ///< ceiling; 0: none
-  double cards = 0;
-  double cards_max = 0;
+  double gpus = 0;
+  double gpus_max = 0;
 };
 
 /// An aim for one class of jobs: done by `times` its due time (deadline) or within a fixed time (finished).
 struct Objective {
   std::string kind;
-  std::string queue;
-  double times = 1.0;
+  std::string job_class;
+  double deadline_factor = 1.0;
   Micros within{};
 };
 
 struct PeerAddress {
   std::string name;
   std::string zone;
-  Endpoint at;
+  Endpoint address;
 };
 
 /// Values that operators may change in their own YAML file.
 struct Tunables {
-  Micros hold_life = millis(4000);
-  Micros round = millis(200);
+  Micros leader_lease = from_millis(4000);
+  Micros scheduling_interval = from_millis(200);
   Micros idle_return = from_seconds(30);
   double silent_reports = 2.5;
   double slow_boot_factor = 2.5;
-  bool standby = true;   ///< nodes that do not lead hold ready what the leader knows
-  std::string topology;  ///< path of the operators' map of failure domains; empty: none
+  bool warm_standby = true;  ///< nodes that do not lead hold ready what the leader knows
+  std::string topology;      ///< path of the operators' map of failure domains; empty: none
 };
 
 struct Settings {
@@ -56,11 +56,11 @@
   std::vector<std::string> zones;
   std::vector<Team> teams;
   std::vector<Objective> objectives;
-  Micros report{};
-  Micros lease{};
-  Micros gang_wait{};
-  Micros gang_peer{};
-  Micros cancel{};
+  Micros report_interval{};
+  Micros worker_lease{};
+  Micros gang_start_timeout{};
+  Micros gang_peer_timeout{};
+  Micros cancel_deadline{};
   double state_rps = 0;
   double state_write_rps = 0;
   double value_kb = 0;
@@ -72,7 +72,7 @@
 
   const Team* team(const std::string& name) const;
   /// Somebody follows who leads, and may take over with what the leader knows.
-  bool stands_by() const { return tunables.standby && !peers.empty(); }
+  bool has_standby() const { return tunables.warm_standby && !peers.empty(); }
 };
 
 /// A mistake in a settings file; what() is one line that names the field.
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -92,8 +92,8 @@
 }  // namespace
 
 const Team* Settings::team(const std::string& name) const {
-  for (const Team& t : teams) {
-    if (t.name == name) return &t;
+  for (const Team& team : teams) {
+    if (team.name == name) return &team;
   }
   return nullptr;
 }
@@ -102,19 +102,19 @@
   const json root = json::parse(text, nullptr, false);
   if (root.is_discarded()) throw SettingsError("settings: not valid JSON");
   const Field top(root, "");
-  Settings s;
-  s.node = top["host_name"].text();
-  s.zone = top["zone"].text();
-  s.client_listen = top["client_listen"].endpoint();
-  s.peer_listen = top["peer_listen"].endpoint();
+  Settings settings;
+  settings.node = top["host_name"].text();
+  settings.zone = top["zone"].text();
+  settings.client_listen = top["client_listen"].endpoint();
+  settings.peer_listen = top["peer_listen"].endpoint();
   for (const Field& p : top["peers"].items()) {
-    s.peers.push_back({p["host_name"].text(), p["zone"].text(), p["peer_addr"].endpoint()});
-    if (s.peers.back().name == s.node) p["host_name"].fail("names this node itself");
+    settings.peers.push_back({p["host_name"].text(), p["zone"].text(), p["peer_addr"].endpoint()});
+    if (settings.peers.back().name == settings.node) p["host_name"].fail("names this node itself");
   }
-  s.cloud = top["services"]["cloud"].endpoint();
-  s.state = top["services"]["state"].endpoint();
+  settings.cloud = top["services"]["cloud"].endpoint();
+  settings.state = top["services"]["state"].endpoint();
   const Field cluster = top["cluster"];
-  for (const Field& z : cluster["zones"].items()) s.zones.push_back(z.text());
+  for (const Field& z : cluster["zones"].items()) settings.zones.push_back(z.text());
   std::set<std::string> names;
   for (const Field& t : cluster["teams"].items()) {
     Team team;
@@ -122,36 +122,36 @@
     if (!names.insert(team.name).second) t["name"].fail("is there twice");
     team.cores = t["cpus"].number(0, 1e9);
     team.cores_max = t["cpus_max"].number(0, 1e9);
-    team.cards = t["gpus"].number(0, 1e9);
-    team.cards_max = t["gpus_max"].number(0, 1e9);
-    s.teams.push_back(team);
+    team.gpus = t["gpus"].number(0, 1e9);
+    team.gpus_max = t["gpus_max"].number(0, 1e9);
+    settings.teams.push_back(team);
   }
   if (cluster.has("objectives")) {
-    for (const Field& o : cluster["objectives"].items()) {
+    for (const Field& field : cluster["objectives"].items()) {
       Objective aim;
-      aim.kind = o["kind"].text();
-      if (o.has("class")) aim.queue = o["class"].text();
-      if (o.has("times")) aim.times = o["times"].number(0, 1e6);
-      if (o.has("within_s")) aim.within = o["within_s"].seconds(0);
-      s.objectives.push_back(aim);
+      aim.kind = field["kind"].text();
+      if (field.has("class")) aim.job_class = field["class"].text();
+      if (field.has("times")) aim.deadline_factor = field["times"].number(0, 1e6);
+      if (field.has("within_s")) aim.within = field["within_s"].seconds(0);
+      settings.objectives.push_back(aim);
     }
   }
   const Field workers = cluster["workers"];
-  s.report = workers["report_s"].seconds(0.01);
-  s.lease = workers["lease_s"].seconds(0.1);
-  s.gang_wait = workers["gang_wait_s"].seconds(0);
-  s.gang_peer = workers["gang_peer_s"].seconds(0);
-  s.cancel = workers["cancel_s"].seconds(0.1);
+  settings.report_interval = workers["report_s"].seconds(0.01);
+  settings.worker_lease = workers["lease_s"].seconds(0.1);
+  settings.gang_start_timeout = workers["gang_wait_s"].seconds(0);
+  settings.gang_peer_timeout = workers["gang_peer_s"].seconds(0);
+  settings.cancel_deadline = workers["cancel_s"].seconds(0.1);
   const Field state = cluster["state"];
-  s.state_rps = state["rps"].number(1, 1e9);
-  s.state_write_rps = state["write_rps"].number(1, 1e9);
-  s.value_kb = state["value_kb"].number(1, 1e6);
-  s.txn_ops = state["txn_ops"].whole(4, 1000000);
+  settings.state_rps = state["rps"].number(1, 1e9);
+  settings.state_write_rps = state["write_rps"].number(1, 1e9);
+  settings.value_kb = state["value_kb"].number(1, 1e6);
+  settings.txn_ops = state["txn_ops"].whole(4, 1000000);
   const Field cloud = cluster["cloud"];
-  s.cloud_rps = cloud["rps"].number(0.01, 1e9);
-  s.list_lag = cloud["list_lag_s"].seconds(0);
-  s.max_sockets = static_cast<int>(cluster["limits"]["max_sockets"].whole(32, 1000000));
-  return s;
+  settings.cloud_rps = cloud["rps"].number(0.01, 1e9);
+  settings.list_lag = cloud["list_lag_s"].seconds(0);
+  settings.max_sockets = static_cast<int>(cluster["limits"]["max_sockets"].whole(32, 1000000));
+  return settings;
 }
 
 Settings load_settings(const std::string& path) {
@@ -159,21 +159,21 @@
 }
 
 Tunables parse_tunables(const std::string& text) {
-  Tunables t;
+  Tunables tunables;
   YAML::Node root;
   try {
     root = YAML::Load(text);
   } catch (const YAML::Exception&) {
     throw SettingsError("tunables: not valid YAML");
   }
-  if (root.IsNull()) return t;
+  if (root.IsNull()) return tunables;
   if (!root.IsMap()) throw SettingsError("tunables: must be a map");
   const auto number = [&root](const char* name, double least, double most, double preset) {
-    const YAML::Node n = root[name];
-    if (!n) return preset;
+    const YAML::Node node = root[name];
+    if (!node) return preset;
     double x = 0;
     try {
-      x = n.as<double>();
+      x = node.as<double>();
     } catch (const YAML::Exception&) {
       throw SettingsError(std::string("tunables: ") + name + ": must be a number");
     }
@@ -190,28 +190,30 @@
     const auto name = entry.first.as<std::string>("");
     if (!known.contains(name)) throw SettingsError("tunables: " + name + ": is not known");
   }
-  t.hold_life = from_seconds(number("hold_s", 1, 60, to_seconds(t.hold_life)));
-  t.round = from_seconds(number("round_s", 0.05, 5, to_seconds(t.round)));
-  t.idle_return = from_seconds(number("idle_return_s", 0, 3600, to_seconds(t.idle_return)));
-  t.silent_reports = number("silent_reports", 2, 1000, t.silent_reports);
-  t.slow_boot_factor = number("slow_boot_factor", 1, 100, t.slow_boot_factor);
-  if (const YAML::Node n = root["standby"]; n && !n.IsNull()) {
-    if (!YAML::convert<bool>::decode(n, t.standby))
+  tunables.leader_lease = from_seconds(number("hold_s", 1, 60, to_seconds(tunables.leader_lease)));
+  tunables.scheduling_interval =
+      from_seconds(number("round_s", 0.05, 5, to_seconds(tunables.scheduling_interval)));
+  tunables.idle_return = from_seconds(number("idle_return_s", 0, 3600, to_seconds(tunables.idle_return)));
+  tunables.silent_reports = number("silent_reports", 2, 1000, tunables.silent_reports);
+  tunables.slow_boot_factor = number("slow_boot_factor", 1, 100, tunables.slow_boot_factor);
+  if (const YAML::Node node = root["standby"]; node && !node.IsNull()) {
+    if (!YAML::convert<bool>::decode(node, tunables.warm_standby))
       throw SettingsError("tunables: standby: must be on or off");
   }
-  if (const YAML::Node n = root["topology"]; n && !n.IsNull()) {
-    if (!n.IsScalar() || n.Scalar().empty()) throw SettingsError("tunables: topology: must be a path");
-    t.topology = n.Scalar();
+  if (const YAML::Node node = root["topology"]; node && !node.IsNull()) {
+    if (!node.IsScalar() || node.Scalar().empty()) throw SettingsError("tunables: topology: must be a path");
+    tunables.topology = node.Scalar();
   }
-  return t;
+  return tunables;
 }
 
 Tunables load_tunables(const std::string& path) {
-  Tunables t = parse_tunables(read_file(path));
+  Tunables tunables = parse_tunables(read_file(path));
   // Beside the tunables, wherever the daemon is started from.
-  if (!t.topology.empty())
-    t.topology = (std::filesystem::path(path).parent_path() / t.topology).lexically_normal().string();
-  return t;
+  if (!tunables.topology.empty())
+    tunables.topology =
+        (std::filesystem::path(path).parent_path() / tunables.topology).lexically_normal().string();
+  return tunables;
 }
 
 }  // namespace wrenusher::settings
--- a/src/standby/copy.cpp
+++ b/src/standby/copy.cpp
@@ -10,186 +10,194 @@
 
 /// A page is decoded in one go, while users' requests wait.
 constexpr int kPage = 100;
-constexpr Micros kPagePause = millis(100);
-constexpr Micros kRetry = millis(700);
-constexpr Micros kHold = from_seconds(4);
+constexpr Micros kPagePause = from_millis(100);
+constexpr Micros kRetry = from_millis(700);
+constexpr Micros kDepartedMemory = from_seconds(4);
 /// Between two follows at least, and the part of the whole pace that the two of a node may take.
-constexpr Micros kFollowPause = millis(400);
+constexpr Micros kFollowPause = from_millis(400);
 constexpr double kPacePart = 0.03;
 /// After a doubt nothing is read for so long.
 constexpr Micros kDoubtPause = from_seconds(2);
-constexpr Micros kWhole = from_seconds(8);
+constexpr Micros kReplicaFreshness = from_seconds(8);
 
 }  // namespace
 
-bool apply_put(records::Snapshot& s, const Row& row) {
-  if (const auto ref = records::parse_job_key(row.key)) {
+bool apply_put(records::RecordSnapshot& snapshot, const KeyValue& row) {
+  if (const auto job_id = records::parse_job_key(row.key)) {
     auto rec = records::read_job(row.value);
     if (!rec) return false;
-    records::Snapshot::Root& root = s.jobs[*ref];
-    if (row.stamp >= root.stamp) root = {std::move(*rec), row.stamp};
+    records::RecordSnapshot::StoredJob& root = snapshot.jobs[*job_id];
+    if (row.mod_revision >= root.mod_revision) root = {std::move(*rec), row.mod_revision};
     return true;
   }
-  const auto slot = records::parse_slot_key(row.key);
+  const auto slot = records::parse_shard_key(row.key);
   if (!slot) return false;
   std::size_t unreadable = 0;
-  auto blocks = records::read_slot(row.value, *slot, unreadable);
+  auto blocks = records::read_shard(row.value, *slot, unreadable);
   if (!blocks || unreadable > 0) return false;
-  records::Snapshot::Slot& there = s.slots[*slot];
-  if (row.stamp >= there.stamp) there = {row.stamp, std::move(*blocks)};
+  records::RecordSnapshot::Shard& there = snapshot.shards[*slot];
+  if (row.mod_revision >= there.mod_revision) there = {row.mod_revision, std::move(*blocks)};
   return true;
 }
 
-void apply_delete(records::Snapshot& s, const std::string& key, std::uint64_t stamp) {
-  if (const auto ref = records::parse_job_key(key)) {
-    const auto it = s.jobs.find(*ref);
-    if (it != s.jobs.end() && it->second.stamp < stamp) s.jobs.erase(it);
-  } else if (const auto slot = records::parse_slot_key(key)) {
-    const auto it = s.slots.find(*slot);
-    if (it != s.slots.end() && it->second.stamp < stamp) s.slots.erase(it);
+void apply_delete(records::RecordSnapshot& snapshot, const std::string& key, std::uint64_t mod_revision) {
+  if (const auto job_id = records::parse_job_key(key)) {
+    const auto it = snapshot.jobs.find(*job_id);
+    if (it != snapshot.jobs.end() && it->second.mod_revision < mod_revision) snapshot.jobs.erase(it);
+  } else if (const auto slot = records::parse_shard_key(key)) {
+    const auto it = snapshot.shards.find(*slot);
+    if (it != snapshot.shards.end() && it->second.mod_revision < mod_revision) snapshot.shards.erase(it);
   }
 }
 
-void Copy::begin() {
+void RecordReplica::start() {
   stop();
   running_ = true;
-  fill(parts_[0]);
+  load_page(partitions_[0]);
 }
 
-void Copy::stop() {
+void RecordReplica::stop() {
   ++generation_;
   running_ = false;
   data_ = {};
   // With the data goes the word that it is all there.
-  for (Part& p : parts_) p = {p.prefix, 0, {}, {}, false, {}, {}};
+  for (Partition& partition : partitions_) partition = {partition.prefix, 0, {}, {}, false, {}, {}};
 }
 
-bool Copy::whole() const {
-  return running_ && std::all_of(parts_.begin(), parts_.end(),
-                                 [this](const Part& p) { return p.filled && rt_.now() - p.at < kWhole; });
+bool RecordReplica::complete() const {
+  return running_ && std::all_of(partitions_.begin(), partitions_.end(), [this](const Partition& partition) {
+           return partition.loaded && runtime_.now() - partition.current_at < kReplicaFreshness;
+         });
 }
 
 /// Something does not fit: better nothing than a copy that is wrong.
-void Copy::doubt(const char* why) {
+void RecordReplica::discard(const char* why) {
   log::info("standby_cold", "the copy of the records is thrown away: {reason}", log::with("reason", why));
   stop();
   running_ = true;
-  rt_.after(kDoubtPause, [this, generation = generation_] {
-    if (generation == generation_) begin();
+  runtime_.after(kDoubtPause, [this, generation = generation_] {
+    if (generation == generation_) start();
   });
 }
 
-Micros Copy::pause() const {
+Micros RecordReplica::pause() const {
   return std::max(kFollowPause, from_seconds(2 / (settings_.state_rps * kPacePart)));
 }
 
-void Copy::fill(Part& p) {
-  if (!p.first) p.asked = rt_.now();
-  store_.list(p.prefix, p.from, kPage, Store::Urgent::spare,
-              [this, &p, generation = generation_](const Read& page) {
+void RecordReplica::load_page(Partition& partition) {
+  if (!partition.first_revision) partition.asked_at = runtime_.now();
+  store_.list(partition.prefix, partition.next_key, kPage, KvClient::RequestClass::background,
+              [this, &partition, generation = generation_](const ReadReply& page) {
                 if (generation != generation_) return;
-                if (page.result == Read::Result::ok) {
-                  take_page(p, page);
+                if (page.result == ReadReply::Result::ok) {
+                  on_page(partition, page);
                   return;
                 }
-                rt_.after(kRetry, [this, &p, generation] {
-                  if (generation == generation_) fill(p);
+                runtime_.after(kRetry, [this, &partition, generation] {
+                  if (generation == generation_) load_page(partition);
                 });
               });
 }
 
-void Copy::take_page(Part& p, const Read& page) {
+void RecordReplica::on_page(Partition& partition, const ReadReply& page) {
   // What changes while the pages are read is followed from the first one's revision.
-  if (!p.first) p.first = page.revision;
-  if (page.revision < *p.first) {
-    doubt("the state service went back to an earlier revision");
+  if (!partition.first_revision) partition.first_revision = page.revision;
+  if (page.revision < *partition.first_revision) {
+    discard("the state service went back to an earlier revision");
     return;
   }
-  for (const Row& row : page.rows) {
+  for (const KeyValue& row : page.rows) {
     if (!apply_put(data_, row)) {
-      doubt("a record cannot be read");
+      discard("a record cannot be read");
       return;
     }
-    p.from = row.key;
+    partition.next_key = row.key;
   }
   if (page.truncated && !page.rows.empty()) {
-    rt_.after(kPagePause, [this, &p, generation = generation_] {
-      if (generation == generation_) fill(p);
+    runtime_.after(kPagePause, [this, &partition, generation = generation_] {
+      if (generation == generation_) load_page(partition);
     });
     return;
   }
-  p.filled = true;
-  p.reached = *p.first;
-  p.at = rt_.now();
-  if (&p == &parts_[0] && on_jobs) {
+  partition.loaded = true;
+  partition.applied_revision = *partition.first_revision;
+  partition.current_at = runtime_.now();
+  if (&partition == &partitions_[0] && on_jobs) {
     std::vector<std::string> cancelled;
     for (const auto& [ref, root] : data_.jobs) {
-      if (root.rec.withdrawn) cancelled.push_back(ref);
+      if (root.record.cancelled) cancelled.push_back(ref);
     }
-    on_jobs(p.asked, std::move(cancelled));
+    on_jobs(partition.asked_at, std::move(cancelled));
   }
-  follow(p);
-  if (&p == &parts_[0]) fill(parts_[1]);
+  watch(partition);
+  if (&partition == &partitions_[0]) load_page(partitions_[1]);
 }
 
-void Copy::tell_jobs(const Part& p, Instant asked, const std::vector<Row>& puts) {
-  if (&p != &parts_[0] || !on_jobs) return;
+void RecordReplica::publish_jobs(const Partition& partition, Instant asked,
+                                 const std::vector<KeyValue>& puts) {
+  if (&partition != &partitions_[0] || !on_jobs) return;
   std::vector<std::string> cancelled;
-  for (const Row& row : puts) {
-    if (auto ref = records::cancelled_job(row.key, row.value)) cancelled.push_back(std::move(*ref));
+  for (const KeyValue& row : puts) {
+    if (auto job_id = records::cancelled_job(row.key, row.value)) cancelled.push_back(std::move(*job_id));
   }
   on_jobs(asked, std::move(cancelled));
 }
 
-void Copy::follow(Part& p) {
-  store_.follow(p.prefix, p.reached, kHold, Store::Urgent::spare,
-                [this, &p, generation = generation_, asked = rt_.now()](const FollowReply& f) {
-                  if (generation != generation_ || !take(p, f)) return;
-                  const bool good = f.result == FollowReply::Result::ok;
-                  if (good) tell_jobs(p, asked, f.puts);
-                  rt_.after(good ? pause() : kRetry, [this, &p, generation] {
-                    if (generation == generation_) follow(p);
-                  });
-                });
+void RecordReplica::watch(Partition& partition) {
+  store_.watch(partition.prefix, partition.applied_revision, kDepartedMemory,
+               KvClient::RequestClass::background,
+               [this, &partition, generation = generation_, asked = runtime_.now()](const WatchReply& reply) {
+                 if (generation != generation_ || !apply(partition, reply)) return;
+                 const bool good = reply.result == WatchReply::Result::ok;
+                 if (good) publish_jobs(partition, asked, reply.puts);
+                 runtime_.after(good ? pause() : kRetry, [this, &partition, generation] {
+                   if (generation == generation_) watch(partition);
+                 });
+               });
 }
 
 /// Brings a part up to what a follow brought; false, and the copy is thrown away, when it does not fit.
-bool Copy::take(Part& p, const FollowReply& f) {
-  if (f.result == FollowReply::Result::failed) return true;
-  if (f.result == FollowReply::Result::too_old || f.result == FollowReply::Result::too_large) {
-    doubt(f.result == FollowReply::Result::too_old ? "the state service has the changes no more"
-                                                   : "too much has changed since it was last followed");
+bool RecordReplica::apply(Partition& partition, const WatchReply& reply) {
+  if (reply.result == WatchReply::Result::failed) return true;
+  if (reply.result == WatchReply::Result::too_old || reply.result == WatchReply::Result::too_large) {
+    discard(reply.result == WatchReply::Result::too_old ? "the state service has the changes no more"
+                                                        : "too much has changed since it was last followed");
     return false;
   }
   // A service that began anew counts from an earlier revision, or tells changes that nobody asked for.
-  bool fits = f.revision >= p.reached;
-  const auto within = [&](std::uint64_t stamp) { return stamp > p.reached && stamp <= f.revision; };
-  for (const Row& row : f.puts) fits = fits && within(row.stamp) && row.key.starts_with(p.prefix);
-  for (const auto& [key, stamp] : f.deletes) fits = fits && within(stamp) && key.starts_with(p.prefix);
+  bool fits = reply.revision >= partition.applied_revision;
+  const auto within = [&](std::uint64_t mod_revision) {
+    return mod_revision > partition.applied_revision && mod_revision <= reply.revision;
+  };
+  for (const KeyValue& row : reply.puts)
+    fits = fits && within(row.mod_revision) && row.key.starts_with(partition.prefix);
+  for (const auto& [key, stamp] : reply.deletes)
+    fits = fits && within(stamp) && key.starts_with(partition.prefix);
   if (!fits) {
-    doubt("the state service tells changes of other revisions than were asked for");
+    discard("the state service tells changes of other revisions than were asked for");
     return false;
   }
-  for (const Row& row : f.puts) {
+  for (const KeyValue& row : reply.puts) {
     if (!apply_put(data_, row)) {
-      doubt("a record cannot be read");
+      discard("a record cannot be read");
       return false;
     }
   }
-  for (const auto& [key, stamp] : f.deletes) apply_delete(data_, key, stamp);
-  p.reached = f.revision;
-  p.at = rt_.now();
-  if (&p == &parts_[0] && on_followed) {
-    mail::RecordsFollowed followed;
-    for (const Row& row : f.puts) followed.put(row.key, row.value);
-    for (const auto& [key, stamp] : f.deletes) followed.gone(key);
+  for (const auto& [key, stamp] : reply.deletes) apply_delete(data_, key, stamp);
+  partition.applied_revision = reply.revision;
+  partition.current_at = runtime_.now();
+  if (&partition == &partitions_[0] && on_followed) {
+    mail::RecordsChanged followed;
+    for (const KeyValue& row : reply.puts) followed.put(row.key, row.value);
+    for (const auto& [key, stamp] : reply.deletes) followed.erase(key);
     on_followed(followed);
   }
   return true;
 }
 
-void Copy::hand_over(std::uint64_t least, std::function<void(std::shared_ptr<records::Snapshot>)> done) {
-  if (!whole()) {
+void RecordReplica::hand_over(std::uint64_t least,
+                              std::function<void(std::shared_ptr<records::RecordSnapshot>)> done) {
+  if (!complete()) {
     stop();
     done(nullptr);
     return;
@@ -198,21 +206,22 @@
   const std::uint64_t generation = ++generation_;
   running_ = false;
   auto left = std::make_shared<int>(2);
-  for (Part& p : parts_) {
-    store_.follow(p.prefix, p.reached, Micros{0}, Store::Urgent::schedule,
-                  [this, &p, least, left, done, generation](const FollowReply& f) {
-                    if (generation != generation_) return;
-                    if (f.result != FollowReply::Result::ok || f.revision < least || !take(p, f)) {
-                      stop();
-                      done(nullptr);
-                      return;
-                    }
-                    if (--*left > 0) return;
-                    auto out = std::make_shared<records::Snapshot>(std::move(data_));
-                    out->revision = parts_[0].reached;
-                    stop();
-                    done(std::move(out));
-                  });
+  for (Partition& partition : partitions_) {
+    store_.watch(
+        partition.prefix, partition.applied_revision, Micros{0}, KvClient::RequestClass::scheduling,
+        [this, &partition, least, left, done, generation](const WatchReply& reply) {
+          if (generation != generation_) return;
+          if (reply.result != WatchReply::Result::ok || reply.revision < least || !apply(partition, reply)) {
+            stop();
+            done(nullptr);
+            return;
+          }
+          if (--*left > 0) return;
+          auto out = std::make_shared<records::RecordSnapshot>(std::move(data_));
+          out->revision = partitions_[0].applied_revision;
+          stop();
+          done(std::move(out));
+        });
   }
 }
 
--- a/src/standby/include/wrenusher/standby/check.hpp
+++ b/src/standby/include/wrenusher/standby/check.hpp
@@ -20,43 +20,45 @@
 namespace wrenusher::standby {
 
 /// The keys that the check compares, each with the stamp that it should have.
-std::vector<Condition> conditions_of(const records::Snapshot& s);
+std::vector<Condition> verification_conditions(const records::RecordSnapshot& snapshot);
 
-class Check {
+class ReplicaVerifier {
  public:
-  Check(Runtime& rt, const Settings& settings, Store& store) : rt_(rt), settings_(settings), store_(store) {}
+  ReplicaVerifier(Runtime& runtime, const Settings& settings, KvClient& store)
+      : runtime_(runtime), settings_(settings), store_(store) {}
 
   struct Result {
-    bool good = false;
+    bool verified = false;
     std::size_t compared = 0;
-    std::size_t anew = 0;  ///< keys that did not compare and were read
+    std::size_t reread = 0;  ///< keys that did not compare and were read
   };
   /// Brings the copy to what the state service has; not good where too much differs or no answers come in
   /// time.
-  void begin(std::shared_ptr<records::Snapshot> copy, std::function<void(const Result&)> done);
+  void verify(std::shared_ptr<records::RecordSnapshot> copy, std::function<void(const Result&)> done);
   void stop() { ++generation_; }
 
  private:
   struct Run {
     std::uint64_t generation = 0;
-    std::shared_ptr<records::Snapshot> copy;
+    std::shared_ptr<records::RecordSnapshot> replica;
     std::function<void(const Result&)> done;
     std::map<std::string, std::uint64_t> open;  ///< keys still to be compared, and their stamps
-    std::set<std::string> asked;                ///< keys that have been compared, whatever came of it
-    std::set<std::string> wrong;                ///< that did not compare this time
-    std::size_t under_way = 0;
+    std::set<std::string> compared;             ///< keys that have been compared, whatever came of it
+    std::set<std::string> mismatched;           ///< that did not compare this time
+    std::size_t in_flight = 0;
     int passes = 0;
-    bool lost = false;
+    bool failed = false;
     Result result;
   };
-  void pass(const std::shared_ptr<Run>& r);
-  void compared(const std::shared_ptr<Run>& r, const std::vector<Condition>& when, const Commit& c);
-  void read_wrong(const std::shared_ptr<Run>& r);
-  void end(const std::shared_ptr<Run>& r, bool good);
+  void compare_all(const std::shared_ptr<Run>& run);
+  void on_compared(const std::shared_ptr<Run>& run, const std::vector<Condition>& when,
+                   const CommitReply& reply);
+  void reread_mismatches(const std::shared_ptr<Run>& run);
+  void finish(const std::shared_ptr<Run>& run, bool good);
 
-  Runtime& rt_;
+  Runtime& runtime_;
   const Settings& settings_;
-  Store& store_;
+  KvClient& store_;
   std::uint64_t generation_ = 0;
 };
 
--- a/src/standby/include/wrenusher/standby/copy.hpp
+++ b/src/standby/include/wrenusher/standby/copy.hpp
@@ -26,60 +26,61 @@
 using namespace store;
 
 /// One put or deletion; false when the record cannot be read.
-bool apply_put(records::Snapshot& s, const Row& row);
-void apply_delete(records::Snapshot& s, const std::string& key, std::uint64_t stamp);
+bool apply_put(records::RecordSnapshot& snapshot, const KeyValue& row);
+void apply_delete(records::RecordSnapshot& snapshot, const std::string& key, std::uint64_t mod_revision);
 
-class Copy {
+class RecordReplica {
  public:
-  Copy(Runtime& rt, const Settings& settings, Store& store) : rt_(rt), settings_(settings), store_(store) {}
+  RecordReplica(Runtime& runtime, const Settings& settings, KvClient& store)
+      : runtime_(runtime), settings_(settings), store_(store) {}
 
   /// Begins to read and follow, from nothing.
-  void begin();
+  void start();
   /// Stops; what is there is void.
   void stop();
   bool running() const { return running_; }
   /// It had everything up to a few seconds ago.
-  bool whole() const;
+  bool complete() const;
   /// Hands the copy out, with what has changed until now; nothing when it is not whole or not to be had in
   /// time. Stops. `least`: the revision that it must have reached.
-  void hand_over(std::uint64_t least, std::function<void(std::shared_ptr<records::Snapshot>)> done);
+  void hand_over(std::uint64_t least, std::function<void(std::shared_ptr<records::RecordSnapshot>)> done);
 
   /// The state service was asked then, and these live jobs are cancelled; all others that are were told
   /// before, by this copy or one of before it.
   std::function<void(Instant asked, std::vector<std::string> cancelled)> on_jobs;
-  std::function<void(const mail::RecordsFollowed&)> on_followed;
+  std::function<void(const mail::RecordsChanged&)> on_followed;
 
   std::size_t jobs() const { return data_.jobs.size(); }
-  std::size_t slots() const { return data_.slots.size(); }
+  std::size_t shards() const { return data_.shards.size(); }
 
  private:
   /// Jobs and slots are followed apart, each with its own revision.
-  struct Part {
+  struct Partition {
     const char* prefix;
-    std::uint64_t reached = 0;           ///< nothing is missing up to this revision
-    std::optional<std::uint64_t> first;  ///< revision of the first page
-    std::string from;                    ///< the next page begins after this key
-    bool filled = false;
-    Instant at{};     ///< when it was last known to have reached that
-    Instant asked{};  ///< when the first page was
+    std::uint64_t applied_revision = 0;           ///< nothing is missing up to this revision
+    std::optional<std::uint64_t> first_revision;  ///< revision of the first page
+    std::string next_key;                         ///< the next page begins after this key
+    bool loaded = false;
+    Instant current_at{};  ///< when it was last known to have reached that
+    Instant asked_at{};    ///< when the first page was
   };
-  void fill(Part& p);
-  void take_page(Part& p, const Read& page);
-  void tell_jobs(const Part& p, Instant asked, const std::vector<Row>& puts);
-  void follow(Part& p);
-  bool take(Part& p, const FollowReply& f);
-  void doubt(const char* why);
+  void load_page(Partition& partition);
+  void on_page(Partition& partition, const ReadReply& page);
+  void publish_jobs(const Partition& partition, Instant asked, const std::vector<KeyValue>& puts);
+  void watch(Partition& partition);
+  bool apply(Partition& partition, const WatchReply& reply);
+  void discard(const char* why);
   Micros pause() const;
 
-  Runtime& rt_;
+  Runtime& runtime_;
   const Settings& settings_;
-  Store& store_;
+  KvClient& store_;
   bool running_ = false;
   /// Rises with every beginning and end: what belongs to an earlier one is dropped when it comes.
   std::uint64_t generation_ = 0;
-  records::Snapshot data_;
-  std::array<Part, 2> parts_ = {Part{"job/", 0, {}, {}, false, {}, {}},
-                                Part{"claims/", 0, {}, {}, false, {}, {}}};
+  records::RecordSnapshot data_;
+  std::array<Partition, 2> partitions_ = {Partition{"job/", 0, {}, {}, false, {}, {}},
+                                          Partition{"claims/", 0, {}, {}, false, {}, {}}};
 };
 
 }  // namespace wrenusher::standby
--- a/src/standby/include/wrenusher/standby/standby.hpp
+++ b/src/standby/include/wrenusher/standby/standby.hpp
@@ -17,56 +17,56 @@
 
 namespace wrenusher::standby {
 
-class Standby {
+class StandbyReplica {
  public:
-  Standby(Runtime& rt, const Settings& settings, Store& store);
+  StandbyReplica(Runtime& runtime, const Settings& settings, KvClient& store);
   void start();
 
-  void on_term(const TermChanged& t);
-  void on_aside(const Aside& a);
-  void on_beat(const BeatSent& b);
-  void on_ceding(const Ceding& c);
-  void on_ledger(const std::shared_ptr<const LedgerHints>& h);
-  void on_rentals(const std::shared_ptr<const RentalHints>& h);
-  void on_gone(const HostGone& g);
+  void on_term(const TermChanged& term);
+  void on_attachment(const HeartbeatAttachment& event);
+  void on_heartbeat_sent(const HeartbeatSent& event);
+  void on_stepping_down(const SteppingDown& event);
+  void on_leader_hints(const std::shared_ptr<const LeaderHints>& hints);
+  void on_rental_hints(const std::shared_ptr<const RentalHints>& hints);
+  void on_machine_departed(const MachineDeparted& event);
 
-  Readiness ready() const;
+  Readiness readiness() const;
 
-  Sink<Aside> aside;
-  Sink<Readiness> readiness;
-  Sink<std::shared_ptr<const Inheritance>> inherited;
-  Sink<RecordsCopied> copied;
-  Sink<CancellationsRead> cancellations_read;
-  Sink<RecordsFollowed> followed;
+  EventSink<HeartbeatAttachment> attachment;
+  EventSink<Readiness> readiness_changed;
+  EventSink<std::shared_ptr<const InheritedHints>> hints_inherited;
+  EventSink<ReplicaVerified> replica_verified;
+  EventSink<CancellationsRead> cancellations_read;
+  EventSink<RecordsChanged> records_changed;
 
  private:
   /// What a peer said of itself.
   struct PeerState {
-    std::uint64_t life = 0;
+    std::uint64_t incarnation = 0;
     std::uint64_t since = 0;                ///< what it told before this message of its is void
-    std::uint64_t told_by = 0;              ///< the leader's life that told it all there was
+    std::uint64_t complete_from = 0;        ///< the leader's life that told it all there was
     std::vector<std::uint64_t> to_confirm;  ///< messages that came from it
   };
   void tick();
-  void lead();
-  void take_hints(const Value& v, PeerState& from);
-  void tell(const std::string& peer);
-  void tell_all();
+  void begin_term();
+  void merge_hints(const Value& value, PeerState& from);
+  void send_hints(const std::string& peer);
+  void send_all_hints();
 
-  Runtime& rt_;
+  Runtime& runtime_;
   const Settings& settings_;
-  const std::uint64_t life_;  ///< tells this process from its earlier ones
+  const std::uint64_t incarnation_;  ///< tells this process from its earlier ones
   TermChanged term_;
-  Copy copy_;
-  Check check_;
-  Teller teller_;
-  Picture picture_;  ///< while another leads
+  RecordReplica replica_;
+  ReplicaVerifier verifier_;
+  HintPublisher publisher_;
+  HintTable hints_;  ///< while another leads
   std::map<std::string, PeerState> peers_;
-  std::uint64_t told_by_ = 0;  ///< whose picture this is, once nothing of it is missing
-  Instant told_at_{};          ///< when that was last so
-  std::optional<Readiness> said_;
+  std::uint64_t complete_from_ = 0;  ///< whose picture this is, once nothing of it is missing
+  Instant complete_at_{};            ///< when that was last so
+  std::optional<Readiness> published_readiness_;
   Instant cold_since_{};
-  Instant complain_at_{};
+  Instant warn_cold_at_{};
 };
 
 }  // namespace wrenusher::standby
--- a/src/standby/standby.cpp
+++ b/src/standby/standby.cpp
@@ -9,241 +9,245 @@
 
 namespace {
 
-constexpr Micros kTick = millis(500);
+constexpr Micros kTick = from_millis(500);
 /// Hints that nobody confirmed to be all there are for so long are not all any more.
 constexpr Micros kHintsHold = from_seconds(5);
 /// A node that stays cold for so long says so, and again after as long.
 constexpr Micros kColdTooLong = from_seconds(60);
 /// Confirmations of one heartbeat; what is not confirmed comes again.
-constexpr std::size_t kMostConfirmed = 8;
+constexpr std::size_t kMaxConfirmed = 8;
 /// Of an earlier life's hints nothing is worth more than this: images move, machines go.
 constexpr Micros kHintsLast = from_seconds(300);
 
-const char* word(Readiness r) {
-  return r == Readiness::warm ? "warm" : r == Readiness::part ? "half warm" : "cold";
+const char* readiness_name(Readiness event) {
+  return event == Readiness::warm ? "warm" : event == Readiness::part ? "half warm" : "cold";
 }
 
 }  // namespace
 
-Standby::Standby(Runtime& rt, const Settings& settings, Store& store)
-    : rt_(rt),
+StandbyReplica::StandbyReplica(Runtime& runtime, const Settings& settings, KvClient& store)
+    : runtime_(runtime),
       settings_(settings),
-      life_(rt.random()() | 1U),
-      copy_(rt, settings, store),
-      check_(rt, settings, store),
-      cold_since_(rt.now()) {}
-
-void Standby::start() {
-  if (!settings_.stands_by()) return;
-  copy_.on_jobs = [this](Instant asked, std::vector<std::string> cancelled) {
+      incarnation_(runtime.random()() | 1U),
+      replica_(runtime, settings, store),
+      verifier_(runtime, settings, store),
+      cold_since_(runtime.now()) {}
+
+void StandbyReplica::start() {
+  if (!settings_.has_standby()) return;
+  replica_.on_jobs = [this](Instant asked, std::vector<std::string> cancelled) {
     cancellations_read(CancellationsRead{asked, std::move(cancelled)});
   };
-  copy_.on_followed = [this](const RecordsFollowed& f) { followed(f); };
-  copy_.begin();
+  replica_.on_followed = [this](const RecordsChanged& event) { records_changed(event); };
+  replica_.start();
   tick();
 }
 
-Readiness Standby::ready() const {
+Readiness StandbyReplica::readiness() const {
   if (term_.leading) return Readiness::warm;
-  const bool records = copy_.whole();
-  const bool hints = told_by_ != 0 && rt_.now() - told_at_ < kHintsHold;
+  const bool records = replica_.complete();
+  const bool hints = complete_from_ != 0 && runtime_.now() - complete_at_ < kHintsHold;
   return records && hints ? Readiness::warm : records || hints ? Readiness::part : Readiness::cold;
 }
 
-void Standby::tick() {
-  const Instant now = rt_.now();
-  const Readiness r = ready();
-  if (r != said_) {
-    said_ = r;
-    readiness(r);
+void StandbyReplica::tick() {
+  const Instant now = runtime_.now();
+  const Readiness event = readiness();
+  if (event != published_readiness_) {
+    published_readiness_ = event;
+    readiness_changed(event);
     if (!term_.leading) {
       log::info(
           "standby",
           "this node is {state}: {jobs} jobs and {slots} values of the records, hints of {machines} machines",
-          log::with("state", word(r)), log::with("jobs", copy_.jobs()), log::with("slots", copy_.slots()),
-          log::with("machines", picture_.machines()));
+          log::with("state", readiness_name(event)), log::with("jobs", replica_.jobs()),
+          log::with("slots", replica_.shards()), log::with("machines", hints_.machines()));
     }
   }
-  if (r == Readiness::warm) {
+  if (event == Readiness::warm) {
     cold_since_ = now;
-  } else if (now - cold_since_ > kColdTooLong && now > complain_at_) {
-    complain_at_ = now + kColdTooLong;
+  } else if (now - cold_since_ > kColdTooLong && now > warn_cold_at_) {
+    warn_cold_at_ = now + kColdTooLong;
     log::warn("standby_behind",
               "this node has been {state} for {seconds:.0f} s: records {records}, hints {hints}",
-              log::with("state", word(r)), log::with("seconds", to_seconds(now - cold_since_)),
-              log::with("records", copy_.whole() ? "copied" : "not copied"),
-              log::with("hints", told_by_ != 0 ? "told" : "not told"));
+              log::with("state", readiness_name(event)), log::with("seconds", to_seconds(now - cold_since_)),
+              log::with("records", replica_.complete() ? "copied" : "not copied"),
+              log::with("hints", complete_from_ != 0 ? "told" : "not told"));
   }
-  rt_.after(kTick, [this] { tick(); });
+  runtime_.after(kTick, [this] { tick(); });
 }
 
 // ---------------------------------------------------------------- terms
 
-void Standby::on_term(const TermChanged& t) {
-  if (!settings_.stands_by()) return;
-  const bool begins = t.leading && !(term_.leading && term_.epoch == t.epoch);
-  const bool ends = term_.leading && !t.leading;
-  term_ = t;
+void StandbyReplica::on_term(const TermChanged& term) {
+  if (!settings_.has_standby()) return;
+  const bool begins = term.leading && !(term_.leading && term_.fencing_token == term.fencing_token);
+  const bool ends = term_.leading && !term.leading;
+  term_ = term;
   if (begins) {
-    lead();
+    begin_term();
   } else if (ends) {
-    check_.stop();
+    verifier_.stop();
     // What it knew as leader is the newest hint there is, until the next leader tells it better.
-    picture_ = teller_.known();
-    teller_.end();
-    told_by_ = 0;
-    copy_.begin();
+    hints_ = publisher_.table();
+    publisher_.end();
+    complete_from_ = 0;
+    replica_.start();
   }
 }
 
 /// Hands over what is at hand, and has the records checked.
-void Standby::lead() {
-  const Instant now = rt_.now();
-  auto all = std::make_shared<Inheritance>(picture_.inheritance(now));
-  std::erase_if(all->machines, [](const auto& m) { return m.second.told_ago > kHintsLast; });
-  all->term = term_.epoch;
-  all->whole = told_by_ != 0 && now - told_at_ < kHintsHold * 2;
-  inherited(std::move(all));
+void StandbyReplica::begin_term() {
+  const Instant now = runtime_.now();
+  auto all = std::make_shared<InheritedHints>(hints_.inherited_hints(now));
+  std::erase_if(all->machines, [](const auto& m) { return m.second.age > kHintsLast; });
+  all->term = term_.fencing_token;
+  all->complete = complete_from_ != 0 && now - complete_at_ < kHintsHold * 2;
+  hints_inherited(std::move(all));
   std::map<std::string, std::uint64_t> even;
   for (const auto& [name, p] : peers_) {
-    if (told_by_ != 0 && p.told_by == told_by_) even[name] = p.life;
+    if (complete_from_ != 0 && p.complete_from == complete_from_) even[name] = p.incarnation;
   }
-  teller_.begin(term_.epoch, life_, picture_, even, now);
-  picture_ = {};
-  copy_.hand_over(term_.stamp, [this, epoch = term_.epoch](std::shared_ptr<records::Snapshot> s) {
-    if (!term_.leading || term_.epoch != epoch) return;
-    if (!s) {
-      copied(RecordsCopied{epoch, nullptr});
+  publisher_.begin(term_.fencing_token, incarnation_, hints_, even, now);
+  hints_ = {};
+  replica_.hand_over(term_.mod_revision, [this, fencing_token = term_.fencing_token](
+                                             std::shared_ptr<records::RecordSnapshot> snapshot) {
+    if (!term_.leading || term_.fencing_token != fencing_token) return;
+    if (!snapshot) {
+      replica_verified(ReplicaVerified{fencing_token, nullptr});
       return;
     }
-    check_.begin(s, [this, epoch, s](const Check::Result& r) {
-      if (!term_.leading || term_.epoch != epoch) return;
-      log::say(r.good && r.anew == 0 ? spdlog::level::debug : spdlog::level::warn, "records_checked",
+    verifier_.verify(snapshot, [this, fencing_token, snapshot](const ReplicaVerifier::Result& result) {
+      if (!term_.leading || term_.fencing_token != fencing_token) return;
+      log::say(result.verified && result.reread == 0 ? spdlog::level::debug : spdlog::level::warn,
+               "records_checked",
                "the copy of the records: {keys} keys compared, {anew} read anew, {verdict}",
-               log::with("keys", r.compared), log::with("anew", r.anew),
-               log::with("verdict", r.good ? "good" : "not believed"));
-      copied(RecordsCopied{epoch, r.good ? s : nullptr});
+               log::with("keys", result.compared), log::with("anew", result.reread),
+               log::with("verdict", result.verified ? "good" : "not believed"));
+      replica_verified(ReplicaVerified{fencing_token, result.verified ? snapshot : nullptr});
     });
   });
 }
 
 // ---------------------------------------------------------------- what is told
 
-void Standby::on_beat(const BeatSent&) {
-  tell_all();
+void StandbyReplica::on_heartbeat_sent(const HeartbeatSent&) {
+  send_all_hints();
 }
 
 /// Its last words, before it is asked no more.
-void Standby::on_ceding(const Ceding&) {
-  tell_all();
+void StandbyReplica::on_stepping_down(const SteppingDown&) {
+  send_all_hints();
 }
 
-void Standby::tell_all() {
-  if (!settings_.stands_by()) return;
-  for (const PeerAddress& p : settings_.peers) tell(p.name);
+void StandbyReplica::send_all_hints() {
+  if (!settings_.has_standby()) return;
+  for (const PeerAddress& peer : settings_.peers) send_hints(peer.name);
 }
 
-void Standby::tell(const std::string& peer) {
+void StandbyReplica::send_hints(const std::string& peer) {
   Value::List got;
-  PeerState& p = peers_[peer];
-  for (const std::uint64_t n : std::exchange(p.to_confirm, {})) got.emplace_back(n);
-  Value::Map out{{"life", life_}, {"got", std::move(got)}, {"told_by", term_.leading ? life_ : told_by_}};
+  PeerState& state = peers_[peer];
+  for (const std::uint64_t n : std::exchange(state.to_confirm, {})) got.emplace_back(n);
+  Value::Map out{{"life", incarnation_},
+                 {"got", std::move(got)},
+                 {"told_by", term_.leading ? incarnation_ : complete_from_}};
   if (term_.leading) {
-    if (Value hints = teller_.next(peer, rt_.now()); !hints.is_null()) {
+    if (Value hints = publisher_.next(peer, runtime_.now()); !hints.is_null()) {
       out.emplace_back("hints", std::move(hints));
-    } else if (teller_.even(peer, p.life)) {
+    } else if (publisher_.up_to_date(peer, state.incarnation)) {
       // Nothing new is news as well: what that life of the peer knows is all there is.
-      out.emplace_back("even", p.life);
+      out.emplace_back("even", state.incarnation);
     }
   }
-  aside(Aside{peer, std::move(out)});
+  attachment(HeartbeatAttachment{peer, std::move(out)});
 }
 
-void Standby::on_aside(const Aside& a) {
-  if (!settings_.stands_by()) return;
-  PeerState& p = peers_[a.peer];
-  const auto life = a.value["life"].count();
+void StandbyReplica::on_attachment(const HeartbeatAttachment& event) {
+  if (!settings_.has_standby()) return;
+  PeerState& state = peers_[event.peer];
+  const auto life = event.value["life"].count();
   if (!life) return;
-  if (p.life != *life) p = {};
-  p.life = *life;
-  p.told_by = a.value["told_by"].count().value_or(0);
+  if (state.incarnation != *life) state = {};
+  state.incarnation = *life;
+  state.complete_from = event.value["told_by"].count().value_or(0);
   if (term_.leading) {
     std::vector<std::uint64_t> got;
-    if (const Value::List* l = a.value["got"].list()) {
-      for (const Value& n : *l) {
+    if (const Value::List* list = event.value["got"].list()) {
+      for (const Value& n : *list) {
         if (n.count()) got.push_back(*n.count());
       }
     }
-    teller_.heard(a.peer, p.life, got, rt_.now());
+    publisher_.on_confirmed(event.peer, state.incarnation, got, runtime_.now());
     return;
   }
-  if (!a.value["hints"].is_null()) take_hints(a.value["hints"], p);
-  if (a.value["even"].count() == life_) {
-    told_by_ = p.life;
-    told_at_ = rt_.now();
+  if (!event.value["hints"].is_null()) merge_hints(event.value["hints"], state);
+  if (event.value["even"].count() == incarnation_) {
+    complete_from_ = state.incarnation;
+    complete_at_ = runtime_.now();
   }
 }
 
-void Standby::take_hints(const Value& v, PeerState& from) {
-  const std::uint64_t term = v["term"].count().value_or(0);
-  const std::uint64_t beat = v["n"].count().value_or(0);
-  const Value::List* rows = v["rows"].list();
-  if (term < term_.epoch || beat == 0 || rows == nullptr) return;
-  const Instant now = rt_.now();
+void StandbyReplica::merge_hints(const Value& value, PeerState& from) {
+  const std::uint64_t term = value["term"].count().value_or(0);
+  const std::uint64_t beat = value["n"].count().value_or(0);
+  const Value::List* rows = value["rows"].list();
+  if (term < term_.fencing_token || beat == 0 || rows == nullptr) return;
+  const Instant now = runtime_.now();
   // A teller that began from nothing with us owes everything: what we had from before is void.
-  if (const std::uint64_t since = v["since"].count().value_or(0); since > from.since) {
+  if (const std::uint64_t since = value["since"].count().value_or(0); since > from.since) {
     from.since = since;
-    picture_.forget_before(term, since);
+    hints_.drop_before(term, since);
   }
   for (const Value& row : *rows) {
-    const Value::List* f = row.list();
-    if (f == nullptr || f->size() != 3 || (*f)[0].text() == nullptr) continue;
-    picture_.put({*(*f)[0].text(), (*f)[1], (*f)[2].count().value_or(0)}, now, term, beat);
+    const Value::List* list = row.list();
+    if (list == nullptr || list->size() != 3 || (*list)[0].text() == nullptr) continue;
+    hints_.put({*(*list)[0].text(), (*list)[1], (*list)[2].count().value_or(0)}, now, term, beat);
   }
-  if (from.to_confirm.size() < kMostConfirmed) from.to_confirm.push_back(beat);
-  if (v["left"].count() == std::uint64_t{0}) {
-    told_by_ = from.life;
-    told_at_ = now;
-  } else if (told_by_ != from.life) {
-    told_by_ = 0;
+  if (from.to_confirm.size() < kMaxConfirmed) from.to_confirm.push_back(beat);
+  if (value["left"].count() == std::uint64_t{0}) {
+    complete_from_ = from.incarnation;
+    complete_at_ = now;
+  } else if (complete_from_ != from.incarnation) {
+    complete_from_ = 0;
   }
 }
 
-void Standby::on_ledger(const std::shared_ptr<const LedgerHints>& h) {
+void StandbyReplica::on_leader_hints(const std::shared_ptr<const LeaderHints>& hints) {
   if (!term_.leading) return;
-  const Instant now = rt_.now();
-  for (const MachineHint& m : h->machines) teller_.put(to_row(m), now);
-  for (const QueueHint& q : h->queues) teller_.put(to_row(q), now);
-  for (const JobHint& j : h->jobs) {
-    if (j.hosts.empty() && j.backoffs == 0) {
-      teller_.erase(key_of(Kind::job, j.ref), now);
+  const Instant now = runtime_.now();
+  for (const MachineHint& hint : hints->machines) publisher_.put(to_hint_row(hint), now);
+  for (const JobClassHint& hint : hints->job_classes) publisher_.put(to_hint_row(hint), now);
+  for (const JobHint& hint : hints->jobs) {
+    if (hint.hosts.empty() && hint.retry_count == 0) {
+      publisher_.erase(hint_key(HintKind::job, hint.job_id), now);
     } else {
-      teller_.put(to_row(j), now);
+      publisher_.put(to_hint_row(hint), now);
     }
   }
 }
 
-void Standby::on_rentals(const std::shared_ptr<const RentalHints>& h) {
+void StandbyReplica::on_rental_hints(const std::shared_ptr<const RentalHints>& hints) {
   if (!term_.leading) return;
-  const Instant now = rt_.now();
+  const Instant now = runtime_.now();
   std::set<std::string> there;
-  for (const RentalHint& r : h->rentals) {
-    there.insert(key_of(Kind::rental, r.host));
-    teller_.put(to_row(r), now);
+  for (const RentalHint& hint : hints->rentals) {
+    there.insert(hint_key(HintKind::rental, hint.host));
+    publisher_.put(to_hint_row(hint), now);
   }
-  for (const BookingHint& b : h->bookings) {
-    there.insert(key_of(Kind::booking, b.name));
-    teller_.put(to_row(b), now);
+  for (const RentalRequestHint& hint : hints->requests) {
+    there.insert(hint_key(HintKind::booking, hint.name));
+    publisher_.put(to_hint_row(hint), now);
   }
-  for (const Kind kind : {Kind::rental, Kind::booking}) {
-    for (const std::string& name : teller_.names(kind)) {
-      if (!there.contains(key_of(kind, name))) teller_.erase(key_of(kind, name), now);
+  for (const HintKind kind : {HintKind::rental, HintKind::booking}) {
+    for (const std::string& name : publisher_.names(kind)) {
+      if (!there.contains(hint_key(kind, name))) publisher_.erase(hint_key(kind, name), now);
     }
   }
 }
 
-void Standby::on_gone(const HostGone& g) {
-  if (term_.leading) teller_.erase(key_of(Kind::machine, g.host), rt_.now());
+void StandbyReplica::on_machine_departed(const MachineDeparted& event) {
+  if (term_.leading) publisher_.erase(hint_key(HintKind::machine, event.host), runtime_.now());
 }
 
 }  // namespace wrenusher::standby
--- a/src/survey/include/wrenusher/survey/survey.hpp
+++ b/src/survey/include/wrenusher/survey/survey.hpp
@@ -17,25 +17,25 @@
 /// The text of a file; nothing where it cannot be read.
 using Reader = std::function<std::optional<std::string>(const std::string& path)>;
 
-class Survey {
+class TopologyLoader {
  public:
   /// An empty path: there is no topology.
-  Survey(Runtime& rt, std::string path, Reader reader)
-      : rt_(rt), path_(std::move(path)), reader_(std::move(reader)) {}
+  TopologyLoader(Runtime& runtime, std::string path, Reader reader)
+      : runtime_(runtime), path_(std::move(path)), reader_(std::move(reader)) {}
   void start();
 
-  Sink<TopologyRead> read;
+  EventSink<TopologyLoaded> topology_loaded;
 
  private:
-  void look();
-  void refuse(const std::string& why);
+  void check_file();
+  void log_rejected(const std::string& why);
 
-  Runtime& rt_;
+  Runtime& runtime_;
   std::string path_;
   Reader reader_;
   std::string text_;  ///< as it was last looked at, taken or not
   bool unreadable_ = false;
-  topology::Edition taken_;
+  topology::TopologyVersion loaded_version_;
 };
 
 }  // namespace wrenusher::survey
--- a/src/survey/survey.cpp
+++ b/src/survey/survey.cpp
@@ -6,49 +6,50 @@
 
 namespace {
 
-constexpr Micros kLook = from_seconds(2);
+constexpr Micros kReloadInterval = from_seconds(2);
 
 }  // namespace
 
-void Survey::start() {
-  if (!path_.empty()) look();
+void TopologyLoader::start() {
+  if (!path_.empty()) check_file();
 }
 
-void Survey::refuse(const std::string& why) {
+void TopologyLoader::log_rejected(const std::string& why) {
   log::error("topology_refused", "the topology is not taken, {edition} stays: {reason}",
-             log::with("edition", topology::to_text(taken_)), log::with("reason", why));
+             log::with("edition", topology::to_text(loaded_version_)), log::with("reason", why));
 }
 
-void Survey::look() {
-  rt_.after(kLook, [this] { look(); });
+void TopologyLoader::check_file() {
+  runtime_.after(kReloadInterval, [this] { check_file(); });
   const auto text = reader_(path_);
   if (!text) {
-    if (!unreadable_) refuse(path_ + " cannot be read");
+    if (!unreadable_) log_rejected(path_ + " cannot be read");
     unreadable_ = true;
     return;
   }
   unreadable_ = false;
   if (*text == text_) return;
   text_ = *text;
-  std::shared_ptr<const topology::Topology> t;
+  std::shared_ptr<const topology::Topology> topology;
   try {
-    t = topology::Topology::parse(text_, path_);
-  } catch (const fields::FieldError& e) {
-    refuse(e.what());
+    topology = topology::Topology::parse(text_, path_);
+  } catch (const fields::ConfigError& exception) {
+    log_rejected(exception.what());
     return;
   }
-  const topology::Edition& e = t->edition();
-  if (e == taken_) return;
+  const topology::TopologyVersion& version = topology->version();
+  if (version == loaded_version_) return;
   // Two controllers tell by the version which of two is the newer one.
-  if (e.version <= taken_.version) {
-    refuse(path_ + ": version " + std::to_string(e.version) + " is no newer than " +
-           std::to_string(taken_.version) + "; a changed file needs a higher version");
+  if (version.version <= loaded_version_.version) {
+    log_rejected(path_ + ": version " + std::to_string(version.version) + " is no newer than " +
+                 std::to_string(loaded_version_.version) + "; a changed file needs a higher version");
     return;
   }
-  taken_ = e;
+  loaded_version_ = version;
   log::info("topology_read", "topology {edition} is read: {domains} domains",
-            log::with("edition", topology::to_text(e)), log::with("domains", t->domains().size() - 1));
-  read(TopologyRead{std::move(t)});
+            log::with("edition", topology::to_text(version)),
+            log::with("domains", topology->domains().size() - 1));
+  topology_loaded(TopologyLoaded{std::move(topology)});
 }
 
 }  // namespace wrenusher::survey
--- a/src/topology/include/wrenusher/topology/topology.hpp
+++ b/src/topology/include/wrenusher/topology/topology.hpp
@@ -24,63 +24,63 @@
 inline constexpr DomainId kNowhere = 0;
 
 /// Where a machine is, and what it carries.
-struct Place {
+struct MachineLocation {
   DomainId leaf = kNowhere;
   std::vector<DomainId> by_level;                ///< one for each level; empty: nowhere
   std::map<std::string, std::uint32_t> devices;  ///< name -> count
-  DomainId at(int level) const {
+  DomainId domain_at(int level) const {
     return level >= 0 && static_cast<std::size_t>(level) < by_level.size()
                ? by_level[static_cast<std::size_t>(level)]
                : kNowhere;
   }
-  bool operator==(const Place&) const = default;
+  bool operator==(const MachineLocation&) const = default;
 };
 
 /// Which machines are meant: all that is said must hold.
 struct Pattern {
-  std::optional<std::pair<std::uint32_t, std::uint32_t>> addr;  ///< first and last IPv4 address
+  std::optional<std::pair<std::uint32_t, std::uint32_t>> addresses;  ///< first and last IPv4 address
   std::string host;  ///< with * for any text and ? for any character; empty: any
-  std::string flavor;
-  std::string site;
+  std::string machine_type;
+  std::string zone;
   int line = 0;
   std::string text;  ///< as written
   bool operator==(const Pattern&) const = default;
 
   bool matches(const std::string& host_name, std::uint32_t ip, const std::string& type,
-               const std::string& zone) const;
+               const std::string& machine_zone) const;
   /// Some machine could match both, and neither goes before the other: a pattern with an address does before
   /// one without.
-  bool meets(const Pattern& o) const;
+  bool overlaps(const Pattern& other) const;
   /// How many machines can match; nothing where that is not bounded.
-  std::optional<std::uint64_t> most() const;
+  std::optional<std::uint64_t> max_machines() const;
   /// A machine of this type and zone that is yet to be rented may match: its name is not known before.
-  bool may_come(const std::string& type, const std::string& zone) const;
+  bool may_match_rental(const std::string& type, const std::string& machine_zone) const;
 };
 
 struct Domain {
   std::string name;
   int level = 0;
-  DomainId in = kNowhere;
-  std::vector<DomainId> inside;  ///< directly
+  DomainId parent = kNowhere;
+  std::vector<DomainId> children;  ///< directly
   std::vector<Pattern> machines;
   int line = 0;
 };
 
 /// What controllers compare: a changed file has another digest, and must have a higher version.
-struct Edition {
+struct TopologyVersion {
   std::uint64_t version = 0;  ///< 0: no topology
   std::uint64_t digest = 0;
-  bool operator==(const Edition&) const = default;
+  bool operator==(const TopologyVersion&) const = default;
 };
 /// "4 (0123456789abcdef)", or "none".
-std::string to_text(const Edition& e);
+std::string to_text(const TopologyVersion& version);
 
 class Topology {
  public:
-  /// Throws fields::FieldError: one line with file, line and field.
+  /// Throws fields::ConfigError: one line with file, line and field.
   static std::shared_ptr<const Topology> parse(const std::string& yaml, const std::string& file);
 
-  const Edition& edition() const { return edition_; }
+  const TopologyVersion& version() const { return version_; }
   const std::vector<std::string>& levels() const { return levels_; }
   /// -1 where there is no such level.
   int level(const std::string& name) const;
@@ -92,18 +92,19 @@
   /// "zone-a > switch-1 > rack-3".
   std::string path(DomainId id) const;
   /// The domain itself or one that it is inside of, at that level; nowhere if there is none.
-  DomainId above(DomainId id, int level) const;
+  DomainId ancestor_at(DomainId id, int level) const;
 
   /// `addr` with or without a port.
-  Place find(const std::string& host, const std::string& addr, const std::string& flavor,
-             const std::string& site) const;
+  MachineLocation find(const std::string& host, const std::string& address, const std::string& machine_type,
+                       const std::string& zone) const;
 
   /// Why the layout can never hold with these machine types; nothing when it can, or when there is none.
-  std::optional<Fault> never_holds(const JobSpec& spec, const Catalog& catalog) const;
+  std::optional<InvalidField> never_holds(const JobSpec& spec, const Catalog& catalog) const;
   /// A machine of this type and zone, yet to be rented, may come to stand in the domain.
-  bool may_come(DomainId id, const std::string& flavor, const std::string& site) const;
+  bool may_gain_machine(DomainId id, const std::string& machine_type, const std::string& zone) const;
   /// Likewise, with a device of this name on it.
-  bool may_bring(const std::string& device, const std::string& flavor, const std::string& site) const;
+  bool may_gain_device(const std::string& device, const std::string& machine_type,
+                       const std::string& zone) const;
 
   /// What each pattern matches, for people; a line a domain and a device.
   std::string describe() const;
@@ -113,20 +114,20 @@
     Pattern on;
     std::uint32_t count = 0;
   };
-  void read_domains(fields::Node& top);
-  void read_devices(fields::Node& top);
-  void check_tree(const std::map<std::string, fields::Node>& nodes);
+  void read_domains(fields::ConfigNode& top);
+  void read_devices(fields::ConfigNode& top);
+  void check_tree(const std::map<std::string, fields::ConfigNode>& nodes);
   void check_overlaps(const std::string& file) const;
   void index();
-  std::optional<Fault> spread_never_holds(const JobSpec& spec) const;
-  std::optional<Fault> together_never_holds(const JobSpec& spec, const Catalog& catalog) const;
-  std::optional<Fault> devices_never_hold(const JobSpec& spec) const;
+  std::optional<InvalidField> spread_never_holds(const JobSpec& spec) const;
+  std::optional<InvalidField> together_never_holds(const JobSpec& spec, const Catalog& catalog) const;
+  std::optional<InvalidField> devices_never_hold(const JobSpec& spec) const;
   /// How many tasks of the job a domain could hold at most; nothing where that is not bounded.
   std::optional<std::uint64_t> capacity(DomainId id, const JobSpec& spec, const Catalog& catalog) const;
   /// The leaves at or inside the domain.
   std::vector<DomainId> leaves(DomainId id) const;
 
-  Edition edition_;
+  TopologyVersion version_;
   std::vector<std::string> levels_;
   std::vector<Domain> domains_;
   std::map<std::string, std::vector<Device>> devices_;
@@ -138,8 +139,8 @@
     DomainId leaf;
     const Pattern* pattern;
   };
-  std::vector<Ranged> ranged_;
-  std::vector<std::pair<DomainId, const Pattern*>> others_;
+  std::vector<Ranged> address_ranges_;
+  std::vector<std::pair<DomainId, const Pattern*>> patterns_without_address_;
 };
 
 /// "10.1.0.7" or "10.1.0.7:8080"; nothing when it is no IPv4 address.
--- a/src/topology/topology.cpp
+++ b/src/topology/topology.cpp
@@ -10,11 +10,11 @@
 
 namespace {
 
-using fields::Node;
+using fields::ConfigNode;
 
-constexpr int kMostVersion = 1000000000;
-constexpr std::size_t kMostLevels = 16;
-constexpr std::size_t kMostDomains = 20000;
+constexpr int kMaxVersion = 1000000000;
+constexpr std::size_t kMaxLevels = 16;
+constexpr std::size_t kMaxDomains = 20000;
 
 std::string dotted(std::uint32_t ip) {
   return std::to_string(ip >> 24U) + "." + std::to_string((ip >> 16U) & 255U) + "." +
@@ -25,37 +25,37 @@
   return !pattern.empty() && pattern.find_first_of("*?") == std::string::npos;
 }
 
-std::pair<std::uint32_t, std::uint32_t> read_range(const Node& n) {
-  const std::string text = n.text();
+std::pair<std::uint32_t, std::uint32_t> read_range(const ConfigNode& node) {
+  const std::string text = node.text();
   const auto slash = text.find('/');
   const auto ip = fields::parse_ipv4(text.substr(0, slash));
   int bits = 32;
   char more = 0;
   if (!ip || (slash != std::string::npos &&
               (std::sscanf(text.c_str() + slash + 1, "%2d%c", &bits, &more) != 1 || bits < 0 || bits > 32)))
-    n.fail("must be an IPv4 address or range, like 10.1.0.0/24");
+    node.fail("must be an IPv4 address or range, like 10.1.0.0/24");
   const std::uint32_t host = bits == 0 ? ~0U : bits == 32 ? 0U : ~0U >> static_cast<unsigned>(bits);
   if ((*ip & host) != 0)
-    n.fail("has bits set behind the /" + std::to_string(bits) + "; is " + dotted(*ip & ~host) + " meant?");
+    node.fail("has bits set behind the /" + std::to_string(bits) + "; is " + dotted(*ip & ~host) + " meant?");
   return {*ip, *ip | host};
 }
 
 /// What is left in the map is the caller's.
-Pattern read_pattern(Node& n) {
-  Pattern p;
-  p.line = n.line();
+Pattern read_pattern(ConfigNode& node) {
+  Pattern pattern;
+  pattern.line = node.line();
   const auto add = [&](const char* key, const std::string& value) {
-    p.text += (p.text.empty() ? "" : " ") + std::string(key) + " " + value;
+    pattern.text += (pattern.text.empty() ? "" : " ") + std::string(key) + " " + value;
   };
-  if (n.has("addr")) {
-    p.addr = read_range(n["addr"]);
-    add("addr", n["addr"].text());
+  if (node.has("addr")) {
+    pattern.addresses = read_range(node["addr"]);
+    add("addr", node["addr"].text());
   }
-  if (n.has("host")) add("host", p.host = n["host"].text());
-  if (n.has("type")) add("type", p.flavor = n["type"].text());
-  if (n.has("zone")) add("zone", p.site = n["zone"].text());
-  if (p.text.empty()) n.fail("says nothing of the machines: give addr, host, type or zone");
-  return p;
+  if (node.has("host")) add("host", pattern.host = node["host"].text());
+  if (node.has("type")) add("type", pattern.machine_type = node["type"].text());
+  if (node.has("zone")) add("zone", pattern.zone = node["zone"].text());
+  if (pattern.text.empty()) node.fail("says nothing of the machines: give addr, host, type or zone");
+  return pattern;
 }
 
 }  // namespace
@@ -110,134 +110,139 @@
 }
 
 bool Pattern::matches(const std::string& host_name, std::uint32_t ip, const std::string& type,
-                      const std::string& zone) const {
-  if (addr && (ip < addr->first || ip > addr->second)) return false;
-  if (!flavor.empty() && flavor != type) return false;
-  if (!site.empty() && site != zone) return false;
+                      const std::string& machine_zone) const {
+  if (addresses && (ip < addresses->first || ip > addresses->second)) return false;
+  if (!machine_type.empty() && machine_type != type) return false;
+  if (!zone.empty() && zone != machine_zone) return false;
   return host.empty() || glob(host, host_name);
 }
 
-bool Pattern::meets(const Pattern& o) const {
+bool Pattern::overlaps(const Pattern& other) const {
   // An address goes before a name, so that of the two one is always right.
-  if (addr.has_value() != o.addr.has_value()) return false;
-  if (addr && o.addr && (addr->second < o.addr->first || o.addr->second < addr->first)) return false;
-  if (!flavor.empty() && !o.flavor.empty() && flavor != o.flavor) return false;
-  if (!site.empty() && !o.site.empty() && site != o.site) return false;
-  return host.empty() || o.host.empty() || globs_meet(host, o.host);
+  if (addresses.has_value() != other.addresses.has_value()) return false;
+  if (addresses && other.addresses &&
+      (addresses->second < other.addresses->first || other.addresses->second < addresses->first))
+    return false;
+  if (!machine_type.empty() && !other.machine_type.empty() && machine_type != other.machine_type)
+    return false;
+  if (!zone.empty() && !other.zone.empty() && zone != other.zone) return false;
+  return host.empty() || other.host.empty() || globs_meet(host, other.host);
 }
 
-std::optional<std::uint64_t> Pattern::most() const {
+std::optional<std::uint64_t> Pattern::max_machines() const {
   if (exact(host)) return 1;
-  if (addr) return std::uint64_t{addr->second} - addr->first + 1;
+  if (addresses) return std::uint64_t{addresses->second} - addresses->first + 1;
   return std::nullopt;
 }
 
-bool Pattern::may_come(const std::string& type, const std::string& zone) const {
-  if (exact(host) || (addr && addr->first == addr->second)) return false;
-  return (flavor.empty() || flavor == type) && (site.empty() || site == zone);
+bool Pattern::may_match_rental(const std::string& type, const std::string& machine_zone) const {
+  if (exact(host) || (addresses && addresses->first == addresses->second)) return false;
+  return (machine_type.empty() || machine_type == type) && (zone.empty() || zone == machine_zone);
 }
 
-std::string to_text(const Edition& e) {
-  if (e.version == 0) return "none";
+std::string to_text(const TopologyVersion& version) {
+  if (version.version == 0) return "none";
   char digest[17];
-  std::snprintf(digest, sizeof digest, "%016llx", static_cast<unsigned long long>(e.digest));
-  return std::to_string(e.version) + " (" + digest + ")";
+  std::snprintf(digest, sizeof digest, "%016llx", static_cast<unsigned long long>(version.digest));
+  return std::to_string(version.version) + " (" + digest + ")";
 }
 
 // ---------------------------------------------------------------- reading
 
 std::shared_ptr<const Topology> Topology::parse(const std::string& yaml, const std::string& file) {
-  Node top = Node::root(yaml, file);
-  auto t = std::make_shared<Topology>();
-  t->edition_ = {static_cast<std::uint64_t>(top["version"].whole(1, kMostVersion)),
-                 XXH3_64bits(yaml.data(), yaml.size())};
+  ConfigNode top = ConfigNode::root(yaml, file);
+  auto topology = std::make_shared<Topology>();
+  topology->version_ = {static_cast<std::uint64_t>(top["version"].integer(1, kMaxVersion)),
+                        XXH3_64bits(yaml.data(), yaml.size())};
   std::set<std::string> names;
-  for (const Node& n : top["levels"].items()) {
-    t->levels_.push_back(n.text());
-    if (!names.insert(n.text()).second) n.fail("the level '" + n.text() + "' is there twice");
+  for (const ConfigNode& node : top["levels"].items()) {
+    topology->levels_.push_back(node.text());
+    if (!names.insert(node.text()).second) node.fail("the level '" + node.text() + "' is there twice");
   }
-  if (t->levels_.empty() || t->levels_.size() > kMostLevels) top["levels"].fail("must name 1 to 16 levels");
-  t->domains_.emplace_back();
-  t->domains_[kNowhere].name = "nowhere";
-  t->read_domains(top);
-  if (top.has("devices")) t->read_devices(top);
-  top.no_more();
-  t->check_overlaps(file);
-  t->index();
-  return t;
-}
-
-void Topology::read_domains(Node& top) {
+  if (topology->levels_.empty() || topology->levels_.size() > kMaxLevels)
+    top["levels"].fail("must name 1 to 16 levels");
+  topology->domains_.emplace_back();
+  topology->domains_[kNowhere].name = "nowhere";
+  topology->read_domains(top);
+  if (top.has("devices")) topology->read_devices(top);
+  top.reject_unknown_fields();
+  topology->check_overlaps(file);
+  topology->index();
+  return topology;
+}
+
+void Topology::read_domains(ConfigNode& top) {
   std::map<std::string, DomainId> ids;
-  std::map<std::string, Node> nodes;
+  std::map<std::string, ConfigNode> nodes;
   auto entries = top["domains"].entries();
-  if (entries.size() > kMostDomains) top["domains"].fail("must be 20000 at most");
+  if (entries.size() > kMaxDomains) top["domains"].fail("must be 20000 at most");
   for (auto& [name, n] : entries) {
-    Domain d;
-    d.name = name;
-    d.line = n.line();
+    Domain domain;
+    domain.name = name;
+    domain.line = n.line();
     const std::string level_name = n["level"].text();
-    d.level = level(level_name);
-    if (d.level < 0) n["level"].fail("'" + level_name + "' is none of the levels");
+    domain.level = level(level_name);
+    if (domain.level < 0) n["level"].fail("'" + level_name + "' is none of the levels");
     if (n.has("machines")) {
-      for (Node& m : n["machines"].items()) {
-        d.machines.push_back(read_pattern(m));
-        m.no_more();
+      for (ConfigNode& node : n["machines"].items()) {
+        domain.machines.push_back(read_pattern(node));
+        node.reject_unknown_fields();
       }
     }
     n.has("in");
-    n.no_more();
+    n.reject_unknown_fields();
     ids[name] = static_cast<DomainId>(domains_.size());
     nodes.emplace(name, n);
-    domains_.push_back(std::move(d));
+    domains_.push_back(std::move(domain));
   }
   for (auto& [name, n] : nodes) {
     if (!n.has("in")) continue;
     const std::string parent = n["in"].text();
     const auto it = ids.find(parent);
     if (it == ids.end()) n["in"].fail("there is no domain '" + parent + "'");
-    domains_[ids[name]].in = it->second;
-    domains_[it->second].inside.push_back(ids[name]);
+    domains_[ids[name]].parent = it->second;
+    domains_[it->second].children.push_back(ids[name]);
   }
   check_tree(nodes);
 }
 
-void Topology::check_tree(const std::map<std::string, Node>& nodes) {
+void Topology::check_tree(const std::map<std::string, ConfigNode>& nodes) {
   for (DomainId id = 1; id < domains_.size(); ++id) {
-    Domain& d = domains_[id];
-    const Node& n = nodes.at(d.name);
-    std::sort(d.inside.begin(), d.inside.end());
-    std::string way = d.name;
+    Domain& domain = domains_[id];
+    const ConfigNode& node = nodes.at(domain.name);
+    std::sort(domain.children.begin(), domain.children.end());
+    std::string way = domain.name;
     std::size_t steps = 0;
-    for (DomainId up = d.in; up != kNowhere; up = domains_[up].in) {
-      way += " > " + domains_[up].name;
-      if (up == id) n.fail("is inside itself: " + way);
+    for (DomainId parent = domain.parent; parent != kNowhere; parent = domains_[parent].parent) {
+      way += " > " + domains_[parent].name;
+      if (parent == id) node.fail("is inside itself: " + way);
       // A circle further up is told where it is.
       if (++steps > domains_.size()) break;
     }
     if (steps > domains_.size()) continue;
-    if (d.in != kNowhere && domains_[d.in].level >= d.level)
-      n.fail("a " + level_of(id) + " cannot be inside '" + domains_[d.in].name + "', a " + level_of(d.in));
-    if (!d.inside.empty() && !d.machines.empty())
-      n.fail("has machines of its own and '" + domains_[d.inside.front()].name +
-             "' inside: machines belong to the innermost domain");
+    if (domain.parent != kNowhere && domains_[domain.parent].level >= domain.level)
+      node.fail("a " + level_of(id) + " cannot be inside '" + domains_[domain.parent].name + "', a " +
+                level_of(domain.parent));
+    if (!domain.children.empty() && !domain.machines.empty())
+      node.fail("has machines of its own and '" + domains_[domain.children.front()].name +
+                "' inside: machines belong to the innermost domain");
   }
 }
 
-void Topology::read_devices(Node& top) {
+void Topology::read_devices(ConfigNode& top) {
   for (auto& [name, n] : top["devices"].entries()) {
     std::vector<Device>& where = devices_[name];
-    for (Node& m : n.items()) {
-      Device d;
-      d.count = static_cast<std::uint32_t>(m["count"].whole(1, 1000));
-      d.on = read_pattern(m);
-      m.no_more();
+    for (ConfigNode& node : n.items()) {
+      Device device;
+      device.count = static_cast<std::uint32_t>(node["count"].integer(1, 1000));
+      device.on = read_pattern(node);
+      node.reject_unknown_fields();
       for (const Device& other : where) {
-        if (other.on.meets(d.on))
-          m.fail("may be the same machine as line " + std::to_string(other.on.line) +
-                 ": how many it has is said once");
+        if (other.on.overlaps(device.on))
+          node.fail("may be the same machine as line " + std::to_string(other.on.line) +
+                    ": how many it has is said once");
       }
-      where.push_back(std::move(d));
+      where.push_back(std::move(device));
     }
     if (where.empty()) n.fail("is on no machine");
   }
@@ -246,34 +251,34 @@
 void Topology::check_overlaps(const std::string& file) const {
   std::vector<std::pair<DomainId, const Pattern*>> all;
   for (DomainId id = 1; id < domains_.size(); ++id) {
-    for (const Pattern& p : domains_[id].machines) all.emplace_back(id, &p);
+    for (const Pattern& pattern : domains_[id].machines) all.emplace_back(id, &pattern);
   }
   for (std::size_t i = 0; i < all.size(); ++i) {
     for (std::size_t k = 0; k < i; ++k) {
-      if (all[i].first == all[k].first || !all[i].second->meets(*all[k].second)) continue;
-      throw fields::FieldError(file + ":" + std::to_string(all[i].second->line) + ": domains." +
-                               domains_[all[i].first].name + ": '" + all[i].second->text + "' overlaps '" +
-                               all[k].second->text + "' of " + domains_[all[k].first].name + ", line " +
-                               std::to_string(all[k].second->line));
+      if (all[i].first == all[k].first || !all[i].second->overlaps(*all[k].second)) continue;
+      throw fields::ConfigError(file + ":" + std::to_string(all[i].second->line) + ": domains." +
+                                domains_[all[i].first].name + ": '" + all[i].second->text + "' overlaps '" +
+                                all[k].second->text + "' of " + domains_[all[k].first].name + ", line " +
+                                std::to_string(all[k].second->line));
     }
   }
 }
 
 void Topology::index() {
   for (DomainId id = 1; id < domains_.size(); ++id) {
-    for (const Pattern& p : domains_[id].machines) {
-      if (p.addr) {
-        ranged_.push_back({p.addr->first, p.addr->second, 0, id, &p});
+    for (const Pattern& pattern : domains_[id].machines) {
+      if (pattern.addresses) {
+        address_ranges_.push_back({pattern.addresses->first, pattern.addresses->second, 0, id, &pattern});
       } else {
-        others_.emplace_back(id, &p);
+        patterns_without_address_.emplace_back(id, &pattern);
       }
     }
   }
-  std::sort(ranged_.begin(), ranged_.end(), [](const Ranged& a, const Ranged& b) {
+  std::sort(address_ranges_.begin(), address_ranges_.end(), [](const Ranged& a, const Ranged& b) {
     return std::tuple(a.first, a.last, a.leaf) < std::tuple(b.first, b.last, b.leaf);
   });
   std::uint32_t last = 0;
-  for (Ranged& r : ranged_) r.last_so_far = last = std::max(last, r.last);
+  for (Ranged& r : address_ranges_) r.last_so_far = last = std::max(last, r.last);
 }
 
 // ---------------------------------------------------------------- asking
@@ -290,40 +295,41 @@
 std::string Topology::path(DomainId id) const {
   if (id == kNowhere) return "no known domain";
   std::string out = domains_.at(id).name;
-  for (DomainId up = domains_[id].in; up != kNowhere; up = domains_[up].in)
-    out = domains_[up].name + " > " + out;
+  for (DomainId parent = domains_[id].parent; parent != kNowhere; parent = domains_[parent].parent)
+    out = domains_[parent].name + " > " + out;
   return out;
 }
 
-DomainId Topology::above(DomainId id, int level) const {
-  while (id != kNowhere && domains_.at(id).level != level) id = domains_[id].in;
+DomainId Topology::ancestor_at(DomainId id, int level) const {
+  while (id != kNowhere && domains_.at(id).level != level) id = domains_[id].parent;
   return id;
 }
 
-Place Topology::find(const std::string& host, const std::string& addr, const std::string& flavor,
-                     const std::string& site) const {
-  const std::uint32_t ip = parse_ip(addr).value_or(0);
-  Place out;
-  auto it = std::upper_bound(ranged_.begin(), ranged_.end(), ip,
+MachineLocation Topology::find(const std::string& host, const std::string& address,
+                               const std::string& machine_type, const std::string& zone) const {
+  const std::uint32_t ip = parse_ip(address).value_or(0);
+  MachineLocation out;
+  auto it = std::upper_bound(address_ranges_.begin(), address_ranges_.end(), ip,
                              [](std::uint32_t x, const Ranged& r) { return x < r.first; });
-  while (out.leaf == kNowhere && it != ranged_.begin()) {
+  while (out.leaf == kNowhere && it != address_ranges_.begin()) {
     --it;
     if (it->last_so_far < ip) break;
-    if (it->pattern->matches(host, ip, flavor, site)) out.leaf = it->leaf;
+    if (it->pattern->matches(host, ip, machine_type, zone)) out.leaf = it->leaf;
   }
-  for (std::size_t i = 0; out.leaf == kNowhere && i < others_.size(); ++i) {
-    if (others_[i].second->matches(host, ip, flavor, site)) out.leaf = others_[i].first;
+  for (std::size_t i = 0; out.leaf == kNowhere && i < patterns_without_address_.size(); ++i) {
+    if (patterns_without_address_[i].second->matches(host, ip, machine_type, zone))
+      out.leaf = patterns_without_address_[i].first;
   }
   if (out.leaf != kNowhere) {
     out.by_level.assign(levels_.size(), kNowhere);
-    for (DomainId id = out.leaf; id != kNowhere; id = domains_[id].in)
+    for (DomainId id = out.leaf; id != kNowhere; id = domains_[id].parent)
       out.by_level[static_cast<std::size_t>(domains_[id].level)] = id;
   }
   for (const auto& [name, where] : devices_) {
-    for (const Device& d : where) {
-      if (!d.on.matches(host, ip, flavor, site)) continue;
-      out.devices[name] = d.count;
-      if (d.on.addr) break;
+    for (const Device& device : where) {
+      if (!device.on.matches(host, ip, machine_type, zone)) continue;
+      out.devices[name] = device.count;
+      if (device.on.addresses) break;
     }
   }
   return out;
@@ -335,61 +341,64 @@
   while (!open.empty()) {
     const DomainId at = open.back();
     open.pop_back();
-    const Domain& d = domains_.at(at);
-    if (d.inside.empty()) out.push_back(at);
-    open.insert(open.end(), d.inside.begin(), d.inside.end());
+    const Domain& domain = domains_.at(at);
+    if (domain.children.empty()) out.push_back(at);
+    open.insert(open.end(), domain.children.begin(), domain.children.end());
   }
   return out;
 }
 
-bool Topology::may_come(DomainId id, const std::string& flavor, const std::string& site) const {
+bool Topology::may_gain_machine(DomainId id, const std::string& machine_type, const std::string& zone) const {
   for (const DomainId leaf : leaves(id)) {
-    for (const Pattern& p : domains_[leaf].machines) {
-      if (p.may_come(flavor, site)) return true;
+    for (const Pattern& pattern : domains_[leaf].machines) {
+      if (pattern.may_match_rental(machine_type, zone)) return true;
     }
   }
   return false;
 }
 
-bool Topology::may_bring(const std::string& device, const std::string& flavor,
-                         const std::string& site) const {
+bool Topology::may_gain_device(const std::string& device, const std::string& machine_type,
+                               const std::string& zone) const {
   const auto it = devices_.find(device);
-  return it != devices_.end() && std::any_of(it->second.begin(), it->second.end(),
-                                             [&](const Device& d) { return d.on.may_come(flavor, site); });
+  return it != devices_.end() && std::any_of(it->second.begin(), it->second.end(), [&](const Device& entry) {
+           return entry.on.may_match_rental(machine_type, zone);
+         });
 }
 
 // ---------------------------------------------------------------- what can never hold
 
-std::optional<Fault> Topology::spread_never_holds(const JobSpec& spec) const {
-  const Layout::Spread& s = *spec.layout->spread;
-  const int l = level(s.level);
-  if (l < 0) return Fault{"layout.spread.level", "there is no level '" + s.level + "' in the topology"};
+std::optional<InvalidField> Topology::spread_never_holds(const JobSpec& spec) const {
+  const Layout::Spread& spread = *spec.layout->spread;
+  const int l = level(spread.level);
+  if (l < 0)
+    return InvalidField{"layout.spread.level", "there is no level '" + spread.level + "' in the topology"};
   // An array may take turns; what runs as a whole needs all its places at once. Machines of no known domain
   // are not counted on.
-  if (!s.must || spec.shape == Shape::sweep) return std::nullopt;
-  const auto there = static_cast<std::uint64_t>(
-      std::count_if(domains_.begin() + 1, domains_.end(), [&](const Domain& d) { return d.level == l; }));
-  if (there * s.limit(spec.units) >= spec.units) return std::nullopt;
-  return Fault{"layout.spread", std::to_string(spec.units) + " tasks, at most " +
-                                    std::to_string(s.limit(spec.units)) + " in one " + s.level +
-                                    ", need more than the " + std::to_string(there) + " there are"};
+  if (!spread.required || spec.type == JobType::array) return std::nullopt;
+  const auto there = static_cast<std::uint64_t>(std::count_if(
+      domains_.begin() + 1, domains_.end(), [&](const Domain& domain) { return domain.level == l; }));
+  if (there * spread.limit(spec.task_count) >= spec.task_count) return std::nullopt;
+  return InvalidField{"layout.spread", std::to_string(spec.task_count) + " tasks, at most " +
+                                           std::to_string(spread.limit(spec.task_count)) + " in one " +
+                                           spread.level + ", need more than the " + std::to_string(there) +
+                                           " there are"};
 }
 
 std::optional<std::uint64_t> Topology::capacity(DomainId id, const JobSpec& spec,
                                                 const Catalog& catalog) const {
   std::uint64_t sum = 0;
   for (const DomainId leaf : leaves(id)) {
-    for (const Pattern& p : domains_[leaf].machines) {
-      if (!p.site.empty() && !spec.site.empty() && p.site != spec.site) continue;
+    for (const Pattern& pattern : domains_[leaf].machines) {
+      if (!pattern.zone.empty() && !spec.zone.empty() && pattern.zone != spec.zone) continue;
       std::uint64_t each = 0;
       for (const auto& [name, f] : catalog) {
-        if (!p.flavor.empty() && p.flavor != name) continue;
-        if (!spec.flavors.empty() &&
-            std::find(spec.flavors.begin(), spec.flavors.end(), name) == spec.flavors.end())
+        if (!pattern.machine_type.empty() && pattern.machine_type != name) continue;
+        if (!spec.machine_types.empty() &&
+            std::find(spec.machine_types.begin(), spec.machine_types.end(), name) == spec.machine_types.end())
           continue;
-        each = std::max<std::uint64_t>(each, count_fitting(spec.needs, f.room, spec.units));
+        each = std::max<std::uint64_t>(each, count_fitting(spec.resources, f.capacity, spec.task_count));
       }
-      const auto machines = p.most();
+      const auto machines = pattern.max_machines();
       if (each > 0 && !machines) return std::nullopt;
       if (each > 0) sum += each * *machines;
     }
@@ -397,16 +406,19 @@
   return sum;
 }
 
-std::optional<Fault> Topology::together_never_holds(const JobSpec& spec, const Catalog& catalog) const {
-  const Layout::Together& t = *spec.layout->together;
-  const int l = level(t.level);
-  if (l < 0) return Fault{"layout.together.level", "there is no level '" + t.level + "' in the topology"};
-  if (!t.must) return std::nullopt;
-  const std::uint32_t at_once = spec.shape == Shape::sweep ? 1 : spec.units;
+std::optional<InvalidField> Topology::together_never_holds(const JobSpec& spec,
+                                                           const Catalog& catalog) const {
+  const Layout::Colocation& colocation = *spec.layout->colocation;
+  const int l = level(colocation.level);
+  if (l < 0)
+    return InvalidField{"layout.together.level",
+                        "there is no level '" + colocation.level + "' in the topology"};
+  if (!colocation.required) return std::nullopt;
+  const std::uint32_t at_once = spec.type == JobType::array ? 1 : spec.task_count;
   const auto& spread = spec.layout->spread;
-  if (spread && spread->must && level(spread->level) <= l && spread->limit(spec.units) < at_once)
-    return Fault{"layout.together",
-                 "all tasks in one " + t.level + " are more than 'spread' allows in one " + spread->level};
+  if (spread && spread->required && level(spread->level) <= l && spread->limit(spec.task_count) < at_once)
+    return InvalidField{"layout.together", "all tasks in one " + colocation.level +
+                                               " are more than 'spread' allows in one " + spread->level};
   std::uint64_t most = 0;
   for (DomainId id = 1; id < domains_.size(); ++id) {
     if (domains_[id].level != l) continue;
@@ -414,38 +426,40 @@
     if (!n || *n >= at_once) return std::nullopt;
     most = std::max(most, *n);
   }
-  return Fault{"layout.together", std::to_string(at_once) + " of its tasks must be in one " + t.level +
-                                      ", and the largest holds " + std::to_string(most)};
+  return InvalidField{"layout.together", std::to_string(at_once) + " of its tasks must be in one " +
+                                             colocation.level + ", and the largest holds " +
+                                             std::to_string(most)};
 }
 
-std::optional<Fault> Topology::devices_never_hold(const JobSpec& spec) const {
+std::optional<InvalidField> Topology::devices_never_hold(const JobSpec& spec) const {
   for (const auto& [name, n] : spec.layout->devices) {
     const auto it = devices_.find(name);
     if (it == devices_.end())
-      return Fault{"layout.devices", "there is no device '" + name + "' in the topology"};
+      return InvalidField{"layout.devices", "there is no device '" + name + "' in the topology"};
     std::uint64_t at_once = 0;
     bool bounded = true;
-    for (const Device& d : it->second) {
-      const auto machines = d.on.most();
+    for (const Device& device : it->second) {
+      const auto machines = device.on.max_machines();
       bounded = bounded && machines.has_value();
-      at_once += d.count / n * machines.value_or(1);
+      at_once += device.count / n * machines.value_or(1);
     }
-    const std::uint64_t wanted = spec.shape == Shape::sweep ? 1 : spec.units;
+    const std::uint64_t wanted = spec.type == JobType::array ? 1 : spec.task_count;
     if (at_once == 0)
-      return Fault{"layout.devices", "no machine has " + std::to_string(n) + " of '" + name + "'"};
+      return InvalidField{"layout.devices", "no machine has " + std::to_string(n) + " of '" + name + "'"};
     if (bounded && at_once < wanted)
-      return Fault{"layout.devices", "all its tasks together need more of '" + name + "' than there are"};
+      return InvalidField{"layout.devices",
+                          "all its tasks together need more of '" + name + "' than there are"};
   }
   return std::nullopt;
 }
 
-std::optional<Fault> Topology::never_holds(const JobSpec& spec, const Catalog& catalog) const {
+std::optional<InvalidField> Topology::never_holds(const JobSpec& spec, const Catalog& catalog) const {
   if (!spec.layout) return std::nullopt;
   if (spec.layout->spread) {
-    if (auto f = spread_never_holds(spec)) return f;
+    if (auto fault = spread_never_holds(spec)) return fault;
   }
-  if (spec.layout->together) {
-    if (auto f = together_never_holds(spec, catalog)) return f;
+  if (spec.layout->colocation) {
+    if (auto fault = together_never_holds(spec, catalog)) return fault;
   }
   return devices_never_hold(spec);
 }
@@ -453,31 +467,32 @@
 // ---------------------------------------------------------------- for people
 
 std::string Topology::describe() const {
-  const auto machines = [](const Pattern& p) {
-    std::string out = "    " + p.text;
-    if (p.addr) out += ": " + dotted(p.addr->first) + " to " + dotted(p.addr->second);
-    const auto n = p.most();
+  const auto machines = [](const Pattern& pattern) {
+    std::string out = "    " + pattern.text;
+    if (pattern.addresses)
+      out += ": " + dotted(pattern.addresses->first) + " to " + dotted(pattern.addresses->second);
+    const auto n = pattern.max_machines();
     return out + (n ? ", " + std::to_string(*n) + (*n == 1 ? " machine" : " machines") + " at most" : "") +
            "\n";
   };
-  std::string out = "topology version " + to_text(edition_) + "\n";
+  std::string out = "topology version " + to_text(version_) + "\n";
   for (std::size_t l = 0; l < levels_.size(); ++l) {
     const auto n = std::count_if(domains_.begin() + 1, domains_.end(),
-                                 [&](const Domain& d) { return d.level == static_cast<int>(l); });
+                                 [&](const Domain& domain) { return domain.level == static_cast<int>(l); });
     out += "  level " + levels_[l] + ": " + std::to_string(n) + "\n";
   }
   for (DomainId id = 1; id < domains_.size(); ++id) {
-    const Domain& d = domains_[id];
-    if (!d.inside.empty()) continue;
-    out += "  " + level_of(id) + " " + path(id) + (d.machines.empty() ? ": no machines\n" : "\n");
-    for (const Pattern& p : d.machines) out += machines(p);
+    const Domain& domain = domains_[id];
+    if (!domain.children.empty()) continue;
+    out += "  " + level_of(id) + " " + path(id) + (domain.machines.empty() ? ": no machines\n" : "\n");
+    for (const Pattern& pattern : domain.machines) out += machines(pattern);
   }
   for (const auto& [name, where] : devices_) {
     out += "  device " + name + "\n";
-    for (const Device& d : where) {
-      std::string line = machines(d.on);
+    for (const Device& device : where) {
+      std::string line = machines(device.on);
       line.pop_back();
-      out += line + ", " + std::to_string(d.count) + " on each\n";
+      out += line + ", " + std::to_string(device.count) + " on each\n";
     }
   }
   return out;
--- a/src/watch/include/wrenusher/watch/watch.hpp
+++ b/src/watch/include/wrenusher/watch/watch.hpp
@@ -18,50 +18,50 @@
 using topology::DomainId;
 
 /// A machine that reports here, or should.
-struct Member {
+struct DomainMember {
   const std::string* host = nullptr;
-  const topology::Place* place = nullptr;
-  Instant heard{};
+  const topology::MachineLocation* place = nullptr;
+  Instant heard_at{};
 };
 
-class Watch {
+class DomainFailureDetector {
  public:
   /// Other domains: all judgements are void. Null: there are none.
-  void take(std::shared_ptr<const topology::Topology> t);
+  void set_topology(std::shared_ptr<const topology::Topology> topology);
   /// A new term: nobody is known.
   void clear();
 
   /// Judges by who was heard when; a machine is late when it was not heard for `late`. To be called often and
   /// only while silence is the machines' own fault and not the listener's.
-  void look(Instant now, Micros late, const std::vector<Member>& members);
+  void evaluate(Instant now, Micros late, const std::vector<DomainMember>& members);
   /// Machines that should get nothing new: of lost domains, and those not yet trusted of domains that came
   /// back.
-  const std::set<std::string>& doubted() const { return doubted_; }
+  const std::set<std::string>& suspected() const { return suspected_; }
   /// The machine's domain, or one that it is inside of, is lost.
-  bool lost(const topology::Place& place) const;
+  bool is_lost(const topology::MachineLocation& place) const;
 
  private:
-  struct State {
+  struct DomainState {
     bool lost = false;
-    bool told = false;  ///< its loss is in the log
-    Instant since{};    ///< lost, or heard again
-    Instant seen{};     ///< when there last was a machine of it
+    bool logged = false;       ///< its loss is in the log
+    Instant since{};           ///< lost, or heard again
+    Instant last_populated{};  ///< when there last was a machine of it
     std::uint32_t machines = 0;
     int relapses = 0;
   };
   struct Tally {
     std::uint32_t all = 0;
     std::uint32_t late = 0;
-    Instant heard{};
+    Instant last_heard{};
   };
   void judge(Instant now, const std::vector<Tally>& tallies);
-  void tell(Instant now);
-  void doubt(Instant now, Micros late, const std::vector<Member>& members);
-  bool above_lost(DomainId id) const;
+  void log_losses(Instant now);
+  void update_suspected(Instant now, Micros late, const std::vector<DomainMember>& members);
+  bool ancestor_lost(DomainId id) const;
 
   std::shared_ptr<const topology::Topology> topology_;
-  std::map<DomainId, State> states_;  ///< of those that are lost or were so of late
-  std::set<std::string> doubted_;
+  std::map<DomainId, DomainState> domains_;  ///< of those that are lost or were so of late
+  std::set<std::string> suspected_;
 };
 
 }  // namespace wrenusher::watch
--- a/src/writer/include/wrenusher/writer/writer.hpp
+++ b/src/writer/include/wrenusher/writer/writer.hpp
@@ -21,22 +21,22 @@
 using namespace settings;
 using namespace store;
 using book::Block;
-using book::Book;
 using book::Job;
+using book::JobTable;
 
-class Writer {
+class CommitBatcher {
  public:
-  Writer(Runtime& rt, const Settings& settings, Store& store, Book& book)
-      : rt_(rt), settings_(settings), store_(store), book_(book) {}
+  CommitBatcher(Runtime& runtime, const Settings& settings, KvClient& store, JobTable& jobs)
+      : runtime_(runtime), settings_(settings), store_(store), book_(jobs) {}
 
   /// A new term, or none: nothing is known of the slots, and what is under way concerns nobody any more.
   /// `stamp`: of the `leader` key, on which every write depends.
-  void begin(std::uint64_t stamp);
+  void begin(std::uint64_t mod_revision);
   /// Found at takeover: a slot, and a block's newest copy in one.
-  void found_slot(std::uint32_t slot, std::uint64_t stamp);
-  void found_block(const Job& job, std::uint32_t n, std::uint32_t slot);
+  void restore_shard(std::uint32_t slot, std::uint64_t mod_revision);
+  void restore_block(const Job& job, std::uint32_t n, std::uint32_t slot);
   /// The job is over: leaves the book and its slots.
-  void drop(const std::string& ref);
+  void remove(const std::string& job_id);
   /// Writes what has changed, if the pace allows: final states first, then blocks in their order, many to a
   /// value.
   void flush();
@@ -46,57 +46,58 @@
   /// What was in doubt is known: more can be written.
   std::function<void()> on_ready;
   /// The root of this job must be read anew before more is written of it.
-  std::function<void(const std::string& ref)> on_doubt;
+  std::function<void(const std::string& job_id)> on_job_uncertain;
   /// Another leads.
-  std::function<void()> on_deposed;
+  std::function<void()> on_leadership_lost;
 
   std::string disagreement() const;
 
  private:
-  static constexpr std::uint32_t kNoSlot = UINT32_MAX;
+  static constexpr std::uint32_t kNoShard = UINT32_MAX;
   /// A value in the store that holds blocks. Blocks move: each is written to a free slot, and a slot is free
   /// again once every block that stood in it stands in another.
-  struct Slot {
-    std::uint64_t stamp = 0;
-    std::uint32_t live = 0;
-    bool doubt = false;  ///< its stamp is being read anew
+  struct Shard {
+    std::uint64_t mod_revision = 0;
+    std::uint32_t live_blocks = 0;
+    bool uncertain = false;  ///< its stamp is being read anew
   };
-  struct Pending {
-    struct Written {
-      std::string ref;
+  struct Batch {
+    struct BlockWrite {
+      std::string job_id;
       std::uint32_t block = 0;
       std::uint64_t version = 0;
-      std::uint32_t slot = 0;
+      std::uint32_t shard = 0;
     };
-    std::set<std::string> claiming;  ///< jobs whose root is among the conditions
-    std::vector<Written> blocks;
-    std::vector<std::uint32_t> slots;
-    std::vector<std::string> finished;
-    std::vector<Condition> when;
-    std::vector<Change> apply;
+    std::set<std::string> assigning_jobs;  ///< jobs whose root is among the conditions
+    std::vector<BlockWrite> blocks;
+    std::vector<std::uint32_t> shards;
+    std::vector<std::string> finished_jobs;
+    std::vector<Condition> conditions;
+    std::vector<Mutation> mutations;
   };
-  void add_finals(Pending& p) const;
-  void add_blocks(Pending& p, std::size_t ready);
-  void settle(const Commit& c, const Pending& p);
-  void committed(const Pending& p, std::uint64_t revision);
-  void refresh_slot(std::uint32_t slot);
-  std::uint32_t free_slot(const std::vector<std::uint32_t>& taken);
-  std::uint32_t& place(const Job& job, std::uint32_t n);
-  void leave(const Job& job, std::uint32_t n);
+  void add_final_states(Batch& batch) const;
+  void add_blocks(Batch& batch, std::size_t ready);
+  void on_reply(const CommitReply& reply, const Batch& batch);
+  void on_commit(const Batch& batch, std::uint64_t revision);
+  void refresh_shard(std::uint32_t slot);
+  std::uint32_t free_shard(const std::vector<std::uint32_t>& taken);
+  std::uint32_t& shard_of(const Job& job, std::uint32_t n);
+  void release_shard(const Job& job, std::uint32_t n);
 
-  Runtime& rt_;
+  Runtime& runtime_;
   const Settings& settings_;
-  Store& store_;
-  Book& book_;
+  KvClient& store_;
+  JobTable& book_;
   /// Rises with every term and reading: what belongs to an earlier one is dropped when it comes.
   std::uint64_t generation_ = 0;
-  std::uint64_t leader_stamp_ = 0;
+  std::uint64_t leader_revision_ = 0;
   bool committing_ = false;
   Instant commit_not_before_{};
-  Instant progress_since_{};  ///< when the last commit left no progress behind
-  std::vector<Slot> slots_;
-  std::uint32_t doubts_ = 0;                                              ///< slots in doubt
-  std::unordered_map<std::uint64_t, std::vector<std::uint32_t>> places_;  ///< job id -> slot of each block
+  Instant progress_pending_since_{};  ///< when the last commit left no progress behind
+  std::vector<Shard> shards_;
+  std::uint32_t uncertain_shards_ = 0;  ///< slots in doubt
+  std::unordered_map<std::uint64_t, std::vector<std::uint32_t>>
+      shard_by_block_;  ///< job id -> slot of each block
 };
 
 }  // namespace wrenusher::writer
--- a/tests/answers_test.cpp
+++ b/tests/answers_test.cpp
@@ -11,19 +11,19 @@
 
 using namespace wrenusher::lab;
 using namespace wrenusher::protocol;
-using wrenusher::desk::AnswerOrder;
-using wrenusher::mail::Announcement;
-using wrenusher::mail::Level;
+using wrenusher::desk::ReadConsistency;
+using wrenusher::mail::JobStage;
+using wrenusher::mail::StageAnnouncement;
 
 namespace {
 
-/// Three nodes by their AnswerOrder alone, one job, and a state service and peers that answer whenever they
-/// like: reads take up to their full life, announcements are late or lost, links are cut for a while.
+/// Three nodes by their ReadConsistency alone, one job, and a state service and peers that answer whenever
+/// they like: reads take up to their full life, announcements are late or lost, links are cut for a while.
 class Nodes {
  public:
   explicit Nodes(std::uint64_t seed) : random_(seed) {
     accepted_ = at(uniform(100, 1500));
-    over_ = accepted_ + millis(uniform(0, 3000));
+    over_ = accepted_ + from_millis(uniform(0, 3000));
     slow_ = pick(3) == 0 ? 1450 : pick(2) == 0 ? 300 : 20;
     for (int i = 0; i < 3; ++i) nodes_.emplace_back();
     cut_ = pick(3) == 0 ? pick(3) : -1;
@@ -31,8 +31,8 @@
     for (int i = 0; i < 150; ++i) {
       // Mostly around the two changes.
       const auto when = pick(3) == 0   ? at(uniform(0, 6000))
-                        : pick(2) == 0 ? accepted_ + millis(uniform(-100, 300))
-                                       : over_ + millis(uniform(-100, 1700));
+                        : pick(2) == 0 ? accepted_ + from_millis(uniform(-100, 300))
+                                       : over_ + from_millis(uniform(-100, 1700));
       post(when, [this, n = pick(3)] { ask(n, 3); });
     }
   }
@@ -50,15 +50,15 @@
   int held = 0;
 
  private:
-  static Instant at(int ms) { return Instant{} + from_seconds(10) + millis(ms); }
+  static Instant at(int ms) { return Instant{} + from_seconds(10) + from_millis(ms); }
   int uniform(int a, int b) { return std::uniform_int_distribution<int>(a, b)(random_); }
   int pick(int n) { return uniform(0, n - 1); }
   void post(Instant when, std::function<void()> f) {
     events_.push({std::max(when, now_), ++made_, std::make_shared<std::function<void()>>(std::move(f))});
   }
-  void later(int ms, std::function<void()> f) { post(now_ + millis(ms), std::move(f)); }
-  Level stored() const {
-    return now_ >= over_ ? Level::over : now_ >= accepted_ ? Level::accepted : Level::absent;
+  void later(int ms, std::function<void()> f) { post(now_ + from_millis(ms), std::move(f)); }
+  JobStage stored() const {
+    return now_ >= over_ ? JobStage::finished : now_ >= accepted_ ? JobStage::accepted : JobStage::absent;
   }
 
   void ask(int n, int tries) {
@@ -66,9 +66,9 @@
     const int there = uniform(1, slow_ / 2);
     const int back = uniform(1, pick(5) == 0 ? 1490 - there : slow_ / 2);
     later(there, [this, n, tries, back, sent = now_] {
-      const Level level = stored();
+      const JobStage level = stored();
       later(back, [this, n, tries, sent, level] {
-        if (!nodes_[n].order.stands("j", level, sent, now_)) {
+        if (!nodes_[n].order.may_answer("j", level, sent, now_)) {
           ask(n, tries - 1);
         } else {
           tell(n, level, sent);
@@ -76,10 +76,10 @@
       });
     });
   }
-  void tell(int n, Level level, Instant sent) {
+  void tell(int n, JobStage level, Instant sent) {
     Node& node = nodes_[n];
-    node.order.seen("j", level, now_);
-    const Instant when = node.order.may_tell("j", level, now_);
+    node.order.observe("j", level, now_);
+    const Instant when = node.order.may_answer_from("j", level, now_);
     if (when <= now_) {
       give(n, level, sent);
       return;
@@ -94,12 +94,12 @@
       const bool cut = peer == cut_ || n == cut_;
       if (cut || pick(10) == 0) continue;
       later(uniform(1, pick(5) == 0 ? 2500 : 10), [this, n, peer, level] {
-        nodes_[peer].order.announced("j", level, now_);
+        nodes_[peer].order.on_peer_announcement("j", level, now_);
         later(uniform(1, 10), [this, n, peer, level] {
           Node& teller = nodes_[n];
-          teller.knows[level == Level::over ? 1 : 0].insert(peer);
-          if (teller.knows[level == Level::over ? 1 : 0].size() < 2) return;
-          teller.order.confirmed("j", level);
+          teller.knows[level == JobStage::finished ? 1 : 0].insert(peer);
+          if (teller.knows[level == JobStage::finished ? 1 : 0].size() < 2) return;
+          teller.order.on_confirmed("j", level);
           release(n, level);
         });
       });
@@ -112,28 +112,28 @@
       later(uniform(1, pick(10) == 0 ? 400 : 5), [this, n, peer, asked = now_] {
         later(uniform(1, pick(10) == 0 ? 400 : 5), [this, n, peer, asked, all = nodes_[peer].announced] {
           Node& node = nodes_[n];
-          for (const Level level : all) node.order.announced("j", level, now_);
+          for (const JobStage level : all) node.order.on_peer_announcement("j", level, now_);
           node.reached[peer] = std::max(node.reached[peer], asked);
           Instant through = Instant::max();
           for (int other = 0; other < 3; ++other) {
             if (other != n) through = std::min(through, node.reached[other]);
           }
-          node.order.in_touch(through);
+          node.order.on_peers_in_touch(through);
         });
       });
     }
     if (now_ < at(8000)) later(500, [this, n] { beat(n); });
   }
-  void release(int n, Level level) {
-    std::vector<std::pair<Level, Instant>> out;
+  void release(int n, JobStage level) {
+    std::vector<std::pair<JobStage, Instant>> out;
     std::erase_if(nodes_[n].waiting, [&](const auto& w) {
       if (w.first == level) out.push_back(w);
       return w.first == level;
     });
     for (const auto& [l, sent] : out) give(n, l, sent);
   }
-  void give(int n, Level level, Instant sent) {
-    if (!nodes_[n].order.stands("j", level, sent, now_)) {
+  void give(int n, JobStage level, Instant sent) {
+    if (!nodes_[n].order.may_answer("j", level, sent, now_)) {
       ask(n, 3);
       return;
     }
@@ -145,10 +145,10 @@
   }
 
   struct Node {
-    AnswerOrder order{false};
-    std::vector<std::pair<Level, Instant>> waiting;
+    ReadConsistency order{false};
+    std::vector<std::pair<JobStage, Instant>> waiting;
     std::array<std::set<int>, 2> knows;
-    std::set<Level> announced;
+    std::set<JobStage> announced;
     std::array<Instant, 3> reached{};
   };
   struct Event {
@@ -166,13 +166,13 @@
   int slow_ = 20;
   int cut_ = -1;
   std::deque<Node> nodes_;
-  Level told_ = Level::absent;
+  JobStage told_ = JobStage::absent;
   std::string broken_;
 };
 
 }  // namespace
 
-TEST(AnswerOrder, NoNodeGivesAnOlderAnswerThanAnyHasGiven) {
+TEST(ReadConsistency, NoNodeGivesAnOlderAnswerThanAnyHasGiven) {
   int given = 0;
   int held = 0;
   for (std::uint64_t seed = 1; seed <= 3000; ++seed) {
@@ -186,45 +186,45 @@
   EXPECT_GT(held, 3000);
 }
 
-TEST(AnswerOrder, WhatHasBeenKnownForAWhileOrIsConfirmedIsToldAtOnce) {
+TEST(ReadConsistency, WhatHasBeenKnownForAWhileOrIsConfirmedIsToldAtOnce) {
   const Instant t = Instant{} + from_seconds(100);
-  AnswerOrder order(false);
-  order.seen("a", Level::accepted, t);
-  EXPECT_GT(order.may_tell("a", Level::accepted, t), t);
-  EXPECT_EQ(order.may_tell("a", Level::accepted, t + millis(200)), t + millis(200));
-  order.confirmed("a", Level::accepted);
-  EXPECT_EQ(order.may_tell("a", Level::accepted, t), t);
-  order.seen("a", Level::over, t + from_seconds(1));
-  EXPECT_GT(order.may_tell("a", Level::over, t + from_seconds(2)), t + from_seconds(2));
-  EXPECT_EQ(order.may_tell("a", Level::over, t + from_seconds(3)), t + from_seconds(3));
+  ReadConsistency order(false);
+  order.observe("a", JobStage::accepted, t);
+  EXPECT_GT(order.may_answer_from("a", JobStage::accepted, t), t);
+  EXPECT_EQ(order.may_answer_from("a", JobStage::accepted, t + from_millis(200)), t + from_millis(200));
+  order.on_confirmed("a", JobStage::accepted);
+  EXPECT_EQ(order.may_answer_from("a", JobStage::accepted, t), t);
+  order.observe("a", JobStage::finished, t + from_seconds(1));
+  EXPECT_GT(order.may_answer_from("a", JobStage::finished, t + from_seconds(2)), t + from_seconds(2));
+  EXPECT_EQ(order.may_answer_from("a", JobStage::finished, t + from_seconds(3)), t + from_seconds(3));
   // Announced, it takes less.
-  order.seen("b", Level::over, t);
-  order.announce("b", Level::over, t);
-  EXPECT_GT(order.may_tell("b", Level::over, t + millis(500)), t + millis(500));
-  EXPECT_EQ(order.may_tell("b", Level::over, t + millis(700)), t + millis(700));
+  order.observe("b", JobStage::finished, t);
+  order.announce("b", JobStage::finished, t);
+  EXPECT_GT(order.may_answer_from("b", JobStage::finished, t + from_millis(500)), t + from_millis(500));
+  EXPECT_EQ(order.may_answer_from("b", JobStage::finished, t + from_millis(700)), t + from_millis(700));
   // Where there is no other node, nobody else can say anything.
-  AnswerOrder alone(true);
-  alone.seen("a", Level::over, t);
-  EXPECT_EQ(alone.may_tell("a", Level::over, t), t);
+  ReadConsistency alone(true);
+  alone.observe("a", JobStage::finished, t);
+  EXPECT_EQ(alone.may_answer_from("a", JobStage::finished, t), t);
 }
 
 // At its bound and past it: what is forgotten is announced anew, and nothing is forgotten that an answer
 // still on its way could be older than.
-TEST(AnswerOrder, WhatIsForgottenIsAnnouncedAnew) {
+TEST(ReadConsistency, WhatIsForgottenIsAnnouncedAnew) {
   const Instant t = Instant{} + from_seconds(100);
-  AnswerOrder order(false);
+  ReadConsistency order(false);
   const auto at = [&](int i) { return t + wrenusher::base::Micros{50 * static_cast<std::int64_t>(i)}; };
   constexpr int kAll = 20000;  // in one second
   for (int i = 0; i < kAll; ++i) {
-    order.seen("j" + std::to_string(i), Level::over, at(i));
+    order.observe("j" + std::to_string(i), JobStage::finished, at(i));
     const int old = std::max(0, i - 15000);
-    ASSERT_FALSE(order.stands("j" + std::to_string(old), Level::accepted, at(old - 1), at(i)));
+    ASSERT_FALSE(order.may_answer("j" + std::to_string(old), JobStage::accepted, at(old - 1), at(i)));
   }
-  EXPECT_EQ(order.kept(), static_cast<std::size_t>(kAll));
+  EXPECT_EQ(order.size(), static_cast<std::size_t>(kAll));
   const Instant later = t + from_seconds(20);
-  order.seen("one more", Level::over, later);
-  EXPECT_LT(order.kept(), 9000U);
-  EXPECT_GT(order.may_tell("j0", Level::over, later), later);
+  order.observe("one more", JobStage::finished, later);
+  EXPECT_LT(order.size(), 9000U);
+  EXPECT_GT(order.may_answer_from("j0", JobStage::finished, later), later);
 }
 
 // Both records were asked for one after the other, and neither was there: meanwhile this node had told that
@@ -245,7 +245,7 @@
     }
     DeskByHand::answer(read, 404, DeskByHand::none(5));
     const auto end = d.sent();
-    d.rt.pass(millis(1));
+    d.rt.pass(from_millis(1));
     accept();
     ASSERT_EQ(d.states, std::vector<std::string>{"pending"}) << how;
     DeskByHand::answer(end, 404, DeskByHand::none(6));
@@ -260,13 +260,13 @@
   DeskByHand d;
   d.poll();
   const auto slow = d.sent();
-  d.rt.pass(millis(1));
+  d.rt.pass(from_millis(1));
   d.poll();
   DeskByHand::answer(d.sent(), 404, DeskByHand::none(9));
   DeskByHand::answer(d.sent(), 200, d.over());
   ASSERT_EQ(d.states, std::vector<std::string>{"done"});
-  d.rt.pass(millis(1));
-  const std::string ref = d.ref;
+  d.rt.pass(from_millis(1));
+  const std::string job_id = d.ref;
   for (int i = 0; i < 12100; ++i) {
     d.ref = "req-" + std::to_string(200000 + i);
     d.poll();
@@ -275,7 +275,7 @@
     DeskByHand::answer(d.sent(), 200, d.over());
     d.rt.pass(wrenusher::base::Micros{100});
   }
-  d.ref = ref;
+  d.ref = job_id;
   d.states.clear();
   DeskByHand::answer(slow, 200, d.live(5, false));
   EXPECT_TRUE(d.states.empty());  // asked again
@@ -305,13 +305,13 @@
     DeskByHand::answer(d.sent(), 200, DeskByHand::none(6));
     EXPECT_TRUE(d.states.empty());
     ASSERT_EQ(d.announced.size(), 1U);
-    EXPECT_EQ(d.announced[0].level, Level::over);
-    d.rt.pass(millis(500));
+    EXPECT_EQ(d.announced[0].stage, JobStage::finished);
+    d.rt.pass(from_millis(500));
     EXPECT_TRUE(d.states.empty());
     if (confirmed) {
-      d.desk.on_confirmed(d.announced[0]);
+      d.desk.on_stage_confirmed(d.announced[0]);
     } else {
-      d.rt.pass(millis(200));
+      d.rt.pass(from_millis(200));
     }
     EXPECT_EQ(d.states, std::vector<std::string>{"withdrawn"}) << confirmed;
   }
@@ -322,16 +322,16 @@
 TEST(CloseLooks, ASlowAnswerIsGivenOnlyWhileThePeersAreInTouch) {
   for (const bool in_touch : {true, false}) {
     DeskByHand d(2);
-    d.desk.on_followed({{d.ref}, {}});
+    d.desk.on_records_changed({{d.ref}, {}});
     d.rt.pass(from_seconds(1));
     d.poll();
     const auto slow = d.sent();
-    d.rt.pass(millis(700));
+    d.rt.pass(from_millis(700));
     for (const char* peer : {"c1", "c2"}) {
-      wrenusher::mail::PeerNews news;
+      wrenusher::mail::PeerStatus news;
       news.node = peer;
-      if (in_touch || *(peer + 1) == '1') news.reached = d.rt.at - millis(400);
-      d.desk.on_peer(news);
+      if (in_touch || *(peer + 1) == '1') news.asked_at = d.rt.at - from_millis(400);
+      d.desk.on_peer_status(news);
     }
     DeskByHand::answer(slow, 200, d.live(5, false));
     EXPECT_EQ(d.states.size(), in_touch ? 1U : 0U);
@@ -342,15 +342,15 @@
   DeskByHand d(2);
   d.poll();
   const auto old = d.sent();
-  d.desk.on_announced({d.ref, Level::over});
-  d.rt.pass(millis(1));
+  d.desk.on_stage_announced({d.ref, JobStage::finished});
+  d.rt.pass(from_millis(1));
   DeskByHand::answer(old, 200, d.live(5, false));
   EXPECT_TRUE(d.states.empty());
   DeskByHand::answer(d.sent(), 409, Value::Map{{"failed", Value::List{"job/" + d.ref}}, {"ledger_rev", 9}});
   DeskByHand::answer(d.sent(), 404, DeskByHand::none(9));
   DeskByHand::answer(d.sent(), 200, d.over());
   ASSERT_FALSE(d.announced.empty());
-  d.desk.on_confirmed(d.announced.back());
+  d.desk.on_stage_confirmed(d.announced.back());
   EXPECT_EQ(d.states, std::vector<std::string>{"done"});
 }
 
@@ -377,7 +377,7 @@
   EXPECT_TRUE(broken({{200, body("pending"), 0}, {404, {}, 0}}, withdraw));
   EXPECT_TRUE(broken({{200, body("withdrawn"), 0}, {200, body("pending"), 0}}, submit));
   Checker c(settings);
-  c.never("req-000001");
+  c.never_submitted("req-000001");
   c.answered_submit(t, "req-000001", 422);
   EXPECT_TRUE(c.broken().empty());
   c.answered_submit(t, "req-000001", 201);
@@ -410,20 +410,22 @@
   for (std::size_t m = 0; m < meetings.size(); ++m) {
     for (std::uint64_t seed = 1; seed <= 2; ++seed) {
       World w(700 + 10 * m + seed);
-      w.strike({"close_looks", {}, from_seconds(110), {}, "", 0});
-      w.strike({"cancel_at_end", {}, from_seconds(110), {}, "", 0.3});
-      w.at(from_seconds(10), [&w] { w.strike({"odd_requests", {}, from_seconds(70), {}, "", 0}); });
+      w.inject_fault({"close_looks", {}, from_seconds(110), {}, "", 0});
+      w.inject_fault({"cancel_at_end", {}, from_seconds(110), {}, "", 0.3});
+      w.at(from_seconds(10), [&w] { w.inject_fault({"odd_requests", {}, from_seconds(70), {}, "", 0}); });
       for (int i = 0; i < 60; ++i) {
-        JobTruth job;
+        SimulatedJob job;
         job.spec = World::job(i, 1 + static_cast<std::uint32_t>(w.pick(2)), 1, w.uniform(1, 8));
-        job.run = job.spec.expected;
+        job.run_time = job.spec.expected_runtime;
         w.at(from_seconds(8 + i * 1.0), [&w, job] { w.submit(job); });
         if (i % 4 == 1)
-          w.at(from_seconds(8 + i + w.uniform(0, 6)), [&w, ref = job.spec.ref] { w.withdraw(ref); });
+          w.at(from_seconds(8 + i + w.uniform(0, 6)), [&w, job_id = job.spec.job_id] { w.cancel(job_id); });
       }
       const Meeting& t = meetings[m];
       if (*t.with != 0)
-        w.at(from_seconds(t.at), [&w, t] { w.strike({t.with, {}, from_seconds(t.lasts), {}, t.whom, 0}); });
+        w.at(from_seconds(t.at), [&w, t] {
+          w.inject_fault({t.with, {}, from_seconds(t.lasts), {}, t.whom, 0});
+        });
       w.run(from_seconds(100));
       w.heal();
       w.checker.troubles_over(w.now());
--- a/tests/by_hand.hpp
+++ b/tests/by_hand.hpp
@@ -12,17 +12,17 @@
  public:
   struct Call {
     Request request;
-    Done done;
+    CallHandler done;
   };
   Instant at = Instant{} + from_seconds(50);
   std::vector<Call> calls;
 
   Instant now() const override { return at; }
-  WallTime wall() const override { return WallTime{} + from_seconds(50); }
+  WallTime wall_time() const override { return WallTime{} + from_seconds(50); }
   std::mt19937_64& random() override { return random_; }
   void post(std::function<void()> f) override { f(); }
   void after(Micros delay, std::function<void()> f) override { timers_.emplace(at + delay, std::move(f)); }
-  void fetch(const Endpoint&, Request r, Micros, Done done) override {
+  void call(const Endpoint&, Request r, Micros, CallHandler done) override {
     calls.push_back({std::move(r), std::move(done)});
   }
   /// Moves the clock at one go, as for a node that stood still, and then runs what was due.
--- a/tests/cancelled_test.cpp
+++ b/tests/cancelled_test.cpp
@@ -13,7 +13,7 @@
 
 using namespace wrenusher::lab;
 using namespace wrenusher::protocol;
-using wrenusher::membership::Cancellations;
+using wrenusher::membership::CancellationLog;
 
 namespace {
 
@@ -37,9 +37,9 @@
       : w(seed, with(World::default_site(std::move(settings)), controllers), 6) {
     for (int i = 0; i < jobs; ++i) {
       JobSpec s = World::job(i, 1 + static_cast<std::uint32_t>(i % 3), 2, 400);
-      if (i % 5 == 3) s.shape = Shape::gang, s.same_place = true;
-      if (i % 5 == 4) s.shape = Shape::daemon, s.expected = {};
-      refs.push_back(s.ref);
+      if (i % 5 == 3) s.type = JobType::gang, s.single_zone = true;
+      if (i % 5 == 4) s.type = JobType::service, s.expected_runtime = {};
+      refs.push_back(s.job_id);
       w.submit(s);
     }
     w.run(from_seconds(45));
@@ -53,18 +53,19 @@
   }
 
   /// What the job's user asks, at that controller alone; again, until it is confirmed.
-  void withdraw(int controller, const std::string& ref) {
-    w.checker.asked_withdraw(ref);
-    w.tell(controller, {"POST", "/submissions/" + ref + "/withdraw", {}},
-           [this, ref, asked = w.now()](const wrenusher::base::Outcome& o) {
-             const std::string state = state_in(o);
-             w.checker.answered_withdraw(w.now(), ref, o.answered ? o.response.status : 0, state, asked);
-             if (state != "withdrawn") return;
-             ++confirmations;
-             told_by_next.insert(ref);
-           });
+  void withdraw(int controller, const std::string& job_id) {
+    w.checker.asked_cancel(job_id);
+    w.send_commands(controller, {"POST", "/submissions/" + job_id + "/withdraw", {}},
+                    [this, job_id, asked = w.now()](const wrenusher::base::CallResult& o) {
+                      const std::string state = state_in(o);
+                      w.checker.answered_cancel(w.now(), job_id, o.answered ? o.response.status : 0, state,
+                                                asked);
+                      if (state != "withdrawn") return;
+                      ++confirmations;
+                      told_by_next.insert(job_id);
+                    });
   }
-  static std::string state_in(const wrenusher::base::Outcome& o) {
+  static std::string state_in(const wrenusher::base::CallResult& o) {
     const auto v = o.answered ? decode(o.response.body) : std::nullopt;
     return v && (*v)["status"].text() != nullptr ? *(*v)["status"].text() : "";
   }
@@ -80,7 +81,7 @@
   std::set<std::pair<std::string, std::uint32_t>> on_machines() const {
     std::set<std::pair<std::string, std::uint32_t>> out;
     for (const std::string& h : w.hosts()) {
-      for (const auto& u : w.units_on(h)) out.insert(u);
+      for (const auto& u : w.tasks_on(h)) out.insert(u);
     }
     return out;
   }
@@ -100,7 +101,7 @@
 
 /// A node that does not reach all its peers confirms a cancellation six tenths of a second after it has
 /// written it (docs/design.md, "The order of answers"); what is to happen once it has confirmed happens then.
-constexpr Micros kConfirmed = millis(690);
+constexpr Micros kConfirmed = from_millis(690);
 
 /// A way in which the leader does not learn of what `next` confirms; called as the refusal begins.
 struct Way {
@@ -114,7 +115,7 @@
 }
 
 std::vector<Way> ways() {
-  const auto cut = [](Gap& g) { g.w.cut(name_of(g.leader), name_of(g.next), Cut::reset); };
+  const auto cut = [](Gap& g) { g.w.cut(name_of(g.leader), name_of(g.next), LinkCut::reset); };
   return {
       {"nothing besides", [](Gap& g) { cancel_half(g, g.next); }},
       {"confirmed by both others",
@@ -152,23 +153,24 @@
       {"a poll tells first, of a cancellation whose answer was lost",
        [](Gap& g) {
          for (std::size_t i = 0; i < g.refs.size(); ++i) {
-           g.w.at(millis(10 * static_cast<std::int64_t>(i)), [&g, i] {
+           g.w.at(from_millis(10 * static_cast<std::int64_t>(i)), [&g, i] {
              g.w.heal();
              g.withdraw(g.next, g.refs[i]);
              // It reads the job, and what it then writes is executed without an answer, for some of them.
-             g.w.at(millis(4), [&g] { g.w.cut_one_way("state", name_of(g.next), Cut::reset); });
+             g.w.at(from_millis(4), [&g] { g.w.cut_one_way("state", name_of(g.next), LinkCut::reset); });
            });
          }
-         g.w.at(millis(250), [&g] {
-           for (const std::string& ref : g.refs) {
-             if (g.w.told(ref) == "withdrawn" || g.told_by_next.contains(ref)) continue;
-             g.w.tell(g.third, {"GET", "/submissions/" + ref, {}},
-                      [&g, ref, asked = g.w.now()](const wrenusher::base::Outcome& o) {
-                        const std::string state = Gap::state_in(o);
-                        if (state != "withdrawn") return;
-                        ++g.confirmations;
-                        g.w.checker.answered_poll(g.w.now(), ref, o.response.status, state, asked);
-                      });
+         g.w.at(from_millis(250), [&g] {
+           for (const std::string& job_id : g.refs) {
+             if (g.w.told(job_id) == "withdrawn" || g.told_by_next.contains(job_id)) continue;
+             g.w.send_commands(g.third, {"GET", "/submissions/" + job_id, {}},
+                               [&g, job_id, asked = g.w.now()](const wrenusher::base::CallResult& o) {
+                                 const std::string state = Gap::state_in(o);
+                                 if (state != "withdrawn") return;
+                                 ++g.confirmations;
+                                 g.w.checker.answered_poll(g.w.now(), job_id, o.response.status, state,
+                                                           asked);
+                               });
            }
          });
        }},
@@ -202,7 +204,7 @@
     const std::size_t before = g.on_machines().size();
     ASSERT_GE(before, 12U) << way.name;
     g.refuse_leader(14);
-    g.w.run(millis(50));
+    g.w.run(from_millis(50));
     way.strike(g);
     g.w.run(from_seconds(until_outage));
     g.outage(kLongOutage);
@@ -253,7 +255,7 @@
   }
   if (controllers > 1 && chance(0.7)) {
     const int other = confirms == g.leader ? g.next : g.leader;
-    const Cut how = chance(0.5) ? Cut::reset : Cut::hold;
+    const LinkCut how = chance(0.5) ? LinkCut::reset : LinkCut::hold;
     const bool both = chance(0.6);
     say(both ? "their link is cut" : "their link is cut one way", 0);
     if (both) {
@@ -276,7 +278,7 @@
     const std::vector<std::string> hosts = w.hosts();
     const std::string host = hosts[static_cast<std::size_t>(w.pick(static_cast<int>(hosts.size())))];
     say(host + " is deaf", 0);
-    w.deafen(host, Cut::reset);
+    w.drop_inbound(host, LinkCut::reset);
   }
   if (chance(0.3)) {
     const std::vector<std::string> hosts = w.hosts();
@@ -288,7 +290,7 @@
   if (controllers > 1 && chance(0.3)) {
     say("some workers don't reach the leader", 0);
     for (const std::string& h : w.hosts()) {
-      if (w.pick(3) == 0) w.cut(name_of(g.leader), h, Cut::reset);
+      if (w.pick(3) == 0) w.cut(name_of(g.leader), h, LinkCut::reset);
     }
   }
   say("the state service is away", away);
@@ -337,10 +339,10 @@
   site.state_write_rps = 9000;
   // The leader is refused for a second before the outage: with a shorter hold it would hand over to a peer
   // that had the state service a little longer.
-  site.tunables.hold_life = from_seconds(8);
+  site.tunables.leader_lease = from_seconds(8);
   Gap g(7, 330, site);
   ASSERT_GE(g.leader, 0);
-  g.w.cut(name_of(g.leader), name_of(g.next), Cut::reset);
+  g.w.cut(name_of(g.leader), name_of(g.next), LinkCut::reset);
   g.refuse_leader(14);
   // Those that run come first: they are the ones that newer ones would push out. Two of them stay.
   std::set<std::string> running = g.jobs_on_machines();
@@ -348,7 +350,7 @@
   std::stable_partition(g.refs.begin(), g.refs.end(), [&](const auto& r) { return running.contains(r); });
   g.refs.erase(g.refs.begin(), g.refs.begin() + 2);
   for (std::size_t i = 0; i < g.refs.size(); ++i)
-    g.w.at(millis(static_cast<std::int64_t>(i)), [&g, i] { g.withdraw(g.next, g.refs[i]); });
+    g.w.at(from_millis(static_cast<std::int64_t>(i)), [&g, i] { g.withdraw(g.next, g.refs[i]); });
   g.w.run(from_seconds(0.4) + kConfirmed);
   EXPECT_GE(g.confirmations, 300);
   g.w.heal();
@@ -358,10 +360,10 @@
   // They are told all the same, so that nothing else has to be let go: what nobody cancelled is there. A
   // cancellation whose answer was lost may be either.
   const std::set<std::string> left = g.jobs_on_machines();
-  for (const std::string& ref : left) EXPECT_FALSE(g.told_by_next.contains(ref)) << ref;
-  for (const std::string& ref : g.refs) running.erase(ref);
+  for (const std::string& job_id : left) EXPECT_FALSE(g.told_by_next.contains(job_id)) << job_id;
+  for (const std::string& job_id : g.refs) running.erase(job_id);
   EXPECT_EQ(running.size(), 2U);
-  for (const std::string& ref : running) EXPECT_TRUE(left.contains(ref)) << ref;
+  for (const std::string& job_id : running) EXPECT_TRUE(left.contains(job_id)) << job_id;
   g.w.run(from_seconds(20));
   expect_kept(g.w);
 }
@@ -375,7 +377,7 @@
     const std::uint64_t term = g.w.terms();
     g.w.state_refuses(g.leader, true);
     // The last leader does not hear of it, or it would stop them itself.
-    g.w.cut(name_of(g.leader), name_of(g.third), Cut::reset);
+    g.w.cut(name_of(g.leader), name_of(g.third), LinkCut::reset);
     cancel_half(g, g.third);
     ASSERT_NO_FATAL_FAILURE(g.run_until_term_after(term));
     g.w.heal();
@@ -394,11 +396,11 @@
     Gap g(90 + seed, 14, World::small_site(), 1);
     ASSERT_EQ(g.leader, 0);
     // It confirms and ends; nothing of that reaches a worker.
-    for (const std::string& h : g.w.hosts()) g.w.cut_one_way("c0", h, Cut::reset);
+    for (const std::string& h : g.w.hosts()) g.w.cut_one_way("c0", h, LinkCut::reset);
     cancel_half(g, 0);
-    g.w.run(millis(60));
+    g.w.run(from_millis(60));
     const std::uint64_t term = g.w.terms();
-    g.w.crash(0, millis(200));
+    g.w.crash(0, from_millis(200));
     g.w.heal();
     ASSERT_NO_FATAL_FAILURE(g.run_until_term_after(term));
     g.outage(kLongOutage);
@@ -414,16 +416,16 @@
     Gap g(110 + seed);
     ASSERT_GE(g.leader, 0);
     g.refuse_leader(14);
-    g.w.run(millis(50));
+    g.w.run(from_millis(50));
     cancel_half(g, g.next);
-    g.w.run(millis(130));
+    g.w.run(from_millis(130));
     g.w.crash(g.next, from_seconds(300));
     g.outage(30);
     g.w.run(from_seconds(10));
     const std::set<std::string> left = g.jobs_on_machines();
     EXPECT_FALSE(left.empty());
     EXPECT_GE(g.told_by_next.size(), 4U);
-    for (const std::string& ref : g.told_by_next) EXPECT_FALSE(left.contains(ref)) << ref;
+    for (const std::string& job_id : g.told_by_next) EXPECT_FALSE(left.contains(job_id)) << job_id;
     g.w.run(from_seconds(60));
     expect_kept(g.w);
   }
@@ -437,14 +439,14 @@
       ASSERT_GE(g.leader, 0);
       // The leader hears of it neither from the state service nor from the node that confirms, which is back
       // at once; so nobody is left who knows, but the state service.
-      g.w.cut_one_way("state", name_of(g.leader), Cut::reset);
-      for (const int other : {g.leader, g.next}) g.w.cut(name_of(g.third), name_of(other), Cut::reset);
+      g.w.cut_one_way("state", name_of(g.leader), LinkCut::reset);
+      for (const int other : {g.leader, g.next}) g.w.cut(name_of(g.third), name_of(other), LinkCut::reset);
       cancel_half(g, g.third);
       g.w.run(kConfirmed);
       const std::uint64_t term = g.w.terms();
       g.w.crash(g.leader, from_seconds(300));
-      g.w.crash(g.third, millis(400));
-      if (!standby) g.w.crash(g.next, millis(300));  // so that neither has followed anything
+      g.w.crash(g.third, from_millis(400));
+      if (!standby) g.w.crash(g.next, from_millis(300));  // so that neither has followed anything
       g.w.heal();
       ASSERT_NO_FATAL_FAILURE(g.run_until_term_after(term));
       g.outage(kLongOutage);
@@ -473,12 +475,12 @@
 namespace {
 
 Instant at(int ms) {
-  return Instant{} + from_seconds(100) + millis(ms);
+  return Instant{} + from_seconds(100) + from_millis(ms);
 }
 
-Value beat(std::uint64_t life, std::uint64_t from, std::uint64_t last, std::vector<std::string> refs) {
+Value beat(std::uint64_t life, std::uint64_t from, std::uint64_t last, std::vector<std::string> job_ids) {
   Value::List rows;
-  for (const std::string& r : refs) rows.emplace_back(r);
+  for (const std::string& r : job_ids) rows.emplace_back(r);
   return Value::Map{{"withdrawn", std::move(rows)},
                     {"log", Value::List{life, from, last}},
                     {"got", Value::List{std::uint64_t{0}, std::uint64_t{0}}}};
@@ -488,79 +490,80 @@
 
 // The proof's cases one by one.
 TEST(Cancelled, WhatIsKnownGrowsByAnswersAloneAndStopsWithAnotherLifeOrAGap) {
-  Cancellations c(5, {"c1"});
+  CancellationLog c(5, {"c1"});
   c.begin(at(0), from_seconds(30));
-  EXPECT_EQ(c.through(), Cancellations::kNever);  // an earlier life of its own may have told anything
-  Cancellations single(6, {});
+  EXPECT_EQ(c.known_through(), CancellationLog::kNever);  // an earlier life of its own may have told anything
+  CancellationLog single(6, {});
   single.begin(at(0), from_seconds(30));
-  EXPECT_EQ(single.through(), Cancellations::kNever);
+  EXPECT_EQ(single.known_through(), CancellationLog::kNever);
   single.on_read(at(10));
-  EXPECT_EQ(single.through(), Instant::max());
+  EXPECT_EQ(single.known_through(), Instant::max());
   c.on_read(at(10));
-  EXPECT_EQ(c.through(), at(10));
+  EXPECT_EQ(c.known_through(), at(10));
   // A word that came by itself proves nothing of when it was said; another life owes what came before it.
-  EXPECT_EQ(c.take("c1", beat(9, 1, 1, {"req-1"}), std::nullopt, at(20)).refs.size(), 1U);
-  EXPECT_EQ(c.through(), at(10));
-  c.take("c1", beat(9, 2, 2, {"req-2"}), at(30), at(31));
-  EXPECT_EQ(c.through(), at(10));
+  EXPECT_EQ(c.merge("c1", beat(9, 1, 1, {"req-1"}), std::nullopt, at(20)).job_ids.size(), 1U);
+  EXPECT_EQ(c.known_through(), at(10));
+  c.merge("c1", beat(9, 2, 2, {"req-2"}), at(30), at(31));
+  EXPECT_EQ(c.known_through(), at(10));
   c.on_read(at(25));
-  EXPECT_EQ(c.through(), at(30));  // of that life all was told, of earlier ones the state service had it
-  c.take("c1", beat(9, 3, 3, {}), at(40), at(41));
-  EXPECT_EQ(c.through(), at(30));  // one is open
-  c.take("c1", beat(9, 3, 3, {"req-3"}), at(50), at(51));
-  EXPECT_EQ(c.through(), at(50));
+  EXPECT_EQ(c.known_through(),
+            at(30));  // of that life all was told, of earlier ones the state service had it
+  c.merge("c1", beat(9, 3, 3, {}), at(40), at(41));
+  EXPECT_EQ(c.known_through(), at(30));  // one is open
+  c.merge("c1", beat(9, 3, 3, {"req-3"}), at(50), at(51));
+  EXPECT_EQ(c.known_through(), at(50));
   // A part is missing, and later a new life: neither grows before the state service was asked since.
-  c.take("c1", beat(9, 6, 6, {"req-6"}), at(60), at(61));
-  EXPECT_EQ(c.through(), at(50));
+  c.merge("c1", beat(9, 6, 6, {"req-6"}), at(60), at(61));
+  EXPECT_EQ(c.known_through(), at(50));
   c.on_read(at(60));
-  EXPECT_EQ(c.through(), at(60));  // by the state service alone
-  c.take("c1", beat(9, 7, 6, {}), at(70), at(71));
-  EXPECT_EQ(c.through(), at(60));
+  EXPECT_EQ(c.known_through(), at(60));  // by the state service alone
+  c.merge("c1", beat(9, 7, 6, {}), at(70), at(71));
+  EXPECT_EQ(c.known_through(), at(60));
   c.on_read(at(62));
-  EXPECT_EQ(c.through(), at(70));
-  c.take("c1", beat(11, 1, 0, {}), at(80), at(81));
-  EXPECT_EQ(c.through(), at(70));
+  EXPECT_EQ(c.known_through(), at(70));
+  c.merge("c1", beat(11, 1, 0, {}), at(80), at(81));
+  EXPECT_EQ(c.known_through(), at(70));
   c.on_read(at(81));
-  EXPECT_EQ(c.through(), at(81));
+  EXPECT_EQ(c.known_through(), at(81));
 }
 
 // Rows are kept until every peer has them, and not longer; more than one heartbeat carries come with the
 // next.
 TEST(Cancelled, RowsAreKeptUntilEveryPeerHasConfirmedThem) {
-  Cancellations teller(5, {"b", "c"});
-  Cancellations b(6, {"a"});
-  Cancellations c(7, {"a"});
-  for (Cancellations* x : {&teller, &b, &c}) x->begin(at(0), from_seconds(1000));
-  const auto exchange = [&](Cancellations& with, const char* name, int ms) {
+  CancellationLog teller(5, {"b", "c"});
+  CancellationLog b(6, {"a"});
+  CancellationLog c(7, {"a"});
+  for (CancellationLog* x : {&teller, &b, &c}) x->begin(at(0), from_seconds(1000));
+  const auto exchange = [&](CancellationLog& with, const char* name, int ms) {
     Value::Map there;
     teller.write(name, there);
-    const auto taken = with.take("a", Value(std::move(there)), at(ms), at(ms));
-    EXPECT_EQ(taken.fault, "");
+    const auto taken = with.merge("a", Value(std::move(there)), at(ms), at(ms));
+    EXPECT_EQ(taken.error, "");
     Value::Map back;
     with.write("a", back);
-    EXPECT_EQ(teller.take(name, Value(std::move(back)), std::nullopt, at(ms)).fault, "");
-    return taken.refs.size();
+    EXPECT_EQ(teller.merge(name, Value(std::move(back)), std::nullopt, at(ms)).error, "");
+    return taken.job_ids.size();
   };
   exchange(b, "b", 10);
   b.on_read(at(20));
-  for (int i = 0; i < 2500; ++i) EXPECT_TRUE(teller.tell("req-" + std::to_string(100000 + i), at(30)));
-  EXPECT_FALSE(teller.tell("req-100000", at(31)));
+  for (int i = 0; i < 2500; ++i) EXPECT_TRUE(teller.record_told("req-" + std::to_string(100000 + i), at(30)));
+  EXPECT_FALSE(teller.record_told("req-100000", at(31)));
   EXPECT_EQ(exchange(b, "b", 40), 1000U);
   EXPECT_EQ(exchange(b, "b", 50), 1000U);
-  EXPECT_EQ(b.through(), at(20));
+  EXPECT_EQ(b.known_through(), at(20));
   EXPECT_EQ(exchange(b, "b", 60), 500U);
-  EXPECT_EQ(b.through(), at(60));
+  EXPECT_EQ(b.known_through(), at(60));
   EXPECT_EQ(exchange(b, "b", 70), 0U);
-  EXPECT_EQ(teller.kept(), 2500U);
+  EXPECT_EQ(teller.size(), 2500U);
   for (int i = 0; i < 3; ++i) exchange(c, "c", 80 + i);
-  EXPECT_EQ(teller.kept(), 0U);
+  EXPECT_EQ(teller.size(), 0U);
 }
 
 TEST(Cancelled, AListThatContradictsItselfIsRefusedAsAWholeAndNeverConfirmed) {
-  Cancellations c(5, {"c1"});
+  CancellationLog c(5, {"c1"});
   c.begin(at(0), from_seconds(30));
   c.on_read(at(1));
-  c.take("c1", beat(9, 1, 2, {"req-1", "req-2"}), at(2), at(3));
+  c.merge("c1", beat(9, 1, 2, {"req-1", "req-2"}), at(2), at(3));
   c.on_read(at(4));
   const auto got = [&] {
     Value::Map out;
@@ -580,25 +583,26 @@
         with("log", Value::List{std::uint64_t{9}, std::uint64_t{3}}), beat(0, 3, 3, {"req-3"}),
         beat(9, 0, 3, {"req-3"}), beat(9, 3, 2, {"req-3"}), beat(9, 1, 1, {"req-1"}),
         with("got", Value::List{std::uint64_t{5}, std::uint64_t{1}}), with("got", Value("x"))}) {
-    const auto t = c.take("c1", bad, at(50), at(51));
-    EXPECT_FALSE(t.fault.empty());
-    EXPECT_TRUE(t.refs.empty());
+    const auto t = c.merge("c1", bad, at(50), at(51));
+    EXPECT_FALSE(t.error.empty());
+    EXPECT_TRUE(t.job_ids.empty());
     EXPECT_EQ(got(), before);
-    EXPECT_EQ(c.through(), at(4));
+    EXPECT_EQ(c.known_through(), at(4));
   }
   // Of 0.6: known, but not counted.
-  EXPECT_EQ(c.take("c1", Value::Map{{"withdrawn", Value::List{Value("req-8")}}}, at(60), at(61)).refs.size(),
-            1U);
+  EXPECT_EQ(
+      c.merge("c1", Value::Map{{"withdrawn", Value::List{Value("req-8")}}}, at(60), at(61)).job_ids.size(),
+      1U);
   EXPECT_EQ(got(), before);
-  EXPECT_EQ(c.through(), at(4));
+  EXPECT_EQ(c.known_through(), at(4));
 }
 
 // Two nodes whose words are lost, late, repeated and of several lives: whatever one says that it knows
 // through, it was handed all that the other had told before.
 RC_GTEST_PROP(Cancelled, WhatIsSaidToBeKnownIsKnownWhateverBecomesOfTheWords, ()) {
   std::uint64_t life = 100;
-  auto teller = std::make_unique<Cancellations>(++life, std::vector<std::string>{"b"});
-  Cancellations hearer(7, {"a"});
+  auto teller = std::make_unique<CancellationLog>(++life, std::vector<std::string>{"b"});
+  CancellationLog hearer(7, {"a"});
   int ms = 0;
   teller->begin(at(0), from_seconds(1000));
   hearer.begin(at(0), from_seconds(1000));
@@ -615,14 +619,14 @@
     switch (*rc::gen::inRange(0, 8)) {
       case 0:
       case 1: {
-        const std::string ref = "req-" + std::to_string(1000 + ms);
-        stored.insert(ref);
-        teller->tell(ref, at(ms));
-        told.emplace_back(at(ms), ref);
+        const std::string job_id = "req-" + std::to_string(1000 + ms);
+        stored.insert(job_id);
+        teller->record_told(job_id, at(ms));
+        told.emplace_back(at(ms), job_id);
         break;
       }
       case 2: {  // ends, and is back
-        teller = std::make_unique<Cancellations>(++life, std::vector<std::string>{"b"});
+        teller = std::make_unique<CancellationLog>(++life, std::vector<std::string>{"b"});
         teller->begin(at(ms), from_seconds(1000));
         break;
       }
@@ -634,7 +638,7 @@
       case 4: {  // the hearer says what it has
         Value::Map out;
         hearer.write("a", out);
-        teller->take("b", Value(std::move(out)), std::nullopt, at(ms));
+        teller->merge("b", Value(std::move(out)), std::nullopt, at(ms));
         break;
       }
       default: {  // a word goes out, or comes
@@ -649,10 +653,11 @@
       const auto n = static_cast<std::size_t>(*rc::gen::inRange(0, static_cast<int>(way.size())));
       const Word word = way[n];
       if (*rc::gen::inRange(0, 4) != 0) way.erase(way.begin() + static_cast<std::ptrdiff_t>(n));
-      for (std::string& r : hearer.take("a", word.value, word.asked, at(ms)).refs) heard.insert(std::move(r));
+      for (std::string& r : hearer.merge("a", word.value, word.asked, at(ms)).job_ids)
+        heard.insert(std::move(r));
     }
     for (const auto& [when, ref] : told) {
-      if (when < hearer.through()) RC_ASSERT(heard.contains(ref));
+      if (when < hearer.known_through()) RC_ASSERT(heard.contains(ref));
     }
   }
 }
--- a/tests/capacity_test.cpp
+++ b/tests/capacity_test.cpp
@@ -46,11 +46,11 @@
 WorkerReport report_of(const std::string& name) {
   WorkerReport r;
   r.host = name;
-  r.addr = "10.1.0.1:9000";
-  r.flavor = "small";
-  r.site = "a";
-  r.epoch = 7;
-  r.tenure = r.serial = 1;
+  r.address = "10.1.0.1:9000";
+  r.machine_type = "small";
+  r.zone = "a";
+  r.fencing_token = 7;
+  r.incarnation = r.sequence = 1;
   return r;
 }
 
@@ -59,19 +59,19 @@
   const WorkerReport r = report_of(name);
   return {"POST", "/hello",
           encode(Value::Map{{"host", r.host},
-                            {"addr", r.addr},
-                            {"flavor", r.flavor},
-                            {"site", r.site},
+                            {"addr", r.address},
+                            {"flavor", r.machine_type},
+                            {"site", r.zone},
                             {"standby", false},
-                            {"tenure", r.tenure},
-                            {"serial", r.serial},
-                            {"epoch", r.epoch},
+                            {"tenure", r.incarnation},
+                            {"serial", r.sequence},
+                            {"epoch", r.fencing_token},
                             {"units", Value::List{}}})};
 }
 
 mail::TermChanged leading() {
   mail::TermChanged t;
-  t.epoch = 7;
+  t.fencing_token = 7;
   t.leading = true;
   return t;
 }
@@ -80,27 +80,30 @@
 struct Node {
   wrenusher::settings::Settings settings;
   wrenusher::membership::Peer peer;
-  std::vector<mail::Announcement> announced;
-  std::vector<mail::Announcement> confirmed;
+  std::vector<mail::StageAnnouncement> announced;
+  std::vector<mail::StageAnnouncement> confirmed;
   std::vector<std::string> withdrawn;
   std::vector<bool> announced_all;  ///< of each answer, whether nothing more was to come
   std::vector<std::shared_ptr<const mail::Progress>> progress;
 
-  Node(ByHand& rt, const char* name, const char* other)
+  Node(ByHand& runtime, const char* name, const char* other)
       : settings([&] {
           auto s = World::small_site();
           s.node = name;
           s.peers = {{other, "a", "10.0.0.2:8081"}};
           return s;
         }()),
-        peer(rt, settings) {
-    peer.announced.connect(rt, [this](const mail::Announcement& a) { announced.push_back(a); });
-    peer.confirmed.connect(rt, [this](const mail::Announcement& a) { confirmed.push_back(a); });
-    peer.withdrawn.connect(rt, [this](const mail::JobWithdrawn& w) { withdrawn.push_back(w.ref); });
-    peer.news.connect(rt, [this](const mail::PeerNews& n) {
-      if (n.reached) announced_all.push_back(n.announced_all);
+        peer(runtime, settings) {
+    peer.stage_announced.connect(runtime,
+                                 [this](const mail::StageAnnouncement& a) { announced.push_back(a); });
+    peer.stage_confirmed.connect(runtime,
+                                 [this](const mail::StageAnnouncement& a) { confirmed.push_back(a); });
+    peer.job_cancelled.connect(runtime,
+                               [this](const mail::JobCancelled& w) { withdrawn.push_back(w.job_id); });
+    peer.peer_status.connect(runtime, [this](const mail::PeerStatus& n) {
+      if (n.asked_at) announced_all.push_back(n.announcements_complete);
     });
-    peer.progress.connect(rt,
+    peer.progress.connect(runtime,
                           [this](const std::shared_ptr<const mail::Progress>& p) { progress.push_back(p); });
   }
 };
@@ -128,7 +131,7 @@
   }
   void beats(int n) {
     for (int i = 0; i < n; ++i) {
-      rt.pass(millis(500));
+      rt.pass(from_millis(500));
       deliver();
     }
   }
@@ -137,39 +140,40 @@
 }  // namespace
 
 TEST(Capacity, AMachineThatIsGoneStaysGoneWhereManyAre) {
-  ByHand rt;
+  ByHand runtime;
   const auto settings = World::small_site();
-  wrenusher::fleet::Fleet fleet(rt, settings);
+  wrenusher::fleet::WorkerGateway fleet(runtime, settings);
   std::vector<std::string> reported;
-  fleet.reported.connect(rt, [&](const mail::HostReported& r) { reported.push_back(r.report->host); });
+  fleet.worker_reported.connect(runtime,
+                                [&](const mail::WorkerReported& r) { reported.push_back(r.report->host); });
   fleet.on_term(leading());
-  for (int i = 0; i < kMany; ++i) fleet.on_gone({host(i)});
+  for (int i = 0; i < kMany; ++i) fleet.on_machine_departed({host(i)});
   // A copy of a report that comes late.
   for (const std::string& name : {host(0), host(kMany - 1), host(kMany)})
-    fleet.hello(hello_of(name), [](const Response&) {});
+    fleet.on_report(hello_of(name), [](const Response&) {});
   EXPECT_EQ(reported, std::vector<std::string>{host(kMany)});
 }
 
 TEST(Capacity, ANewLeaderCallsManyMachinesAFixedPartAtATimeAndAllOfThemInTheEnd) {
-  ByHand rt;
+  ByHand runtime;
   const auto settings = World::small_site();
-  wrenusher::fleet::Fleet fleet(rt, settings);
+  wrenusher::fleet::WorkerGateway fleet(runtime, settings);
   fleet.on_term(leading());
-  auto all = std::make_shared<mail::Inheritance>();
+  auto all = std::make_shared<mail::InheritedHints>();
   all->term = 7;
   for (int i = 0; i < kMany; ++i) {
     mail::MachineHint m;
     m.host = host(i);
-    m.addr = "10.1.0.1:" + std::to_string(10000 + i);
-    m.tenure = 1;
+    m.address = "10.1.0.1:" + std::to_string(10000 + i);
+    m.incarnation = 1;
     all->machines.emplace(m.host, m);
   }
-  fleet.on_inherited(all);
-  EXPECT_EQ(rt.calls.size(), std::size_t{kMany / 40});
+  fleet.on_hints_inherited(all);
+  EXPECT_EQ(runtime.calls.size(), std::size_t{kMany / 40});
   std::size_t called = 0;
-  for (int turn = 0; turn < 1000 && !rt.calls.empty(); ++turn) {
+  for (int turn = 0; turn < 1000 && !runtime.calls.empty(); ++turn) {
     // None answers: each is called three times.
-    for (const ByHand::Call& c : std::exchange(rt.calls, {})) {
+    for (const ByHand::Call& c : std::exchange(runtime.calls, {})) {
       ++called;
       c.done({false, true, {}});
     }
@@ -180,43 +184,45 @@
 TEST(Capacity, HintsOfAJobThatFailedOnManyMachinesAndOfALargeBookingAreReadBack) {
   mail::JobHint job{ref(1), {}, from_seconds(8), kMany};
   for (int i = 0; i < kMany; ++i) job.hosts.push_back(host(i));
-  standby::Picture p;
+  standby::HintTable p;
   const wrenusher::base::Instant told{from_seconds(10)};
-  ASSERT_TRUE(p.put(standby::to_row(job), told, 4, 2));
-  ASSERT_TRUE(p.put(standby::to_row(mail::BookingHint{"r-4-9", "small", "a", true, kMany}), told, 4, 2));
-  const mail::Inheritance all = p.inheritance(told);
+  ASSERT_TRUE(p.put(standby::to_hint_row(job), told, 4, 2));
+  ASSERT_TRUE(
+      p.put(standby::to_hint_row(mail::RentalRequestHint{"r-4-9", "small", "a", true, kMany}), told, 4, 2));
+  const mail::InheritedHints all = p.inherited_hints(told);
   ASSERT_EQ(all.jobs.size(), 1U);
   EXPECT_EQ(all.jobs[0].hosts, job.hosts);
-  EXPECT_EQ(all.jobs[0].backoffs, kMany);
-  ASSERT_EQ(all.rentals.bookings.size(), 1U);
-  EXPECT_EQ(all.rentals.bookings[0].count, std::uint32_t{kMany});
+  EXPECT_EQ(all.jobs[0].retry_count, kMany);
+  ASSERT_EQ(all.rentals.requests.size(), 1U);
+  EXPECT_EQ(all.rentals.requests[0].count, std::uint32_t{kMany});
 }
 
 TEST(Capacity, MachinesAreToldToStandbysPageByPageUntilAllAre) {
-  ByHand rt;
+  ByHand runtime;
   wrenusher::estimates::Estimator estimator;
-  wrenusher::machines::Machines machines{rt, estimator};
-  for (int i = 0; i < kMany; ++i) machines.seen(machines.at(host(i)), report_of(host(i)), true);
+  wrenusher::machines::MachineInventory machines{runtime, estimator};
+  for (int i = 0; i < kMany; ++i)
+    machines.update_from_report(machines.get_or_add(host(i)), report_of(host(i)), true);
   std::set<std::string> told;
   for (int page = 0; page < kMany / 300; ++page) {
-    for (const auto* m : machines.take_untold(300)) told.insert(m->name);
+    for (const auto* m : machines.take_pending_hints(300)) told.insert(m->name);
   }
   EXPECT_EQ(told.size(), std::size_t{kMany});
-  EXPECT_TRUE(machines.take_untold(300).empty());
+  EXPECT_TRUE(machines.take_pending_hints(300).empty());
 }
 
 // With more announcements than a heartbeat holds, none may be lost, and what a peer may rely on is said only
 // with the last of them.
 TEST(Capacity, ManyAnnouncementsAtOnceAllReachThePeerOverSeveralHeartbeats) {
   TwoNodes n;
-  for (int i = 0; i < kMany; ++i) n.to.peer.on_announce({ref(i), mail::Level::over});
+  for (int i = 0; i < kMany; ++i) n.to.peer.on_announcement({ref(i), mail::JobStage::finished});
   n.rt.calls.clear();
   n.from.announced_all.clear();
   n.beats(12);
   ASSERT_EQ(n.from.announced.size(), std::size_t{kMany});
-  std::set<std::string> refs;
-  for (const auto& a : n.from.announced) refs.insert(a.ref);
-  EXPECT_EQ(refs.size(), std::size_t{kMany});
+  std::set<std::string> job_ids;
+  for (const auto& a : n.from.announced) job_ids.insert(a.job_id);
+  EXPECT_EQ(job_ids.size(), std::size_t{kMany});
   EXPECT_EQ(n.to.confirmed.size(), std::size_t{kMany});
   EXPECT_LT(n.largest, kBody);
   ASSERT_EQ(n.from.announced_all.size(), 12U);
@@ -228,7 +234,7 @@
 TEST(Capacity, OldAnnouncementsAreDroppedWhereAPeerIsAway) {
   TwoNodes n;
   for (int i = 0; i < kMany; ++i) {
-    n.to.peer.on_announce({ref(i), mail::Level::over});
+    n.to.peer.on_announcement({ref(i), mail::JobStage::finished});
     if (i == 2 * kMany / 3) n.rt.at += from_seconds(5);
   }
   n.rt.calls.clear();
@@ -238,11 +244,11 @@
 
 TEST(Capacity, ManyCancellationsAtOnceAllReachThePeerOverSeveralHeartbeats) {
   TwoNodes n;
-  for (int i = 0; i < kMany; ++i) n.to.peer.on_withdrawn({ref(i)});
+  for (int i = 0; i < kMany; ++i) n.to.peer.on_cancelled({ref(i)});
   n.rt.calls.clear();
   n.beats(12);
-  const std::set<std::string> refs(n.from.withdrawn.begin(), n.from.withdrawn.end());
-  EXPECT_EQ(refs.size(), std::size_t{kMany});
+  const std::set<std::string> job_ids(n.from.withdrawn.begin(), n.from.withdrawn.end());
+  EXPECT_EQ(job_ids.size(), std::size_t{kMany});
   EXPECT_LT(n.largest, kBody);
 }
 
@@ -253,27 +259,27 @@
   const auto longest = [](int i) { return ref(i) + std::string(64 - ref(i).size(), '0'); };
   auto p = std::make_shared<mail::Progress>();
   for (int i = 0; i < kMany; ++i) {
-    n.from.peer.on_withdrawn({longest(i)});
-    n.from.peer.on_announce({longest(i), mail::Level::over});
+    n.from.peer.on_cancelled({longest(i)});
+    n.from.peer.on_announcement({longest(i), mail::JobStage::finished});
     p->rows.push_back({longest(i), 100000, 100000});
   }
-  std::set<std::string> refs;
+  std::set<std::string> job_ids;
   n.rt.calls.clear();
   for (int i = 0; i < 120; ++i) {
     n.from.peer.on_progress(p);
-    n.from.peer.on_aside({"c1", Value::Map{{"rows", std::string(24 * 1024, 'x')}}});
+    n.from.peer.on_attachment({"c1", Value::Map{{"rows", std::string(24 * 1024, 'x')}}});
     n.beats(1);
   }
   for (const auto& got : n.to.progress) {
-    for (const auto& row : got->rows) refs.insert(row.ref);
+    for (const auto& row : got->rows) job_ids.insert(row.job_id);
   }
   EXPECT_LT(n.largest, kBody);
-  EXPECT_EQ(refs.size(), std::size_t{kMany});
+  EXPECT_EQ(job_ids.size(), std::size_t{kMany});
   // Rows come again until they are confirmed.
   const std::set<std::string> withdrawn(n.to.withdrawn.begin(), n.to.withdrawn.end());
   EXPECT_EQ(withdrawn.size(), std::size_t{kMany});
   std::set<std::string> announced;
-  for (const auto& a : n.to.announced) announced.insert(a.ref);
+  for (const auto& a : n.to.announced) announced.insert(a.job_id);
   EXPECT_EQ(announced.size(), std::size_t{kMany});
 }
 
@@ -284,15 +290,15 @@
   n.from.peer.on_progress(p);
   n.beats(8);
   ASSERT_EQ(n.to.progress.size(), 5U);
-  std::set<std::string> refs;
+  std::set<std::string> job_ids;
   for (const auto& page : n.to.progress) {
     ASSERT_TRUE(page->part);
     for (const auto& row : page->rows) {
-      EXPECT_TRUE(page->part->contains(row.ref));
-      EXPECT_TRUE(refs.insert(row.ref).second);
+      EXPECT_TRUE(page->part->contains(row.job_id));
+      EXPECT_TRUE(job_ids.insert(row.job_id).second);
     }
   }
-  EXPECT_EQ(refs.size(), std::size_t{kMany});
+  EXPECT_EQ(job_ids.size(), std::size_t{kMany});
   EXPECT_EQ(n.to.progress.back()->part->through, "");
   // A list that fits is whole, as ever.
   auto few = std::make_shared<mail::Progress>();
@@ -334,18 +340,18 @@
 }
 
 TEST(Capacity, TheLeaderTellsTheTaskCountsOfManyJobs) {
-  ByHand rt;
+  ByHand runtime;
   wrenusher::settings::Settings settings = World::small_site();
   wrenusher::estimates::Estimator estimator;
-  wrenusher::machines::Machines machines{rt, estimator};
-  wrenusher::book::Book book{rt, machines};
-  wrenusher::rounds::Rounds rounds{rt, settings, book, machines, estimator};
+  wrenusher::machines::MachineInventory machines{runtime, estimator};
+  wrenusher::book::JobTable book{runtime, machines};
+  wrenusher::rounds::SchedulingCycle rounds{runtime, settings, book, machines, estimator};
   book.begin(7);
   for (int i = 0; i < kMany; ++i) {
     JobSpec spec = World::job(i, 1, 1, 100);
-    spec.ref = ref(i);
-    auto& job = book.accept(spec.ref, {spec, {}, 1000, false}, 1);
-    book.claim(job, 0, machines.at(host(i)), 1, wrenusher::book::Phase::fresh);
+    spec.job_id = ref(i);
+    auto& job = book.add(spec.job_id, {spec, {}, 1000, false}, 1);
+    book.assign(job, 0, machines.get_or_add(host(i)), 1, wrenusher::book::TaskState::assigned);
   }
   const auto p = rounds.progress();
   ASSERT_TRUE(p);
@@ -440,7 +446,7 @@
     s.state_rps = s.cloud_rps = 1e6;
     return s;
   }();
-  wrenusher::store::Store store{rt, settings};
+  wrenusher::store::KvClient store{rt, settings};
   int pages = 0;
 
   /// Lets time pass, with every list answered by pages as they are asked for.
@@ -448,7 +454,7 @@
     const auto end = rt.at + how_long;
     while (rt.at < end) {
       for (const ByHand::Call& c : std::exchange(rt.calls, {})) answer(c);
-      rt.pass(millis(20));
+      rt.pass(from_millis(20));
     }
   }
 
@@ -475,9 +481,9 @@
       while (i < kMany && "job/" + ref(i) <= from) ++i;
       for (; i < kMany && rows.size() < limit; ++i) {
         JobSpec spec = World::job(0, 1, 1, 10);
-        spec.ref = ref(i);
+        spec.job_id = ref(i);
         rows.emplace_back(Value::Map{{"k", "job/" + ref(i)},
-                                     {"value", wrenusher::records::new_job(spec, {}, 100)},
+                                     {"value", wrenusher::records::write_job(spec, {}, 100)},
                                      {"stamp", std::uint64_t{5}}});
       }
     } else if (target.starts_with("/store?")) {
@@ -500,8 +506,8 @@
 
 TEST(Capacity, AStandbyCopiesManyRecordsPageByPage) {
   ManyRecords m;
-  wrenusher::standby::Copy copy(m.rt, m.settings, m.store);
-  copy.begin();
+  wrenusher::standby::RecordReplica copy(m.rt, m.settings, m.store);
+  copy.start();
   m.answer_for(from_seconds(20));
   EXPECT_EQ(copy.jobs(), std::size_t{kMany});
   EXPECT_EQ(m.pages, kMany / 100);
@@ -510,13 +516,13 @@
 TEST(Capacity, ANewLeaderReadsManyRecordsPageByPage) {
   ManyRecords m;
   wrenusher::estimates::Estimator estimator;
-  wrenusher::machines::Machines machines{m.rt, estimator};
-  wrenusher::book::Book book{m.rt, machines};
-  wrenusher::writer::Writer writer{m.rt, m.settings, m.store, book};
-  wrenusher::ledger::Takeover takeover{m.rt, m.store, book, writer};
+  wrenusher::machines::MachineInventory machines{m.rt, estimator};
+  wrenusher::book::JobTable book{m.rt, machines};
+  wrenusher::writer::CommitBatcher writer{m.rt, m.settings, m.store, book};
+  wrenusher::ledger::Failover takeover{m.rt, m.store, book, writer};
   book.begin(7);
   std::uint64_t revision = 0;
-  takeover.begin([&](std::uint64_t r) { revision = r; });
+  takeover.start_reading([&](std::uint64_t r) { revision = r; });
   m.answer_for(from_seconds(2));
   EXPECT_EQ(revision, 9U);
   EXPECT_EQ(book.jobs().size(), std::size_t{kMany});
@@ -527,9 +533,9 @@
   ManyRecords m;
   wrenusher::provisioner::Provisioner p(m.rt, m.settings, m.store);
   std::set<std::string> listed;
-  p.listed.connect(m.rt, [&](const mail::HostListed& l) { listed.insert(l.host); });
+  p.machine_listed.connect(m.rt, [&](const mail::MachineListed& l) { listed.insert(l.host); });
   p.on_term({true, 3, 7, "c0", {}, {}});
-  p.on_certainty({m.rt.at + from_seconds(30)});
+  p.on_lease_validity({m.rt.at + from_seconds(30)});
   p.start();
   m.answer_for(from_seconds(6));
   EXPECT_EQ(listed.size(), std::size_t{kMany});
@@ -598,26 +604,26 @@
   OpenFiles files;
   const auto limit = wrenusher::net::raise_open_file_limit(2 * kMany + 100);
   ASSERT_TRUE(limit.sufficient()) << "the hard limit of open files is too low for this test";
-  wrenusher::net::UvRuntime rt(kLabSockets, kLabPool);
-  LiveWires wires(rt, 28000);
-  std::vector<Answer> waiting;
-  const auto at = wires.serve("c0", [&](const std::string&, const Request&, const Answer& a) {
+  wrenusher::net::UvRuntime runtime(kTestbedSockets, kTestbedPool);
+  LiveTransport transport(runtime, 28000);
+  std::vector<Responder> waiting;
+  const auto at = transport.serve("c0", [&](const std::string&, const Request&, const Responder& a) {
     // Nobody is answered until all have come.
     waiting.push_back(a);
     if (waiting.size() < std::size_t{kMany}) return;
-    for (const Answer& answer : waiting) answer({200, {}, 0});
+    for (const Responder& answer : waiting) answer({200, {}, 0});
   });
   ASSERT_TRUE(at);
   int good = 0;
   int over = 0;
   for (int i = 0; i < kMany; ++i) {
-    wires.send("m-" + std::to_string(i), *at, {"GET", "/submissions/" + ref(i), {}}, from_seconds(20),
-               [&](const Outcome& o) {
-                 good += o.answered && o.response.status == 200 ? 1 : 0;
-                 if (++over == kMany) rt.stop();
-               });
+    transport.send("m-" + std::to_string(i), *at, {"GET", "/submissions/" + ref(i), {}}, from_seconds(20),
+                   [&](const CallResult& o) {
+                     good += o.answered && o.response.status == 200 ? 1 : 0;
+                     if (++over == kMany) runtime.stop();
+                   });
   }
-  rt.run();
+  runtime.run();
   EXPECT_EQ(good, kMany);
 }
 
@@ -630,9 +636,9 @@
   std::ifstream("/proc/sys/net/core/somaxconn") >> kernel;
   ASSERT_GT(kernel, 256) << "net.core.somaxconn is too low for this test";
   const int many = std::min(kMany, kernel);
-  wrenusher::net::UvRuntime rt(kLabSockets, kLabPool);
-  LiveWires wires(rt, 28300);
-  const auto at = wires.serve("c0", [](const std::string&, const Request&, const Answer&) {});
+  wrenusher::net::UvRuntime runtime(kTestbedSockets, kTestbedPool);
+  LiveTransport transport(runtime, 28300);
+  const auto at = transport.serve("c0", [](const std::string&, const Request&, const Responder&) {});
   ASSERT_TRUE(at);
   sockaddr_in to{};
   uv_ip4_addr("127.0.0.1", std::atoi(at->c_str() + at->rfind(':') + 1), &to);
--- a/tests/desk_by_hand.hpp
+++ b/tests/desk_by_hand.hpp
@@ -19,23 +19,23 @@
     return s;
   }();
   ByHand rt;
-  wrenusher::store::Store store{rt, settings};
-  std::unique_ptr<wrenusher::desk::Frontdesk> made;
-  wrenusher::desk::Frontdesk& desk;
+  wrenusher::store::KvClient store{rt, settings};
+  std::unique_ptr<wrenusher::desk::JobApi> made;
+  wrenusher::desk::JobApi& desk;
   std::vector<std::string> states;  ///< as told, in order
-  std::vector<mail::Announcement> announced;
+  std::vector<mail::StageAnnouncement> announced;
   std::string ref = "req-000001";
 
   explicit DeskByHand(int peers = 0)
       : made([&] {
           for (int i = 1; i <= peers; ++i)
             settings.peers.push_back({"c" + std::to_string(i), "a", "10.0.0." + std::to_string(i) + ":8081"});
-          return std::make_unique<wrenusher::desk::Frontdesk>(rt, settings, store);
+          return std::make_unique<wrenusher::desk::JobApi>(rt, settings, store);
         }()),
         desk(*made) {
-    desk.announcing.connect(rt, [this](const mail::Announcement& a) { announced.push_back(a); });
-    const Flavor f{"small", {to_amount(16), 0, to_amount(64)}, 30, 1, 1, 0.3, from_seconds(8), {"a"}};
-    desk.on_catalog({std::make_shared<Catalog>(Catalog{{"small", f}})});
+    desk.stage_announcement.connect(rt, [this](const mail::StageAnnouncement& a) { announced.push_back(a); });
+    const MachineType f{"small", {to_amount(16), 0, to_amount(64)}, 30, 1, 1, 0.3, from_seconds(8), {"a"}};
+    desk.on_catalog_updated({std::make_shared<Catalog>(Catalog{{"small", f}})});
   }
   void ask(const Request& request) {
     desk.serve(request, [this](const Response& r) {
@@ -48,12 +48,12 @@
   void withdraw() { ask({"POST", "/submissions/" + ref + "/withdraw", {}}); }
   void submit(double cores = 1) {
     JobSpec s = World::job(1, 1, cores, 10);
-    s.ref = ref;
+    s.job_id = ref;
     ask({"POST", "/submissions", encode(write_spec(s))});
   }
   /// The one call that is under way; it is answered when the caller likes.
   ByHand::Call sent() {
-    for (int i = 0; i < 50 && rt.calls.empty(); ++i) rt.pass(millis(10));
+    for (int i = 0; i < 50 && rt.calls.empty(); ++i) rt.pass(from_millis(10));
     EXPECT_EQ(rt.calls.size(), 1U);
     ByHand::Call c = std::move(rt.calls.front());
     rt.calls.clear();
@@ -62,14 +62,15 @@
   static void answer(const ByHand::Call& c, int status, const Value& body) {
     c.done({true, true, {status, encode(body), 0}});
   }
-  Value live(std::uint64_t stamp, bool cancelled) const {
-    Value record = wrenusher::records::new_job(World::job(0, 1, 1, 10), {}, 100);
-    if (cancelled) record = wrenusher::records::withdrawn(record);
-    return Value::Map{{"k", "job/" + ref}, {"value", record}, {"stamp", stamp}};
+  Value live(std::uint64_t mod_revision, bool cancelled) const {
+    Value record = wrenusher::records::write_job(World::job(0, 1, 1, 10), {}, 100);
+    if (cancelled) record = wrenusher::records::cancelled_record(record);
+    return Value::Map{{"k", "job/" + ref}, {"value", record}, {"stamp", mod_revision}};
   }
   Value over() const {
-    return Value::Map{
-        {"k", "end/" + ref}, {"value", wrenusher::records::new_end("done", 1)}, {"stamp", std::uint64_t{9}}};
+    return Value::Map{{"k", "end/" + ref},
+                      {"value", wrenusher::records::write_final_state("done", 1)},
+                      {"stamp", std::uint64_t{9}}};
   }
   static Value none(std::uint64_t revision) { return Value::Map{{"ledger_rev", revision}}; }
 };
--- a/tests/formats_test.cpp
+++ b/tests/formats_test.cpp
@@ -43,16 +43,16 @@
 
 JobSpec a_spec() {
   JobSpec s;
-  s.ref = "req-000412";
-  s.queue = "train";
-  s.owner = "vision";
-  s.units = 3;
-  s.needs = {to_amount(4), to_amount(0), to_amount(13.5)};
-  s.bundle = "img-07";
+  s.job_id = "req-000412";
+  s.job_class = "train";
+  s.team = "vision";
+  s.task_count = 3;
+  s.resources = {to_amount(4), to_amount(0), to_amount(13.5)};
+  s.image = "img-07";
   s.image_gb = 1.25;
-  s.standby = true;
-  s.expected = from_seconds(30);
-  s.due = from_seconds(90);
+  s.spot_allowed = true;
+  s.expected_runtime = from_seconds(30);
+  s.deadline = from_seconds(90);
   return s;
 }
 
@@ -158,7 +158,7 @@
   const std::set<std::string> optional = {"due_s"};
   for (const auto& [name, value] : *good.map()) {
     EXPECT_EQ(read_spec(without(good, name)).has_value(), optional.contains(name)) << name;
-    Fault fault;
+    InvalidField fault;
     EXPECT_FALSE(read_spec(with(good, name, Value::List{Value{}}), &fault)) << name;
     EXPECT_EQ(fault.field, name);
   }
@@ -180,7 +180,7 @@
       {"site", 4},
   };
   for (const auto& [name, value] : bad) {
-    Fault fault;
+    InvalidField fault;
     EXPECT_FALSE(read_spec(with(good, name, value), &fault)) << name;
     EXPECT_EQ(fault.field, name) << fault.what;
     EXPECT_TRUE(fault.what.starts_with("must be")) << fault.what;
@@ -193,35 +193,36 @@
 TEST(Block, ReadsBackWhatItWritesAndKeepsItsLimit) {
   EXPECT_TRUE(rc::check([] {
     const double value_kb = *rc::gen::elementOf(std::vector<double>{1, 4, 16, 64});
-    const std::uint32_t size = records::block_size(value_kb);
+    const std::uint32_t size = records::max_tasks_per_block(value_kb);
     records::BlockRecord b;
-    b.last_try = *rc::gen::inRange<std::uint64_t>(0, 1000000);
-    std::map<std::uint32_t, records::ClaimRow> rows;
+    b.last_attempt = *rc::gen::inRange<std::uint64_t>(0, 1000000);
+    std::map<std::uint32_t, records::AssignmentRow> rows;
     // The worst block: tasks high in a large job, each done or claimed alone, no two alike side by side.
-    const std::uint32_t first = kMaxUnits - size;
-    for (std::uint32_t t = first; t < kMaxUnits; ++t) {
+    const std::uint32_t first = kMaxTasksPerJob - size;
+    for (std::uint32_t t = first; t < kMaxTasksPerJob; ++t) {
       const int kind = *rc::gen::inRange(0, 3);
       if (kind == 1) b.done.add(t);
       if (kind == 2) {
-        records::ClaimRow c;
+        records::AssignmentRow c;
         c.host = "m-" + std::to_string(100000 + t);
-        c.attempt = b.last_try;
+        c.attempt = b.last_attempt;
         c.tasks.add(t);
-        b.claims.push_back(c);
+        b.assignments.push_back(c);
       }
     }
     const records::BlockId id{"req-" + std::string(60, '9'), first / size, 1ULL << 62};
-    const Value v = records::write_block(id, b.last_try, b.done, b.claims, first, kMaxUnits - 1);
+    const Value v =
+        records::write_block(id, b.last_attempt, b.done, b.assignments, first, kMaxTasksPerJob - 1);
     // A slot is a list of such rows; one row alone must always find room in it.
     RC_ASSERT(Value(Value::List{v}).json_size() <= static_cast<std::size_t>(value_kb * 1024) - 2);
     const auto seen = records::read_block_id(v);
     RC_ASSERT(seen.has_value());
-    RC_ASSERT(seen->ref == id.ref && seen->block == id.block && seen->version == id.version);
-    const auto back = records::read_block(v, kMaxUnits);
+    RC_ASSERT(seen->job_id == id.job_id && seen->block == id.block && seen->version == id.version);
+    const auto back = records::read_block(v, kMaxTasksPerJob);
     RC_ASSERT(back.has_value());
     RC_ASSERT(back->done == b.done);
-    RC_ASSERT(back->claims.size() == b.claims.size());
-    RC_ASSERT(back->last_try == b.last_try);
+    RC_ASSERT(back->assignments.size() == b.assignments.size());
+    RC_ASSERT(back->last_attempt == b.last_attempt);
   }));
 }
 
@@ -252,8 +253,8 @@
 }
 
 TEST(Settings, TunablesAreCheckedStrictly) {
-  EXPECT_EQ(parse_tunables("").round, millis(200));
-  EXPECT_EQ(parse_tunables("round_s: 0.5").round, millis(500));
+  EXPECT_EQ(parse_tunables("").scheduling_interval, from_millis(200));
+  EXPECT_EQ(parse_tunables("round_s: 0.5").scheduling_interval, from_millis(500));
   EXPECT_THROW(parse_tunables("round_s: fast"), SettingsError);
   EXPECT_THROW(parse_tunables("round_s: 500"), SettingsError);
   EXPECT_THROW(parse_tunables("rounds: 1"), SettingsError);
@@ -263,7 +264,7 @@
 
 TEST(Log, AnEventIsOneObjectWithTypedFieldsAndTheTextThatNamesThem) {
   namespace log = wrenusher::log;
-  log::Fields fields;
+  log::JsonFields fields;
   fields.add_any("job", std::string_view("req-1\"\n\xff"));
   fields.add_any("seconds", 1.5);
   fields.add_any("term", std::uint64_t{3});
@@ -287,9 +288,9 @@
   JobSpec s = a_spec();
   const std::size_t before = encode(write_spec(s)).size();
   s.layout =
-      Layout{Layout::Spread{"rack", 0, 0.25, false}, Layout::Together{"switch", true}, {{"signer", 2}}};
+      Layout{Layout::Spread{"rack", 0, 0.25, false}, Layout::Colocation{"switch", true}, {{"signer", 2}}};
   EXPECT_EQ(read_spec(write_spec(s)), s);
-  s.layout->spread->most = 3;
+  s.layout->spread->max_tasks = 3;
   s.layout->spread->share = 0;
   EXPECT_EQ(read_spec(write_spec(s)), s);
   EXPECT_EQ(s.layout->spread->limit(40), 3U);
@@ -300,7 +301,7 @@
   const auto fault = [&](const Value& layout) {
     Value::Map m = *write_spec(s).map();
     m.emplace_back("layout", layout);
-    Fault f;
+    InvalidField f;
     EXPECT_FALSE(read_spec(m, &f));
     return f.field;
   };
