--- a/tests/golden_test.cpp
+++ b/tests/golden_test.cpp
@@ -42,28 +42,28 @@
   const auto job = records::read_job(value_of(name));
   ASSERT_TRUE(job) << name;
   EXPECT_EQ(job->spec, spec) << name;
-  EXPECT_EQ(job->accepted, golden::kAccepted) << name;
-  EXPECT_EQ(job->block, golden::kTasksPerBlock) << name;
-  EXPECT_EQ(job->withdrawn, withdrawn) << name;
+  EXPECT_EQ(job->accepted_at, golden::kAccepted) << name;
+  EXPECT_EQ(job->tasks_per_block, golden::kTasksPerBlock) << name;
+  EXPECT_EQ(job->cancelled, withdrawn) << name;
 }
 
 /// One controller's leadership, with the state service answered by hand.
 struct Candidate {
   ByHand node;
   settings::Settings settings;
-  store::Store store{node, settings};
+  store::KvClient store{node, settings};
   membership::Leadership leadership{node, settings, store};
   std::vector<mail::TermChanged> terms;
-  std::vector<mail::TopologyInForce> topologies;
+  std::vector<mail::TopologyActivated> topologies;
 
   explicit Candidate(const std::string& name) : settings(golden::settings_of(name)) {
-    leadership.changed.connect(node, [this](const auto& t) { terms.push_back(t); });
-    leadership.force.connect(node, [this](const auto& t) { topologies.push_back(t); });
+    leadership.term_changed.connect(node, [this](const auto& t) { terms.push_back(t); });
+    leadership.topology_activated.connect(node, [this](const auto& t) { topologies.push_back(t); });
     leadership.start();
   }
   /// Answers the next call whose method and target begin so; the clock moves until it comes.
   void answer(const std::string& begins, const Value& body) {
-    for (const Instant end = node.at + from_seconds(3); node.at < end; node.pass(millis(10))) {
+    for (const Instant end = node.at + from_seconds(3); node.at < end; node.pass(from_millis(10))) {
       for (auto call = node.calls.begin(); call != node.calls.end(); ++call) {
         if (!(call->request.method + " " + call->request.target).starts_with(begins)) continue;
         const ByHand::Call c = std::move(*call);
@@ -89,18 +89,18 @@
   ByHand node;
   settings::Settings settings = golden::settings_of("c1");
   membership::Peer peer{node, settings};
-  std::vector<mail::PeerNews> news;
+  std::vector<mail::PeerStatus> news;
   std::vector<std::string> withdrawn;
-  std::vector<mail::Announcement> announced;
+  std::vector<mail::StageAnnouncement> announced;
   std::vector<mail::Progress> progress;
-  std::vector<mail::Aside> asides;
+  std::vector<mail::HeartbeatAttachment> asides;
 
   Receiver() {
-    peer.news.connect(node, [this](const auto& n) { news.push_back(n); });
-    peer.withdrawn.connect(node, [this](const auto& w) { withdrawn.push_back(w.ref); });
-    peer.announced.connect(node, [this](const auto& a) { announced.push_back(a); });
+    peer.peer_status.connect(node, [this](const auto& n) { news.push_back(n); });
+    peer.job_cancelled.connect(node, [this](const auto& w) { withdrawn.push_back(w.job_id); });
+    peer.stage_announced.connect(node, [this](const auto& a) { announced.push_back(a); });
     peer.progress.connect(node, [this](const auto& p) { progress.push_back(*p); });
-    peer.aside.connect(node, [this](const auto& a) { asides.push_back(a); });
+    peer.attachment_received.connect(node, [this](const auto& a) { asides.push_back(a); });
   }
   void take(const std::string& name) {
     int status = 0;
@@ -113,90 +113,90 @@
 struct Follower {
   ByHand node;
   settings::Settings settings = golden::settings_of("c1");
-  store::Store store{node, settings};
-  standby::Standby standby{node, settings, store};
+  store::KvClient store{node, settings};
+  standby::StandbyReplica standby{node, settings, store};
   std::map<std::string, Value> to_send;
-  std::shared_ptr<const mail::Inheritance> inherited;
+  std::shared_ptr<const mail::InheritedHints> inherited;
 
   Follower() {
-    standby.aside.connect(node, [this](const auto& a) { to_send[a.peer] = a.value; });
-    standby.inherited.connect(node, [this](const auto& i) { inherited = i; });
+    standby.attachment.connect(node, [this](const auto& a) { to_send[a.peer] = a.value; });
+    standby.hints_inherited.connect(node, [this](const auto& i) { inherited = i; });
     standby.on_term({false, golden::kTerm, 0, "c0", {}, {}});
   }
-  void take(const std::string& name) { standby.on_aside({"c0", value_of(name)}); }
+  void take(const std::string& name) { standby.on_attachment({"c0", value_of(name)}); }
   void lead() { standby.on_term({true, golden::kTerm + 1, 60, "c1", {}, {}}); }
 };
 
 void expect_same(const mail::MachineHint& a, const mail::MachineHint& b) {
   EXPECT_EQ(a.host, b.host);
-  EXPECT_EQ(a.addr, b.addr);
-  EXPECT_EQ(a.flavor, b.flavor);
-  EXPECT_EQ(a.site, b.site);
-  EXPECT_EQ(a.standby, b.standby);
-  EXPECT_EQ(a.quiet, b.quiet);
-  EXPECT_EQ(a.room, b.room);
-  EXPECT_EQ(a.tenure, b.tenure);
-  EXPECT_EQ(a.speed_seen, b.speed_seen);
+  EXPECT_EQ(a.address, b.address);
+  EXPECT_EQ(a.machine_type, b.machine_type);
+  EXPECT_EQ(a.zone, b.zone);
+  EXPECT_EQ(a.spot, b.spot);
+  EXPECT_EQ(a.silent, b.silent);
+  EXPECT_EQ(a.has_room, b.has_room);
+  EXPECT_EQ(a.incarnation, b.incarnation);
+  EXPECT_EQ(a.speed_samples, b.speed_samples);
   EXPECT_EQ(a.slowness, b.slowness);
   ASSERT_EQ(a.images.size(), b.images.size());
   for (std::size_t i = 0; i < a.images.size(); ++i) {
-    EXPECT_EQ(a.images[i].bundle, b.images[i].bundle);
+    EXPECT_EQ(a.images[i].image, b.images[i].image);
     EXPECT_EQ(a.images[i].gb, b.images[i].gb);
   }
   ASSERT_EQ(a.fetches.size(), b.fetches.size());
   for (std::size_t i = 0; i < a.fetches.size(); ++i) {
-    EXPECT_EQ(a.fetches[i].bundle, b.fetches[i].bundle);
+    EXPECT_EQ(a.fetches[i].image, b.fetches[i].image);
     EXPECT_EQ(a.fetches[i].size_gb, b.fetches[i].size_gb);
-    EXPECT_EQ(a.fetches[i].left_gb, b.fetches[i].left_gb);
+    EXPECT_EQ(a.fetches[i].remaining_gb, b.fetches[i].remaining_gb);
   }
   ASSERT_EQ(a.failures.size(), b.failures.size());
   for (std::size_t i = 0; i < a.failures.size(); ++i) {
-    EXPECT_EQ(a.failures[i].ref, b.failures[i].ref);
+    EXPECT_EQ(a.failures[i].job_id, b.failures[i].job_id);
     EXPECT_EQ(a.failures[i].ago, b.failures[i].ago);
   }
 }
 
-void expect_same(const mail::QueueHint& a, const mail::QueueHint& b) {
-  EXPECT_EQ(a.queue, b.queue);
+void expect_same(const mail::JobClassHint& a, const mail::JobClassHint& b) {
+  EXPECT_EQ(a.job_class, b.job_class);
   ASSERT_EQ(a.jobs.size(), b.jobs.size());
   for (std::size_t i = 0; i < a.jobs.size(); ++i) {
-    EXPECT_EQ(a.jobs[i].ref, b.jobs[i].ref);
+    EXPECT_EQ(a.jobs[i].job_id, b.jobs[i].job_id);
     EXPECT_EQ(a.jobs[i].sum, b.jobs[i].sum);
     EXPECT_EQ(a.jobs[i].tasks, b.jobs[i].tasks);
   }
 }
 
 void expect_same(const mail::JobHint& a, const mail::JobHint& b) {
-  EXPECT_EQ(a.ref, b.ref);
+  EXPECT_EQ(a.job_id, b.job_id);
   EXPECT_EQ(a.hosts, b.hosts);
-  EXPECT_EQ(a.pause, b.pause);
-  EXPECT_EQ(a.backoffs, b.backoffs);
+  EXPECT_EQ(a.retry_pause, b.retry_pause);
+  EXPECT_EQ(a.retry_count, b.retry_count);
 }
 
 void expect_same(const mail::RentalHint& a, const mail::RentalHint& b) {
   EXPECT_EQ(a.host, b.host);
-  EXPECT_EQ(a.flavor, b.flavor);
-  EXPECT_EQ(a.site, b.site);
-  EXPECT_EQ(a.standby, b.standby);
-  EXPECT_EQ(a.held, b.held);
-  EXPECT_EQ(a.awaited, b.awaited);
+  EXPECT_EQ(a.machine_type, b.machine_type);
+  EXPECT_EQ(a.zone, b.zone);
+  EXPECT_EQ(a.spot, b.spot);
+  EXPECT_EQ(a.age, b.age);
+  EXPECT_EQ(a.report_due, b.report_due);
 }
 
-void expect_same(const mail::BookingHint& a, const mail::BookingHint& b) {
+void expect_same(const mail::RentalRequestHint& a, const mail::RentalRequestHint& b) {
   EXPECT_EQ(a.name, b.name);
-  EXPECT_EQ(a.flavor, b.flavor);
-  EXPECT_EQ(a.site, b.site);
-  EXPECT_EQ(a.standby, b.standby);
+  EXPECT_EQ(a.machine_type, b.machine_type);
+  EXPECT_EQ(a.zone, b.zone);
+  EXPECT_EQ(a.spot, b.spot);
   EXPECT_EQ(a.count, b.count);
 }
 
 /// What is handed over of one row that a peer sent, by this build's reader.
-mail::Inheritance inherited_of_row(const std::string& name) {
+mail::InheritedHints inherited_of_row(const std::string& name) {
   const Value row = value_of(name);
-  standby::Picture picture;
+  standby::HintTable picture;
   const Value::List& fields = *row.list();
   EXPECT_TRUE(picture.put({*fields[0].text(), fields[1], fields[2].count().value()}, Instant{}, 1, 1));
-  return picture.inheritance(Instant{});
+  return picture.inherited_hints(Instant{});
 }
 
 }  // namespace
@@ -232,30 +232,30 @@
 }
 
 TEST(GoldenRecords, CancelledJobsAreToldApart) {
-  const std::string key = records::job_key(golden::gang_job().ref);
-  EXPECT_EQ(records::cancelled_job(key, value_of("record_job_withdrawn")), golden::gang_job().ref);
+  const std::string key = records::job_key(golden::gang_job().job_id);
+  EXPECT_EQ(records::cancelled_job(key, value_of("record_job_withdrawn")), golden::gang_job().job_id);
   EXPECT_EQ(records::cancelled_job(key, value_of("record_job_gang")), std::nullopt);
 }
 
 TEST(GoldenRecords, BlocksOfClaimsAreRead) {
   std::size_t unreadable = 0;
-  const auto read = records::read_slot(value_of("record_claims"), golden::kSlot, unreadable);
+  const auto read = records::read_shard(value_of("record_claims"), golden::kSlot, unreadable);
   ASSERT_TRUE(read);
   EXPECT_EQ(unreadable, 0U);
-  const std::vector<records::BlockAt> expected = golden::blocks();
+  const std::vector<records::StoredBlock> expected = golden::blocks();
   ASSERT_EQ(read->size(), expected.size());
   for (std::size_t i = 0; i < expected.size(); ++i) {
-    const records::BlockAt& block = (*read)[i];
-    EXPECT_EQ(block.id.ref, expected[i].id.ref);
+    const records::StoredBlock& block = (*read)[i];
+    EXPECT_EQ(block.id.job_id, expected[i].id.job_id);
     EXPECT_EQ(block.id.block, expected[i].id.block);
     EXPECT_EQ(block.id.version, expected[i].id.version);
-    EXPECT_EQ(block.state.last_try, expected[i].state.last_try);
+    EXPECT_EQ(block.state.last_attempt, expected[i].state.last_attempt);
     EXPECT_EQ(block.state.done, expected[i].state.done);
-    ASSERT_EQ(block.state.claims.size(), expected[i].state.claims.size());
-    for (std::size_t k = 0; k < block.state.claims.size(); ++k) {
-      EXPECT_EQ(block.state.claims[k].host, expected[i].state.claims[k].host);
-      EXPECT_EQ(block.state.claims[k].attempt, expected[i].state.claims[k].attempt);
-      EXPECT_EQ(block.state.claims[k].tasks, expected[i].state.claims[k].tasks);
+    ASSERT_EQ(block.state.assignments.size(), expected[i].state.assignments.size());
+    for (std::size_t k = 0; k < block.state.assignments.size(); ++k) {
+      EXPECT_EQ(block.state.assignments[k].host, expected[i].state.assignments[k].host);
+      EXPECT_EQ(block.state.assignments[k].attempt, expected[i].state.assignments[k].attempt);
+      EXPECT_EQ(block.state.assignments[k].tasks, expected[i].state.assignments[k].tasks);
     }
   }
 }
@@ -263,10 +263,10 @@
 TEST(GoldenRecords, ASlotWithoutBlocksIsReadAndAnotherSlotsValueIsNot) {
   std::size_t unreadable = 0;
   const Value v = value_of("record_claims_empty");
-  const auto read = records::read_slot(v, golden::kSlot, unreadable);
+  const auto read = records::read_shard(v, golden::kSlot, unreadable);
   ASSERT_TRUE(read);
   EXPECT_TRUE(read->empty());
-  EXPECT_FALSE(records::read_slot(v, golden::kSlot + 1, unreadable));
+  EXPECT_FALSE(records::read_shard(v, golden::kSlot + 1, unreadable));
 }
 
 TEST(GoldenRecords, EndsOfJobsAreRead) {
@@ -287,16 +287,16 @@
   c.answer("GET /store?starts=leader", leader_listed());
   ASSERT_FALSE(c.terms.empty());
   EXPECT_FALSE(c.terms.back().leading);
-  EXPECT_EQ(c.terms.back().epoch, 5U);
+  EXPECT_EQ(c.terms.back().fencing_token, 5U);
   EXPECT_EQ(c.terms.back().leader, "c0");
 }
 
 TEST(GoldenRecords, AControllerKnowsTheRecordOfItsEarlierLifeAndBeginsTheNextTerm) {
   Candidate c("c0");
-  mail::PeerNews peer;  // one that was not heard would be waited for
+  mail::PeerStatus peer;  // one that was not heard would be waited for
   peer.node = "c1";
-  peer.reached = c.node.at;
-  c.leadership.on_peer(peer);
+  peer.asked_at = c.node.at;
+  c.leadership.on_peer_status(peer);
   c.answer("GET /store?starts=leader", leader_listed());
   c.answer("POST /holds", Value::Map{{"tenancy", 13}});
   c.answer("GET /store/epoch",
@@ -304,7 +304,7 @@
   c.answer("POST /multi", Value::Map{{"ledger_rev", 42}});
   ASSERT_FALSE(c.terms.empty());
   EXPECT_TRUE(c.terms.back().leading);
-  EXPECT_EQ(c.terms.back().epoch, 6U);  // the record has 5
+  EXPECT_EQ(c.terms.back().fencing_token, 6U);  // the record has 5
 }
 
 TEST(GoldenRecords, TheEpochAndItsTopologyAreRead) {
@@ -316,9 +316,9 @@
            Value::Map{{"k", "epoch"}, {"value", value_of("record_epoch_with_topology")}, {"stamp", 41}});
   c.answer("POST /multi", Value::Map{{"ledger_rev", 42}});
   ASSERT_FALSE(c.terms.empty());
-  EXPECT_EQ(c.terms.back().epoch, 6U);
+  EXPECT_EQ(c.terms.back().fencing_token, 6U);
   ASSERT_FALSE(c.topologies.empty());
-  EXPECT_EQ(c.topologies.back().edition, golden::topology_in_use()->edition());
+  EXPECT_EQ(c.topologies.back().version, golden::topology_in_use()->version());
 }
 
 // ---------------------------------------------------------------- heartbeats
@@ -328,13 +328,13 @@
   r.take("heartbeat_first");
   ASSERT_EQ(r.news.size(), 1U);
   EXPECT_EQ(r.news[0].node, "c0");
-  EXPECT_EQ(r.news[0].epoch, 0U);
+  EXPECT_EQ(r.news[0].fencing_token, 0U);
   EXPECT_EQ(r.news[0].leader, "");
   EXPECT_FALSE(r.news[0].leading);
-  EXPECT_FALSE(r.news[0].store);
-  EXPECT_FALSE(r.news[0].hears_workers);
-  EXPECT_EQ(r.news[0].topology, topology::Edition{});
-  EXPECT_EQ(r.news[0].ready, mail::Readiness::cold);
+  EXPECT_FALSE(r.news[0].kv_reachable);
+  EXPECT_FALSE(r.news[0].receives_reports);
+  EXPECT_EQ(r.news[0].topology, topology::TopologyVersion{});
+  EXPECT_EQ(r.news[0].readiness, mail::Readiness::cold);
   EXPECT_FALSE(r.news[0].abstains);
   EXPECT_TRUE(r.withdrawn.empty());
   EXPECT_TRUE(r.announced.empty());
@@ -347,25 +347,25 @@
   r.take("heartbeat_of_leader");
   ASSERT_EQ(r.news.size(), 1U);
   EXPECT_EQ(r.news[0].node, "c0");
-  EXPECT_EQ(r.news[0].epoch, golden::kTerm);
+  EXPECT_EQ(r.news[0].fencing_token, golden::kTerm);
   EXPECT_EQ(r.news[0].leader, "c0");
   EXPECT_TRUE(r.news[0].leading);
-  EXPECT_TRUE(r.news[0].store);
-  EXPECT_TRUE(r.news[0].hears_workers);
-  EXPECT_EQ(r.news[0].topology, golden::topology_in_use()->edition());
-  EXPECT_EQ(r.news[0].in_force, golden::topology_in_use()->edition());
-  EXPECT_EQ(r.news[0].ready, mail::Readiness::warm);
+  EXPECT_TRUE(r.news[0].kv_reachable);
+  EXPECT_TRUE(r.news[0].receives_reports);
+  EXPECT_EQ(r.news[0].topology, golden::topology_in_use()->version());
+  EXPECT_EQ(r.news[0].active_topology, golden::topology_in_use()->version());
+  EXPECT_EQ(r.news[0].readiness, mail::Readiness::warm);
   EXPECT_FALSE(r.news[0].abstains);
-  EXPECT_EQ(r.withdrawn, std::vector{golden::gang_job().ref});
+  EXPECT_EQ(r.withdrawn, std::vector{golden::gang_job().job_id});
   ASSERT_EQ(r.announced.size(), 2U);
-  EXPECT_EQ(r.announced[0].ref, golden::array_job().ref);
-  EXPECT_EQ(r.announced[0].level, mail::Level::accepted);
-  EXPECT_EQ(r.announced[1].ref, golden::service_job().ref);
-  EXPECT_EQ(r.announced[1].level, mail::Level::over);
+  EXPECT_EQ(r.announced[0].job_id, golden::array_job().job_id);
+  EXPECT_EQ(r.announced[0].stage, mail::JobStage::accepted);
+  EXPECT_EQ(r.announced[1].job_id, golden::service_job().job_id);
+  EXPECT_EQ(r.announced[1].stage, mail::JobStage::finished);
   ASSERT_EQ(r.progress.size(), 1U);
   ASSERT_EQ(r.progress[0].rows.size(), golden::progress().rows.size());
   for (std::size_t i = 0; i < r.progress[0].rows.size(); ++i) {
-    EXPECT_EQ(r.progress[0].rows[i].ref, golden::progress().rows[i].ref);
+    EXPECT_EQ(r.progress[0].rows[i].job_id, golden::progress().rows[i].job_id);
     EXPECT_EQ(r.progress[0].rows[i].done, golden::progress().rows[i].done);
     EXPECT_EQ(r.progress[0].rows[i].running, golden::progress().rows[i].running);
   }
@@ -380,10 +380,10 @@
   r.node.calls.at(0).done({true, true, {200, bytes_of("heartbeat_answer"), 0}});
   ASSERT_EQ(r.news.size(), 1U);
   EXPECT_EQ(r.news[0].node, "c0");
-  EXPECT_EQ(r.news[0].epoch, golden::kTerm);
+  EXPECT_EQ(r.news[0].fencing_token, golden::kTerm);
   EXPECT_TRUE(r.news[0].leading);
-  EXPECT_TRUE(r.news[0].reached.has_value());
-  EXPECT_EQ(r.withdrawn, std::vector{golden::gang_job().ref});
+  EXPECT_TRUE(r.news[0].asked_at.has_value());
+  EXPECT_EQ(r.withdrawn, std::vector{golden::gang_job().job_id});
   EXPECT_EQ(r.announced.size(), 2U);
 }
 
@@ -401,7 +401,7 @@
   const auto machines = inherited_of_row("hint_machine").machines;
   ASSERT_EQ(machines.size(), 1U);
   expect_same(machines.begin()->second, golden::machine_hint());
-  const auto queues = inherited_of_row("hint_queue").queues;
+  const auto queues = inherited_of_row("hint_queue").job_classes;
   ASSERT_EQ(queues.size(), 1U);
   expect_same(queues[0], golden::queue_hint());
   const auto jobs = inherited_of_row("hint_job").jobs;
@@ -410,7 +410,7 @@
   const auto rentals = inherited_of_row("hint_rental").rentals.rentals;
   ASSERT_EQ(rentals.size(), 1U);
   expect_same(rentals[0], golden::rental_hint());
-  const auto bookings = inherited_of_row("hint_booking").rentals.bookings;
+  const auto bookings = inherited_of_row("hint_booking").rentals.requests;
   ASSERT_EQ(bookings.size(), 1U);
   expect_same(bookings[0], golden::booking_hint());
 }
@@ -421,17 +421,17 @@
   f.lead();
   ASSERT_TRUE(f.inherited);
   EXPECT_EQ(f.inherited->term, golden::kTerm + 1);
-  EXPECT_TRUE(f.inherited->whole);
+  EXPECT_TRUE(f.inherited->complete);
   ASSERT_EQ(f.inherited->machines.size(), 1U);
   expect_same(f.inherited->machines.begin()->second, golden::machine_hint());
-  ASSERT_EQ(f.inherited->queues.size(), 1U);
-  expect_same(f.inherited->queues[0], golden::queue_hint());
+  ASSERT_EQ(f.inherited->job_classes.size(), 1U);
+  expect_same(f.inherited->job_classes[0], golden::queue_hint());
   ASSERT_EQ(f.inherited->jobs.size(), 1U);
   expect_same(f.inherited->jobs[0], golden::job_hint());
   ASSERT_EQ(f.inherited->rentals.rentals.size(), 1U);
   expect_same(f.inherited->rentals.rentals[0], golden::rental_hint());
-  ASSERT_EQ(f.inherited->rentals.bookings.size(), 1U);
-  expect_same(f.inherited->rentals.bookings[0], golden::booking_hint());
+  ASSERT_EQ(f.inherited->rentals.requests.size(), 1U);
+  expect_same(f.inherited->rentals.requests[0], golden::booking_hint());
 }
 
 TEST(GoldenHints, AMachineThatIsGoneIsNotTakenOver) {
@@ -441,13 +441,13 @@
   f.lead();
   ASSERT_TRUE(f.inherited);
   EXPECT_TRUE(f.inherited->machines.empty());
-  EXPECT_EQ(f.inherited->queues.size(), 1U);
+  EXPECT_EQ(f.inherited->job_classes.size(), 1U);
 }
 
 TEST(GoldenHints, AFollowerConfirmsWhatItTook) {
   Follower f;
   f.take("hints_all");
-  f.standby.on_beat({});
+  f.standby.on_heartbeat_sent({});
   ASSERT_EQ(f.to_send.at("c0")["got"].list()->size(), 1U);
   EXPECT_EQ((*f.to_send.at("c0")["got"].list())[0], value_of("hints_all")["hints"]["n"]);
 }
@@ -456,13 +456,13 @@
   Follower leader;
   leader.standby.on_term({true, golden::kTerm, 40, "c1", {}, {}});
   leader.take("hints_before_any");
-  leader.standby.on_ledger(std::make_shared<const mail::LedgerHints>(
-      mail::LedgerHints{{golden::machine_hint()}, {golden::queue_hint()}, {golden::job_hint()}}));
-  leader.standby.on_beat({});
+  leader.standby.on_leader_hints(std::make_shared<const mail::LeaderHints>(
+      mail::LeaderHints{{golden::machine_hint()}, {golden::queue_hint()}, {golden::job_hint()}}));
+  leader.standby.on_heartbeat_sent({});
   EXPECT_EQ(leader.to_send.at("c0")["hints"]["rows"].list()->size(), 3U);
   EXPECT_EQ(leader.to_send.at("c0")["hints"]["n"].count(), 1U);
   leader.take("hints_confirmed");
-  leader.standby.on_beat({});
+  leader.standby.on_heartbeat_sent({});
   EXPECT_TRUE(leader.to_send.at("c0")["hints"].is_null());
   EXPECT_EQ(leader.to_send.at("c0")["even"], value_of("hints_confirmed")["life"]);
 }
@@ -472,14 +472,14 @@
   ByHand node;
   node.random().discard(1);
   const settings::Settings settings = golden::settings_of("c1");
-  store::Store store(node, settings);
-  standby::Standby follower(node, settings, store);
+  store::KvClient store(node, settings);
+  standby::StandbyReplica follower(node, settings, store);
   follower.on_term({false, golden::kTerm, 0, "c0", {}, {}});
-  EXPECT_EQ(follower.ready(), mail::Readiness::cold);
-  follower.on_aside({"c0", value_of("hints_all")});
-  EXPECT_EQ(follower.ready(), mail::Readiness::part);
+  EXPECT_EQ(follower.readiness(), mail::Readiness::cold);
+  follower.on_attachment({"c0", value_of("hints_all")});
+  EXPECT_EQ(follower.readiness(), mail::Readiness::part);
   node.pass(from_seconds(6));
-  EXPECT_EQ(follower.ready(), mail::Readiness::cold);
-  follower.on_aside({"c0", value_of("hints_even")});
-  EXPECT_EQ(follower.ready(), mail::Readiness::part);
+  EXPECT_EQ(follower.readiness(), mail::Readiness::cold);
+  follower.on_attachment({"c0", value_of("hints_even")});
+  EXPECT_EQ(follower.readiness(), mail::Readiness::part);
 }
--- a/tests/golden_values.cpp
+++ b/tests/golden_values.cpp
@@ -13,7 +13,7 @@
 
 /// The next call whose method and target begin so; it is taken off the list. The clock moves until it comes.
 ByHand::Call take_call(ByHand& node, const std::string& begins) {
-  for (const Instant end = node.at + from_seconds(3); node.at < end; node.pass(millis(10))) {
+  for (const Instant end = node.at + from_seconds(3); node.at < end; node.pass(from_millis(10))) {
     for (auto call = node.calls.begin(); call != node.calls.end(); ++call) {
       if (!(call->request.method + " " + call->request.target).starts_with(begins)) continue;
       ByHand::Call out = std::move(*call);
@@ -32,9 +32,9 @@
 std::string transaction_of_a_new_term(bool with_topology) {
   ByHand node;
   const settings::Settings settings = settings_of("c0");
-  store::Store store(node, settings);
+  store::KvClient store(node, settings);
   membership::Leadership leadership(node, settings, store);
-  if (with_topology) leadership.on_topology({topology_in_use()});
+  if (with_topology) leadership.on_topology_loaded({topology_in_use()});
   leadership.start();
   answer(take_call(node, "GET /store?starts=leader"),
          Value::Map{{"rows", Value::List{}}, {"truncated", false}, {"ledger_rev", 40}});
@@ -55,41 +55,41 @@
 
 Value encoded_blocks() {
   Value::List rows;
-  for (const records::BlockAt& b : blocks())
-    rows.push_back(records::write_block(b.id, b.state.last_try, b.state.done, b.state.claims,
+  for (const records::StoredBlock& b : blocks())
+    rows.push_back(records::write_block(b.id, b.state.last_attempt, b.state.done, b.state.assignments,
                                         b.id.block * kTasksPerBlock, (b.id.block + 1) * kTasksPerBlock - 1));
-  return records::write_slot(kSlot, std::move(rows));
+  return records::write_shard(kSlot, std::move(rows));
 }
 
 Value encoded_catalog() {
   Value::List types;
   for (const auto& [name, f] : catalog()) {
     Value::List zones;
-    for (const std::string& zone : f.sites) zones.emplace_back(zone);
+    for (const std::string& zone : f.zones) zones.emplace_back(zone);
     types.emplace_back(Value::Map{{"name", name},
-                                  {"cores", from_amount(f.room.cores)},
-                                  {"cards", from_amount(f.room.cards)},
-                                  {"memory_gb", from_amount(f.room.memory)},
-                                  {"cache_gb", f.cache_gb},
-                                  {"pull_gb_per_s", f.pull_gb_per_s},
-                                  {"rate", f.rate},
-                                  {"low_price", f.low_price},
-                                  {"boot_s", to_seconds(f.boot)},
+                                  {"cores", from_amount(f.capacity.cores)},
+                                  {"cards", from_amount(f.capacity.gpus)},
+                                  {"memory_gb", from_amount(f.capacity.memory)},
+                                  {"cache_gb", f.image_cache_gb},
+                                  {"pull_gb_per_s", f.fetch_gb_per_s},
+                                  {"rate", f.price},
+                                  {"low_price", f.spot_price},
+                                  {"boot_s", to_seconds(f.boot_time)},
                                   {"sites", std::move(zones)}});
   }
   return Value::Map{{"flavors", std::move(types)}};
 }
 
 void add_records(std::map<std::string, std::string>& out) {
-  const auto job = [](const JobSpec& s) { return records::new_job(s, kAccepted, kTasksPerBlock); };
+  const auto job = [](const JobSpec& s) { return records::write_job(s, kAccepted, kTasksPerBlock); };
   out["record_job_array"] = encode(job(array_job()));
   out["record_job_gang"] = encode(job(gang_job()));
   out["record_job_service"] = encode(job(service_job()));
-  out["record_job_withdrawn"] = encode(records::withdrawn(job(gang_job())));
+  out["record_job_withdrawn"] = encode(records::cancelled_record(job(gang_job())));
   out["record_claims"] = encode(encoded_blocks());
-  out["record_claims_empty"] = encode(records::write_slot(kSlot, {}));
-  out["record_end_done"] = encode(records::new_end("done", 1000));
-  out["record_end_withdrawn"] = encode(records::new_end("withdrawn", 4));
+  out["record_claims_empty"] = encode(records::write_shard(kSlot, {}));
+  out["record_end_done"] = encode(records::write_final_state("done", 1000));
+  out["record_end_withdrawn"] = encode(records::write_final_state("withdrawn", 4));
   out["record_catalog"] = encode(encoded_catalog());
   const std::string plain = transaction_of_a_new_term(false);
   const std::string with_topology = transaction_of_a_new_term(true);
@@ -99,7 +99,7 @@
   out["transaction_of_a_new_term"] = with_topology;
 }
 
-std::string encoded_row(const standby::Row& row) {
+std::string encoded_row(const standby::HintRow& row) {
   return encode(Value::List{row.key, row.value, row.digest});
 }
 
@@ -107,8 +107,8 @@
 struct HintExchange {
   ByHand node;
   settings::Settings settings;
-  store::Store store;
-  standby::Standby standby;
+  store::KvClient store;
+  standby::StandbyReplica standby;
   std::map<std::string, Value> to_send;  ///< by peer: the last
 
   HintExchange(const std::string& name, unsigned discarded)
@@ -120,37 +120,38 @@
               return node;
             }(),
             settings, store) {
-    standby.aside.connect(node, [this](const mail::Aside& a) { to_send[a.peer] = a.value; });
+    standby.attachment.connect(node,
+                               [this](const mail::HeartbeatAttachment& a) { to_send[a.peer] = a.value; });
   }
   Value next_for(const std::string& peer) {
-    standby.on_beat({});
+    standby.on_heartbeat_sent({});
     return to_send.at(peer);
   }
 };
 
 void add_hints(std::map<std::string, std::string>& out) {
-  out["hint_machine"] = encoded_row(standby::to_row(machine_hint()));
-  out["hint_queue"] = encoded_row(standby::to_row(queue_hint()));
-  out["hint_job"] = encoded_row(standby::to_row(job_hint()));
-  out["hint_rental"] = encoded_row(standby::to_row(rental_hint()));
-  out["hint_booking"] = encoded_row(standby::to_row(booking_hint()));
+  out["hint_machine"] = encoded_row(standby::to_hint_row(machine_hint()));
+  out["hint_queue"] = encoded_row(standby::to_hint_row(queue_hint()));
+  out["hint_job"] = encoded_row(standby::to_hint_row(job_hint()));
+  out["hint_rental"] = encoded_row(standby::to_hint_row(rental_hint()));
+  out["hint_booking"] = encoded_row(standby::to_hint_row(booking_hint()));
 
   HintExchange leader("c0", 0);
   HintExchange follower("c1", 1);
   leader.standby.on_term({true, kTerm, 40, "c0", {}, {}});
   follower.standby.on_term({false, kTerm, 0, "c0", {}, {}});
   const Value first = follower.next_for("c0");
-  leader.standby.on_aside({"c1", first});
-  leader.standby.on_ledger(std::make_shared<const mail::LedgerHints>(
-      mail::LedgerHints{{machine_hint()}, {queue_hint()}, {job_hint()}}));
-  leader.standby.on_rentals(
+  leader.standby.on_attachment({"c1", first});
+  leader.standby.on_leader_hints(std::make_shared<const mail::LeaderHints>(
+      mail::LeaderHints{{machine_hint()}, {queue_hint()}, {job_hint()}}));
+  leader.standby.on_rental_hints(
       std::make_shared<const mail::RentalHints>(mail::RentalHints{{rental_hint()}, {booking_hint()}}));
   const Value all = leader.next_for("c1");
-  follower.standby.on_aside({"c0", all});
+  follower.standby.on_attachment({"c0", all});
   const Value confirmed = follower.next_for("c0");
-  leader.standby.on_aside({"c1", confirmed});
+  leader.standby.on_attachment({"c1", confirmed});
   const Value even = leader.next_for("c1");
-  leader.standby.on_gone({machine_hint().host});
+  leader.standby.on_machine_departed({machine_hint().host});
   const Value gone = leader.next_for("c1");
   out["hints_before_any"] = encode(first);
   out["hints_all"] = encode(all);
@@ -171,19 +172,19 @@
   };
   out["heartbeat_first"] = sent_by([&] { peer.start(); });
   peer.on_health({true});
-  mail::Hearing hearing;
-  hearing.hears_workers = true;
-  peer.on_hearing(hearing);
-  peer.on_topology({topology_in_use()});
-  peer.on_force({topology_in_use(), topology_in_use()->edition(), true});
-  peer.on_ready(mail::Readiness::warm);
+  mail::WorkerReachability hearing;
+  hearing.receives_reports = true;
+  peer.on_worker_reachability(hearing);
+  peer.on_topology_loaded({topology_in_use()});
+  peer.on_topology_activated({topology_in_use(), topology_in_use()->version(), true});
+  peer.on_readiness(mail::Readiness::warm);
   peer.on_term({true, kTerm, 40, "c0", {}, {}});
-  peer.on_withdrawn({gang_job().ref});
-  peer.on_announce({array_job().ref, mail::Level::accepted});
-  peer.on_announce({service_job().ref, mail::Level::over});
+  peer.on_cancelled({gang_job().job_id});
+  peer.on_announcement({array_job().job_id, mail::JobStage::accepted});
+  peer.on_announcement({service_job().job_id, mail::JobStage::finished});
   peer.on_progress(std::make_shared<const mail::Progress>(progress()));
-  peer.on_aside({"c1", decode(out.at("hints_all")).value()});
-  out["heartbeat_of_leader"] = sent_by([&] { node.pass(millis(500)); });
+  peer.on_attachment({"c1", decode(out.at("hints_all")).value()});
+  out["heartbeat_of_leader"] = sent_by([&] { node.pass(from_millis(500)); });
   peer.serve({"POST", "/beat",
               encode(Value::Map{{"node", "c1"},
                                 {"epoch", kTerm},
@@ -194,7 +195,7 @@
                                 {"log", Value::List{std::uint64_t{9}, std::uint64_t{1}, std::uint64_t{1}}},
                                 {"got", Value::List{std::uint64_t{0}, std::uint64_t{0}}}})},
              [&](const Response& r) { out["heartbeat_answer"] = r.body; });
-  out["heartbeat_abstaining"] = sent_by([&] { peer.on_ceding({"c2"}); });
+  out["heartbeat_abstaining"] = sent_by([&] { peer.on_stepping_down({"c2"}); });
 }
 
 }  // namespace
@@ -204,11 +205,11 @@
   s.node = node;
   s.zone = "a";
   s.zones = {"a", "b"};
-  s.report = from_seconds(1);
-  s.lease = from_seconds(10);
-  s.gang_wait = from_seconds(20);
-  s.gang_peer = from_seconds(3);
-  s.cancel = from_seconds(30);
+  s.report_interval = from_seconds(1);
+  s.worker_lease = from_seconds(10);
+  s.gang_start_timeout = from_seconds(20);
+  s.gang_peer_timeout = from_seconds(3);
+  s.cancel_deadline = from_seconds(30);
   s.state_rps = 1e6;  // so that no call waits for its turn
   s.state_write_rps = 1e6;
   s.value_kb = 16;
@@ -231,75 +232,75 @@
 
 JobSpec array_job() {
   JobSpec s;
-  s.ref = "req-000412";
-  s.queue = "train";
-  s.owner = "vision";
-  s.shape = Shape::sweep;
-  s.urgency = Urgency::high;
-  s.units = 1000;
-  s.needs = {to_amount(4.5), to_amount(0), to_amount(13.5)};
-  s.bundle = "img-07";
+  s.job_id = "req-000412";
+  s.job_class = "train";
+  s.team = "vision";
+  s.type = JobType::array;
+  s.priority = Priority::high;
+  s.task_count = 1000;
+  s.resources = {to_amount(4.5), to_amount(0), to_amount(13.5)};
+  s.image = "img-07";
   s.image_gb = 1.25;
-  s.flavors = {"large", "small"};
-  s.site = "b";
-  s.standby = true;
-  s.expected = from_seconds(30);
-  s.due = from_seconds(90.5);
+  s.machine_types = {"large", "small"};
+  s.zone = "b";
+  s.spot_allowed = true;
+  s.expected_runtime = from_seconds(30);
+  s.deadline = from_seconds(90.5);
   return s;
 }
 
 JobSpec gang_job() {
   JobSpec s;
-  s.ref = "req-9";
-  s.queue = "simulate";
-  s.owner = "physics";
-  s.shape = Shape::gang;
-  s.urgency = Urgency::low;
-  s.units = 4;
-  s.needs = {to_amount(16), to_amount(2), to_amount(64)};
-  s.bundle = "mesh";
+  s.job_id = "req-9";
+  s.job_class = "simulate";
+  s.team = "physics";
+  s.type = JobType::gang;
+  s.priority = Priority::low;
+  s.task_count = 4;
+  s.resources = {to_amount(16), to_amount(2), to_amount(64)};
+  s.image = "mesh";
   s.image_gb = 12;
-  s.same_place = true;
-  s.expected = from_seconds(86400);
-  s.snapshot_every = from_seconds(600);
-  s.snapshot = from_seconds(7.25);
+  s.single_zone = true;
+  s.expected_runtime = from_seconds(86400);
+  s.checkpoint_interval = from_seconds(600);
+  s.checkpoint_time = from_seconds(7.25);
   s.layout.emplace();
   s.layout->spread = {"rack", 2, 0, true};
-  s.layout->together = {"switch", false};
+  s.layout->colocation = {"switch", false};
   return s;
 }
 
 JobSpec service_job() {
   JobSpec s;
-  s.ref = "req-" + std::string(60, '8');
-  s.queue = "signing";
-  s.owner = "security";
-  s.shape = Shape::daemon;
-  s.urgency = Urgency::prod;
-  s.units = 1;
-  s.needs = {to_amount(0.25), 0, to_amount(0.5)};
-  s.bundle = "signer";
+  s.job_id = "req-" + std::string(60, '8');
+  s.job_class = "signing";
+  s.team = "security";
+  s.type = JobType::service;
+  s.priority = Priority::prod;
+  s.task_count = 1;
+  s.resources = {to_amount(0.25), 0, to_amount(0.5)};
+  s.image = "signer";
   s.image_gb = 0;
-  s.scatter = true;
+  s.spread_zones = true;
   s.layout.emplace();
   s.layout->spread = {"rack", 0, 0.25, false};
   s.layout->devices = {{"signer", 1}, {"clock", 3}};
   return s;
 }
 
-std::vector<records::BlockAt> blocks() {
-  records::BlockAt first{{array_job().ref, 1, 19}, {}};
-  first.state.last_try = 23;
+std::vector<records::StoredBlock> blocks() {
+  records::StoredBlock first{{array_job().job_id, 1, 19}, {}};
+  first.state.last_attempt = 23;
   first.state.done.add(358, 399);
   first.state.done.add(500);
-  records::ClaimRow claim{"m-000000017", 22, {}};
-  claim.tasks.add(400, 403);
-  claim.tasks.add(501);
-  first.state.claims.push_back(claim);
-  claim = {"m-4", 23, {}};
-  claim.tasks.add(715);
-  first.state.claims.push_back(claim);
-  const records::BlockAt second{{gang_job().ref, 0, 1ULL << 62}, {}};
+  records::AssignmentRow assignment{"m-000000017", 22, {}};
+  assignment.tasks.add(400, 403);
+  assignment.tasks.add(501);
+  first.state.assignments.push_back(assignment);
+  assignment = {"m-4", 23, {}};
+  assignment.tasks.add(715);
+  first.state.assignments.push_back(assignment);
+  const records::StoredBlock second{{gang_job().job_id, 0, 1ULL << 62}, {}};
   return {first, second};
 }
 
@@ -312,20 +313,20 @@
 }
 
 mail::Progress progress() {
-  return {{{array_job().ref, 43, 6}, {service_job().ref, 0, 1}}};
+  return {{{array_job().job_id, 43, 6}, {service_job().job_id, 0, 1}}};
 }
 
 mail::MachineHint machine_hint() {
   mail::MachineHint m;
   m.host = "m-000000017";
-  m.addr = "10.1.0.17:9000";
-  m.flavor = "small";
-  m.site = "b";
-  m.standby = true;
-  m.quiet = false;
-  m.room = true;
-  m.tenure = 5;
-  m.speed_seen = 12;
+  m.address = "10.1.0.17:9000";
+  m.machine_type = "small";
+  m.zone = "b";
+  m.spot = true;
+  m.silent = false;
+  m.has_room = true;
+  m.incarnation = 5;
+  m.speed_samples = 12;
   m.slowness = -0.125;
   m.images = {{"img-07", 1.25}, {"mesh", 12}};
   m.fetches = {{"signer", 3, 1.5}};
@@ -333,7 +334,7 @@
   return m;
 }
 
-mail::QueueHint queue_hint() {
+mail::JobClassHint queue_hint() {
   return {"train", {{"req-000412", 0.75, 43}, {"req-9", -2, 4}}};
 }
 
@@ -345,7 +346,7 @@
   return {"m-000000018", "large", "a", false, from_seconds(4), from_seconds(26)};
 }
 
-mail::BookingHint booking_hint() {
+mail::RentalRequestHint booking_hint() {
   return {"c0-6-3", "small", "b", true, 20};
 }
 
--- a/tests/golden_values.hpp
+++ b/tests/golden_values.hpp
@@ -24,10 +24,10 @@
 JobSpec array_job();
 JobSpec gang_job();
 JobSpec service_job();
-inline constexpr WallTime kAccepted{millis(1764676800123)};
+inline constexpr WallTime kAccepted{from_millis(1764676800123)};
 inline constexpr std::uint32_t kTasksPerBlock = 358;
 inline constexpr std::uint32_t kSlot = 7;
-std::vector<records::BlockAt> blocks();
+std::vector<records::StoredBlock> blocks();
 Catalog catalog();
 
 // Heartbeats
@@ -36,10 +36,10 @@
 
 // Hints
 mail::MachineHint machine_hint();
-mail::QueueHint queue_hint();
+mail::JobClassHint queue_hint();
 mail::JobHint job_hint();
 mail::RentalHint rental_hint();
-mail::BookingHint booking_hint();
+mail::RentalRequestHint booking_hint();
 
 /// All of them by name, encoded by this build: the name of the file that holds the production version's
 /// bytes.
--- a/tests/job_index_test.cpp
+++ b/tests/job_index_test.cpp
@@ -15,20 +15,20 @@
 using wrenusher::desk::JobIndex;
 using wrenusher::lab::World;
 using wrenusher::settings::Settings;
-using wrenusher::store::Store;
+using wrenusher::store::KvClient;
 namespace records = wrenusher::records;
-using Standing = JobIndex::Standing;
+using Standing = JobIndex::Presence;
 
 /// The state service's keys of jobs with every change, read and followed as PROTOCOL has it.
 class Service {
  public:
-  void accept(const std::string& ref) { put(records::job_key(ref), record(false)); }
-  void cancel(const std::string& ref) { put(records::job_key(ref), record(true)); }
-  void end(const std::string& ref, const char* state) {
+  void accept(const std::string& job_id) { put(records::job_key(job_id), record(false)); }
+  void cancel(const std::string& job_id) { put(records::job_key(job_id), record(true)); }
+  void end(const std::string& job_id, const char* state) {
     ++revision_;
-    keys_.erase(records::job_key(ref));
-    changes_.push_back({revision_, records::job_key(ref), std::nullopt});
-    set(records::end_key(ref), records::new_end(state, 1));
+    keys_.erase(records::job_key(job_id));
+    changes_.push_back({revision_, records::job_key(job_id), std::nullopt});
+    set(records::final_state_key(job_id), records::write_final_state(state, 1));
   }
   void forget_changes() { kept_from_ = revision_; }
 
@@ -44,10 +44,10 @@
   }
   std::uint64_t revision() const { return revision_; }
   /// How the job stood at that revision.
-  Standing at(const std::string& ref, std::uint64_t revision) const {
+  Standing at(const std::string& job_id, std::uint64_t revision) const {
     Standing s = Standing::absent;
     for (const Change& c : changes_) {
-      if (c.revision > revision || c.key != records::job_key(ref)) continue;
+      if (c.revision > revision || c.key != records::job_key(job_id)) continue;
       s = !c.value                                  ? Standing::absent
           : records::cancelled_job(c.key, *c.value) ? Standing::cancelled
                                                     : Standing::live;
@@ -62,8 +62,8 @@
     std::optional<Value> value;
   };
   static Value record(bool cancelled) {
-    const Value job = records::new_job(World::job(0, 1, 1, 10), {}, 100);
-    return cancelled ? records::withdrawn(job) : job;
+    const Value job = records::write_job(World::job(0, 1, 1, 10), {}, 100);
+    return cancelled ? records::cancelled_record(job) : job;
   }
   void put(const std::string& key, Value value) {
     ++revision_;
@@ -110,7 +110,7 @@
     return s;
   }();
   ByHand rt;
-  Store store{rt, settings};
+  KvClient store{rt, settings};
   JobIndex index{rt, store};
   Service service;
   int requests = 0;
@@ -118,8 +118,8 @@
   std::map<Instant, std::uint64_t> revision_at;
 
   IndexByHand() {
-    index.on_ended = [this](const std::string& ref, const std::string& state, std::uint64_t) {
-      ended[ref] = state;
+    index.on_ended = [this](const std::string& job_id, const std::string& state, std::uint64_t) {
+      ended[job_id] = state;
     };
   }
   void answer(const ByHand::Call& c) { c.done({true, true, service.answer(c.request)}); }
@@ -131,7 +131,7 @@
   /// Answers all that is asked for, and what comes of it.
   void settle() {
     for (int i = 0; i < 100; ++i) {
-      pass(millis(10));
+      pass(from_millis(10));
       for (const ByHand::Call& c : std::exchange(rt.calls, {})) {
         ++requests;
         answer(c);
@@ -139,7 +139,7 @@
     }
   }
   void begin() {
-    index.begin();
+    index.load();
     settle();
     requests = 0;
   }
@@ -151,15 +151,15 @@
     IndexByHand d;
     for (int i = 0; i < jobs; ++i) d.service.accept(IndexByHand::ref(i));
     d.begin();
-    ASSERT_TRUE(d.index.whole());
+    ASSERT_TRUE(d.index.complete());
     ASSERT_EQ(d.index.size(), static_cast<std::size_t>(jobs));
     d.service.cancel(IndexByHand::ref(3));
     int live = 0;
     int cancelled = 0;
     for (int i = 0; i < 800; ++i) {
-      d.index.ask(IndexByHand::ref(i % jobs), [&](const JobIndex::Answer& a) {
-        live += a.standing == Standing::live;
-        cancelled += a.standing == Standing::cancelled;
+      d.index.query(IndexByHand::ref(i % jobs), [&](const JobIndex::Lookup& a) {
+        live += a.presence == Standing::live;
+        cancelled += a.presence == Standing::cancelled;
       });
     }
     d.settle();
@@ -176,8 +176,8 @@
   for (int i = 0; i < 300; ++i) d.service.end(IndexByHand::ref(i), i % 2 == 0 ? "done" : "withdrawn");
   int absent = 0;
   for (int i = 0; i < 300; ++i) {
-    d.index.ask(IndexByHand::ref(i), [&, i](const JobIndex::Answer& a) {
-      absent += a.standing == Standing::absent;
+    d.index.query(IndexByHand::ref(i), [&, i](const JobIndex::Lookup& a) {
+      absent += a.presence == Standing::absent;
       EXPECT_EQ(d.ended[IndexByHand::ref(i)], i % 2 == 0 ? "done" : "withdrawn");  // told before
     });
   }
@@ -201,12 +201,12 @@
     }
     std::map<int, Standing> told;
     const auto ask = [&](int i) {
-      d.index.ask(IndexByHand::ref(i), [&, i](const JobIndex::Answer& a) { told[i] = a.standing; });
+      d.index.query(IndexByHand::ref(i), [&, i](const JobIndex::Lookup& a) { told[i] = a.presence; });
     };
     ask(1);
     d.settle();
     EXPECT_EQ(told, (std::map<int, Standing>{{1, Standing::failed}})) << forgets;
-    EXPECT_TRUE(d.index.whole());
+    EXPECT_TRUE(d.index.complete());
     const int live = forgets ? 2 : 20;
     ask(1);
     ask(live);
@@ -220,9 +220,9 @@
 TEST(JobIndex, RefreshesTakeOnlyWhatOthersLeaveOfAScarcePace) {
   IndexByHand d;
   d.settings.state_rps = 20;
-  Store scarce{d.rt, d.settings};
+  KvClient scarce{d.rt, d.settings};
   JobIndex index{d.rt, scarce};
-  index.begin();
+  index.load();
   d.settle();
   d.requests = 0;
   int asked = 0;
@@ -231,22 +231,23 @@
   Micros longest{};
   for (int i = 0; i < 2000; ++i) {
     ++asked;
-    index.ask(IndexByHand::ref(i),
-              [&](const JobIndex::Answer& a) { answered += a.standing == Standing::absent; });
+    index.query(IndexByHand::ref(i),
+                [&](const JobIndex::Lookup& a) { answered += a.presence == Standing::absent; });
     if (i % 8 == 0) {
-      scarce.list("x/", "", 1, Store::Urgent::user, [&, since = d.rt.at](const wrenusher::store::Read&) {
-        ++others;
-        longest = std::max(longest, std::chrono::duration_cast<Micros>(d.rt.at - since));
-      });
+      scarce.list("x/", "", 1, KvClient::RequestClass::user,
+                  [&, since = d.rt.at](const wrenusher::store::ReadReply&) {
+                    ++others;
+                    longest = std::max(longest, std::chrono::duration_cast<Micros>(d.rt.at - since));
+                  });
     }
-    d.rt.pass(millis(10));
+    d.rt.pass(from_millis(10));
     for (const ByHand::Call& c : std::exchange(d.rt.calls, {})) {
       ++d.requests;
       d.answer(c);
     }
   }
   EXPECT_EQ(others, 250);  // 12.5 a second, of 19 that there are
-  EXPECT_LE(longest, millis(300));
+  EXPECT_LE(longest, from_millis(300));
   EXPECT_GE(d.requests - others, 20 * 4);
   EXPECT_GE(answered, asked - 100);
 }
@@ -256,36 +257,36 @@
 RC_GTEST_PROP(JobIndex, TellsNothingOlderThanItsRequest, ()) {
   IndexByHand d;
   for (int i = 0; i < 5; ++i) d.service.accept(IndexByHand::ref(i));
-  d.index.begin();
+  d.index.load();
   const int steps = *rc::gen::inRange(20, 200);
   int told = 0;
   for (int step = 0; step < steps; ++step) {
-    const std::string ref = IndexByHand::ref(*rc::gen::inRange(0, 12));
+    const std::string job_id = IndexByHand::ref(*rc::gen::inRange(0, 12));
     switch (*rc::gen::inRange(0, 8)) {
       case 0:
-        if (d.service.at(ref, d.service.revision()) == Standing::absent && !d.ended.contains(ref))
-          d.service.accept(ref);
+        if (d.service.at(job_id, d.service.revision()) == Standing::absent && !d.ended.contains(job_id))
+          d.service.accept(job_id);
         break;
       case 1:
-        if (d.service.at(ref, d.service.revision()) == Standing::live) d.service.cancel(ref);
+        if (d.service.at(job_id, d.service.revision()) == Standing::live) d.service.cancel(job_id);
         break;
       case 2:
-        if (d.service.at(ref, d.service.revision()) != Standing::absent) d.service.end(ref, "done");
+        if (d.service.at(job_id, d.service.revision()) != Standing::absent) d.service.end(job_id, "done");
         break;
       case 3:
         if (*rc::gen::inRange(0, 10) == 0) d.service.forget_changes();
         break;
       default:
-        d.index.ask(ref, [&, ref](const JobIndex::Answer& a) {
-          if (a.standing == Standing::failed) return;
+        d.index.query(job_id, [&, job_id](const JobIndex::Lookup& a) {
+          if (a.presence == Standing::failed) return;
           ++told;
           bool was_so = false;
-          for (std::uint64_t r = d.revision_at.at(a.sent); r <= d.service.revision(); ++r)
-            was_so = was_so || d.service.at(ref, r) == a.standing;
+          for (std::uint64_t r = d.revision_at.at(a.asked_at); r <= d.service.revision(); ++r)
+            was_so = was_so || d.service.at(job_id, r) == a.presence;
           RC_ASSERT(was_so);
         });
     }
-    d.pass(millis(*rc::gen::element(1, 10, 30, 800)));
+    d.pass(from_millis(*rc::gen::element(1, 10, 30, 800)));
     auto calls = std::exchange(d.rt.calls, {});
     for (const ByHand::Call& c : calls) {
       const int fate = *rc::gen::inRange(0, 10);
@@ -296,8 +297,8 @@
       } else {
         const Response r = d.service.answer(c.request);
         // What happens while the answer is on its way.
-        if (fate == 2 && d.service.at(ref, d.service.revision()) != Standing::absent)
-          d.service.end(ref, "done");
+        if (fate == 2 && d.service.at(job_id, d.service.revision()) != Standing::absent)
+          d.service.end(job_id, "done");
         c.done({true, true, r});
       }
     }
--- a/tests/lab_test.cpp
+++ b/tests/lab_test.cpp
@@ -31,14 +31,14 @@
 Site troubled_site() {
   Site s = parse_site(small_site_yaml(), "site.yaml");
   s.length = from_seconds(150);
-  s.troubles = {{"controller_crash", from_seconds(40), from_seconds(5), {}, "leader", 0},
-                {"spot_wave", from_seconds(60), from_seconds(8), {}, "", 0.5},
-                {"state_outage", from_seconds(80), from_seconds(10), {}, "", 0}};
+  s.faults = {{"controller_crash", from_seconds(40), from_seconds(5), {}, "leader", 0},
+              {"spot_wave", from_seconds(60), from_seconds(8), {}, "", 0.5},
+              {"state_outage", from_seconds(80), from_seconds(10), {}, "", 0}};
   return s;
 }
 
 /// The answers to a list of requests, put one after the other.
-using Ask = std::function<void(const Request&, std::function<void(const Outcome&)>)>;
+using Ask = std::function<void(const Request&, std::function<void(const CallResult&)>)>;
 
 std::vector<Request> requests() {
   const auto body = [](const Value& v) { return encode(v); };
@@ -66,12 +66,12 @@
 }
 
 /// Status and body of each answer.
-std::vector<std::string> answers(const std::function<void(const Request&, Done)>& ask,
+std::vector<std::string> answers(const std::function<void(const Request&, CallHandler)>& ask,
                                  const std::function<void()>& turn) {
   std::vector<std::string> out;
   for (const Request& r : requests()) {
     bool answered = false;
-    ask(r, [&](const Outcome& o) {
+    ask(r, [&](const CallResult& o) {
       answered = true;
       out.push_back(std::to_string(o.answered ? o.response.status : 0) + " " + o.response.body);
     });
@@ -83,65 +83,65 @@
 }  // namespace
 
 TEST(Lab, RealSocketsAndSimulatedTimeGiveTheSameAnswers) {
-  const StateLimits limits{0, 0, 16, 16};
-  SimWires sim(1);
-  StateService simulated(sim, limits, std::make_unique<MemoryKeep>());
-  sim.serve_at("10.2.0.1:2379", "state", [&](const std::string& from, const Request& r, const Answer& a) {
+  const KvLimits limits{0, 0, 16, 16};
+  SimTransport sim(1);
+  KvService simulated(sim, limits, std::make_unique<MemoryStorage>());
+  sim.serve_at("10.2.0.1:2379", "state", [&](const std::string& from, const Request& r, const Responder& a) {
     simulated.serve(from, r, a);
   });
   // No message of a simulated network is certain to be answered: the models are asked beyond it.
   const auto a = answers(
-      [&](const Request& r, Done done) {
+      [&](const Request& r, CallHandler done) {
         simulated.serve("c0", r, [done](Response x) { done({true, true, std::move(x)}); });
       },
-      [&] { sim.run(millis(10)); });
+      [&] { sim.run(from_millis(10)); });
 
-  wrenusher::net::UvRuntime rt(100);
-  LiveWires live(rt, 17500);
-  StateService real(live, limits, std::make_unique<MemoryKeep>());
+  wrenusher::net::UvRuntime runtime(100);
+  LiveTransport live(runtime, 17500);
+  KvService real(live, limits, std::make_unique<MemoryStorage>());
   const auto at = live.serve(
-      "state", [&](const std::string&, const Request& r, const Answer& x) { real.serve("c0", r, x); });
+      "state", [&](const std::string&, const Request& r, const Responder& x) { real.serve("c0", r, x); });
   ASSERT_TRUE(at);
   const auto b = answers(
-      [&](const Request& r, Done done) {
-        live.send("c0", *at, r, from_seconds(30), [&rt, done = std::move(done)](const Outcome& o) {
+      [&](const Request& r, CallHandler done) {
+        live.send("c0", *at, r, from_seconds(30), [&runtime, done = std::move(done)](const CallResult& o) {
           done(o);
-          rt.stop();
+          runtime.stop();
         });
       },
-      [&] { rt.run(); });
+      [&] { runtime.run(); });
   EXPECT_EQ(a, b);
 }
 
 TEST(Lab, ACutLinkHoldsWhatIsSentUntilItIsHealed) {
-  wrenusher::net::UvRuntime rt(100);
-  LiveWires live(rt, 17700);
+  wrenusher::net::UvRuntime runtime(100);
+  LiveTransport live(runtime, 17700);
   int came = 0;
-  const auto at = live.serve("state", [&](const std::string&, const Request&, const Answer& x) {
+  const auto at = live.serve("state", [&](const std::string&, const Request&, const Responder& x) {
     ++came;
     x({200, {}, 0});
-    rt.stop();
+    runtime.stop();
   });
   ASSERT_TRUE(at);
-  live.links.cut("c0", "state", Cut::hold);
+  live.links.cut("c0", "state", LinkCut::hold);
   bool gave_up = false;
-  live.send("c0", *at, {"GET", "/", {}}, millis(20), [&](const Outcome& o) {
-    gave_up = !o.answered && o.sent;
-    rt.stop();
+  live.send("c0", *at, {"GET", "/", {}}, from_millis(20), [&](const CallResult& o) {
+    gave_up = !o.answered && o.may_have_arrived;
+    runtime.stop();
   });
-  rt.run();
+  runtime.run();
   EXPECT_TRUE(gave_up);
   EXPECT_EQ(came, 0);
   live.heal();
-  rt.run();
+  runtime.run();
   EXPECT_EQ(came, 1);
-  live.links.cut("c0", "state", Cut::reset);
+  live.links.cut("c0", "state", LinkCut::reset);
   bool refused = false;
-  live.send("c0", *at, {"GET", "/", {}}, from_seconds(9), [&](const Outcome& o) {
-    refused = !o.answered && !o.sent;
-    rt.stop();
+  live.send("c0", *at, {"GET", "/", {}}, from_seconds(9), [&](const CallResult& o) {
+    refused = !o.answered && !o.may_have_arrived;
+    runtime.stop();
   });
-  rt.run();
+  runtime.run();
   EXPECT_TRUE(refused);
   live.unserve(*at);
 }
@@ -150,34 +150,34 @@
 
 /// A state service behind a simulated network, and what it answers.
 struct LossyState {
-  SimWires wires{4};
-  StateService state{wires, {0, 0, 16, 16}, std::make_unique<MemoryKeep>()};
+  SimTransport wires{4};
+  KvService state{wires, {0, 0, 16, 16}, std::make_unique<MemoryStorage>()};
   LossyState() {
     wires.serve_at(
         "10.2.0.1:2379", "state",
-        [this](const std::string& from, const Request& r, const Answer& a) { state.serve(from, r, a); });
+        [this](const std::string& from, const Request& r, const Responder& a) { state.serve(from, r, a); });
   }
   /// "200", or "none after 1.5 s".
   std::string ask(const Request& r, const std::string& who = "c0") {
     std::string out;
     const Instant asked = wires.now();
-    wires.send(who, "10.2.0.1:2379", r, from_seconds(1.5), [&](const Outcome& o) {
+    wires.send(who, "10.2.0.1:2379", r, from_seconds(1.5), [&](const CallResult& o) {
       out = o.answered ? std::to_string(o.response.status)
-                       : (o.sent ? "none after " : "unsent after ") +
+                       : (o.may_have_arrived ? "none after " : "unsent after ") +
                              std::to_string(to_seconds(wires.now() - asked)).substr(0, 3) + " s";
     });
-    for (int i = 0; i < 300 && out.empty(); ++i) wires.run(millis(10));
+    for (int i = 0; i < 300 && out.empty(); ++i) wires.run(from_millis(10));
     return out;
   }
-  std::string put(const std::string& key, std::uint64_t stamp, const std::string& who = "c0") {
+  std::string put(const std::string& key, std::uint64_t mod_revision, const std::string& who = "c0") {
     return ask({"POST", "/multi",
-                encode(Value::Map{{"when", Value::List{Value::Map{{"k", key}, {"stamp", stamp}}}},
+                encode(Value::Map{{"when", Value::List{Value::Map{{"k", key}, {"stamp", mod_revision}}}},
                                   {"apply", Value::List{Value::Map{{"put", key}, {"value", 1}}}}})},
                who);
   }
-  std::string compare(const std::string& key, std::uint64_t stamp) {
+  std::string compare(const std::string& key, std::uint64_t mod_revision) {
     return ask({"POST", "/multi",
-                encode(Value::Map{{"when", Value::List{Value::Map{{"k", key}, {"stamp", stamp}}}}})});
+                encode(Value::Map{{"when", Value::List{Value::Map{{"k", key}, {"stamp", mod_revision}}}}})});
   }
   std::string get(const std::string& key) { return ask({"GET", "/store/" + key, {}}); }
 };
@@ -188,45 +188,45 @@
 
 TEST(Lab, AnAnswerIsLostAloneAndWhatItAnswersWasCarriedOutAtOnce) {
   LossyState s;
-  const int all = s.wires.lose_answers({});
+  const int all = s.wires.drop_answers({});
   EXPECT_EQ(s.put("job/a", 0), kNone);
   ASSERT_NE(s.state.find("job/a"), nullptr);
-  EXPECT_EQ(s.state.find("job/a")->stamp, 1U);
+  EXPECT_EQ(s.state.find("job/a")->mod_revision, 1U);
   // The answer to its repeat likewise; reads and comparisons are answered.
   EXPECT_EQ(s.put("job/a", 0), kNone);
-  EXPECT_EQ(s.state.find("job/a")->stamp, 1U);
+  EXPECT_EQ(s.state.find("job/a")->mod_revision, 1U);
   EXPECT_EQ(s.get("job/a"), "200");
   EXPECT_EQ(s.compare("job/a", 1), "200");
   // What was not carried out is answered.
   s.state.outage(true);
   EXPECT_EQ(s.put("job/b", 0), "503");
   s.state.outage(false);
-  EXPECT_EQ(s.wires.lost_answers(), 2);
+  EXPECT_EQ(s.wires.dropped_answers(), 2);
   s.wires.answer_again(all);
   EXPECT_EQ(s.put("job/b", 0), "200");
 }
 
 TEST(Lab, LostAnswersAreNarrowedToKeysToWhoAsksAndToTheNthThatMatches) {
   LossyState s;
-  SimWires::LostAnswers second;
+  SimTransport::AnswerLoss second;
   second.keys = {"end/", "job/"};
   second.skip = 1;
   second.most = 1;
   std::string told;
   second.then = [&](const std::string& who) { told = who; };
-  s.wires.lose_answers(second);
+  s.wires.drop_answers(second);
   EXPECT_EQ(s.put("claims/0", 0), "200");
   EXPECT_EQ(s.put("job/a", 0), "200");
   EXPECT_EQ(s.put("end/a", 0, "c2"), kNone);
   EXPECT_EQ(told, "c2");
   EXPECT_EQ(s.put("job/b", 0), "200");
   // Of reads: a key, a list, a comparison.
-  SimWires::LostAnswers reads;
+  SimTransport::AnswerLoss reads;
   reads.keys = {"job/"};
   reads.reads = true;
   reads.who = "c0";
   reads.most = 3;
-  s.wires.lose_answers(reads);
+  s.wires.drop_answers(reads);
   EXPECT_EQ(s.put("job/c", 0), "200");
   EXPECT_EQ(s.get("end/a"), "200");
   EXPECT_EQ(s.ask({"GET", "/store/job/a", {}}, "c1"), "200");
@@ -234,7 +234,7 @@
   EXPECT_EQ(s.ask({"GET", "/store?starts=job/&limit=5", {}}), kNone);
   EXPECT_EQ(s.compare("job/a", 9), kNone);
   EXPECT_EQ(s.get("job/a"), "200");
-  EXPECT_EQ(s.wires.lost_answers(), 4);
+  EXPECT_EQ(s.wires.dropped_answers(), 4);
 }
 
 TEST(Lab, ASiteFileCanLoseAnswersForAWhile) {
@@ -242,11 +242,11 @@
       std::string(small_site_yaml()) +
       "troubles:\n  - {what: lost_answers, at: 30s, lasts: 20s, share: 0.5, whom: claims/}\n";
   const Site site = parse_site(with, "site.yaml");
-  ASSERT_EQ(site.troubles.size(), 1U);
+  ASSERT_EQ(site.faults.size(), 1U);
   World w(5, site);
   for (int i = 0; i < 30; ++i) w.at(from_seconds(3 * i), [&w, i] { w.submit(World::job(i, 2, 2, 10)); });
   w.run(from_seconds(30));
-  w.strike(site.troubles[0]);
+  w.inject_fault(site.faults[0]);
   w.run(from_seconds(20));
   const int lost = w.lost_answers();
   EXPECT_GT(lost, 3);
@@ -331,7 +331,7 @@
   EXPECT_EQ(digest_of(Instant{}, {"ab", "c"}), one);
   EXPECT_NE(digest_of(Instant{}, {"c", "ab"}), one);
   EXPECT_NE(digest_of(Instant{}, {"a", "bc"}), one);
-  EXPECT_NE(digest_of(Instant{} + millis(1), {"ab", "c"}), one);
+  EXPECT_NE(digest_of(Instant{} + from_millis(1), {"ab", "c"}), one);
 }
 
 TEST(Lab, ComparingTellsWhatMovedBeyondTheSpread) {
@@ -363,7 +363,7 @@
   EXPECT_TRUE(verdict().good) << table(verdict());
   // A task of a finished job starts on two machines: what must never happen, told to the checker alone.
   for (const char* host : {"m-98", "m-99"})
-    w.checker.started(w.now(), World::job(1, 2, 4, 5).ref, 0, host, "small", "a", true);
+    w.checker.started(w.now(), World::job(1, 2, 4, 5).job_id, 0, host, "small", "a", true);
   EXPECT_FALSE(verdict().good);
   EXPECT_NE(table(verdict()).find("ran_twice"), std::string::npos);
 }
@@ -374,31 +374,31 @@
   s.types.resize(1);
   s.types[0].spot = 0;
   s.types[0].ordinary = 1;
-  s.types[0].flavor.sites = {"a"};
+  s.types[0].type.zones = {"a"};
   s.machines = 1;
   World w(7, s);
   w.run(from_seconds(8));
   JobSpec first = World::job(1, 1, 2, 20);
   first.image_gb = 6;
-  first.bundle = "one";
+  first.image = "one";
   JobSpec second = World::job(3, 1, 2, 20);
   second.image_gb = 6;
-  second.bundle = "two";
+  second.image = "two";
   std::map<std::string, Instant> started;
-  w.machines().on_start = [&](const std::string& ref, std::uint32_t) { started.emplace(ref, w.now()); };
+  w.machines().on_start = [&](const std::string& job_id, std::uint32_t) { started.emplace(job_id, w.now()); };
   const Instant begun = w.now();
   w.submit(first);
   w.submit(second);
   w.run(from_seconds(25));
-  ASSERT_TRUE(started.contains(first.ref) && started.contains(second.ref));
+  ASSERT_TRUE(started.contains(first.job_id) && started.contains(second.job_id));
   const double alone = 6 / 1.33;
-  EXPECT_GT(to_seconds(std::max(started[first.ref], started[second.ref]) - begun), 2 * alone);
+  EXPECT_GT(to_seconds(std::max(started[first.job_id], started[second.job_id]) - begun), 2 * alone);
   JobSpec third = World::job(5, 1, 2, 5);
-  third.bundle = "one";
+  third.image = "one";
   const Instant later = w.now();
   w.submit(third);
   w.run(from_seconds(10));
-  ASSERT_TRUE(started.contains(third.ref));
-  EXPECT_LT(to_seconds(started[third.ref] - later), alone);
+  ASSERT_TRUE(started.contains(third.job_id));
+  EXPECT_LT(to_seconds(started[third.job_id] - later), alone);
   EXPECT_TRUE(w.checker.broken().empty());
 }
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -15,7 +15,7 @@
 using namespace wrenusher::lab;
 using namespace wrenusher::protocol;
 using wrenusher::base::ByHand;
-using wrenusher::book::Phase;
+using wrenusher::book::TaskState;
 
 namespace {
 
@@ -31,31 +31,31 @@
 Site at_limit(Limit limit, bool warm) {
   Site s = World::default_site(World::small_site());
   s.types.resize(1);
-  s.types[0].flavor.room.cards = to_amount(4);
-  s.types[0].flavor.boot = from_seconds(2);
+  s.types[0].type.capacity.gpus = to_amount(4);
+  s.types[0].type.boot_time = from_seconds(2);
   s.types[0].spot = 0;
   s.types[0].ordinary = 12;
   s.machines = 10;
   s.settings.teams = {{"red", 0, 0, 0, 0}, {"blue", 0, 0, 0, 0}};
-  for (auto& team : s.settings.teams) (limit == Limit::cores ? team.cores_max : team.cards_max) = 0;
+  for (auto& team : s.settings.teams) (limit == Limit::cores ? team.cores_max : team.gpus_max) = 0;
   for (auto& team : s.settings.teams) {
     if (limit == Limit::cores) {
       team.cores_max = 4 * kTasks;
     } else {
-      team.cards_max = kTasks;
+      team.gpus_max = kTasks;
     }
   }
-  s.settings.tunables.standby = warm;
+  s.settings.tunables.warm_standby = warm;
   s.settings.tunables.idle_return = from_seconds(900);
   return s;
 }
 
 JobSpec job(int number, std::uint32_t units, double run_s) {
   JobSpec s = World::job(number, units, 4, run_s);
-  s.needs.cards = to_amount(1);
-  s.bundle = "img";
+  s.resources.gpus = to_amount(1);
+  s.image = "img";
   s.image_gb = 0.5;
-  s.standby = false;
+  s.spot_allowed = false;
   return s;
 }
 
@@ -70,10 +70,10 @@
   Load out;
   for (int i = 0; i < 10; ++i) {
     JobSpec s = job(i, 2, 70);
-    if (i / 2 == 3) s.shape = Shape::gang;
-    if (i / 2 == 4) s.shape = Shape::daemon;
-    if (s.shape == Shape::daemon) out.services.insert(s.ref);
-    out.running.push_back(s.ref);
+    if (i / 2 == 3) s.type = JobType::gang;
+    if (i / 2 == 4) s.type = JobType::service;
+    if (s.type == JobType::service) out.services.insert(s.job_id);
+    out.running.push_back(s.job_id);
     w.submit(s);
   }
   for (int i = 0; i < 16; ++i) w.at(from_seconds(15), [&w, s = job(100 + i, 1, 15)] { w.submit(s); });
@@ -84,16 +84,16 @@
 std::uint32_t on_machines(const World& w, const std::string& owner) {
   std::uint32_t out = 0;
   for (const std::string& h : w.hosts()) {
-    for (const auto& [ref, task] : w.units_on(h)) out += w.checker.spec(ref).owner == owner ? 1 : 0;
+    for (const auto& [ref, task] : w.tasks_on(h)) out += w.checker.spec(ref).team == owner ? 1 : 0;
   }
   return out;
 }
 
-std::vector<std::string> hosts_of(const World& w, const std::set<std::string>& refs) {
+std::vector<std::string> hosts_of(const World& w, const std::set<std::string>& job_ids) {
   std::vector<std::string> out;
   for (const std::string& h : w.hosts()) {
-    const auto units = w.units_on(h);
-    if (std::any_of(units.begin(), units.end(), [&](const auto& u) { return refs.contains(u.first); }))
+    const auto units = w.tasks_on(h);
+    if (std::any_of(units.begin(), units.end(), [&](const auto& u) { return job_ids.contains(u.first); }))
       out.push_back(h);
   }
   return out;
@@ -105,7 +105,7 @@
   std::function<void(World& w, const std::vector<std::string>& hosts)> strike;
 };
 
-void cut_off(World& w, const std::string& host, Cut how) {
+void cut_off(World& w, const std::string& host, LinkCut how) {
   for (int c = 0; c < 3; ++c) w.cut(name_of(c), host, how);
 }
 
@@ -117,18 +117,20 @@
   };
   return {
       {"cut off, what is sent comes later",
-       each([](World& w, const std::string& h) { cut_off(w, h, Cut::hold); })},
-      {"cut off", each([](World& w, const std::string& h) { cut_off(w, h, Cut::reset); })},
+       each([](World& w, const std::string& h) { cut_off(w, h, LinkCut::hold); })},
+      {"cut off", each([](World& w, const std::string& h) { cut_off(w, h, LinkCut::reset); })},
       {"reports come, answers and orders do not",
-       each([](World& w, const std::string& h) { w.deafen(h, Cut::hold); })},
-      {"orders arrive, reports do not", each([](World& w, const std::string& h) { w.mute(h, Cut::reset); })},
+       each([](World& w, const std::string& h) { w.drop_inbound(h, LinkCut::hold); })},
+      {"orders arrive, reports do not",
+       each([](World& w, const std::string& h) { w.drop_replies(h, LinkCut::reset); })},
       {"orders arrive, reports come later",
-       each([](World& w, const std::string& h) { w.mute(h, Cut::hold); })},
+       each([](World& w, const std::string& h) { w.drop_replies(h, LinkCut::hold); })},
       {"hang for less than a lease",
        each([](World& w, const std::string& h) { w.hang(h, from_seconds(7)); })},
       {"hang for longer than a lease",
        each([](World& w, const std::string& h) { w.hang(h, from_seconds(14)); })},
-      {"a zone is cut off", [](World& w, const std::vector<std::string>&) { w.cut_zone("b", Cut::hold); }},
+      {"a zone is cut off",
+       [](World& w, const std::vector<std::string>&) { w.cut_zone("b", LinkCut::hold); }},
   };
 }
 
@@ -141,17 +143,17 @@
 std::vector<OnLeader> on_leader() {
   return {
       {"ends", [](World& w, int l) { w.crash(l, from_seconds(20)); }},
-      {"ends and is back at once", [](World& w, int l) { w.crash(l, millis(300)); }},
+      {"ends and is back at once", [](World& w, int l) { w.crash(l, from_millis(300)); }},
       {"stands still", [](World& w, int l) { w.stall(l, from_seconds(9)); }},
       {"is refused by the state service",
        [](World& w, int l) {
          w.state_refuses(l, true);
          w.at(from_seconds(12), [&w, l] { w.state_refuses(l, false); });
        }},
-      {"loses the state service and its peers", [](World& w, int l) { w.leave_alone(l, Cut::hold); }},
+      {"loses the state service and its peers", [](World& w, int l) { w.leave_alone(l, LinkCut::hold); }},
       {"hears no workers and hands over",
        [](World& w, int l) {
-         for (const std::string& h : w.hosts()) w.cut(name_of(l), h, Cut::reset);
+         for (const std::string& h : w.hosts()) w.cut(name_of(l), h, LinkCut::reset);
        }},
       {"ends, and the next one soon after it",
        [](World& w, int l) {
@@ -200,8 +202,8 @@
   if (hosts.size() > 3) hosts.resize(hosts.size() - 1);
   w.at(from_seconds(2), [&w, &trouble, hosts] { trouble.strike(w, hosts); });
   w.at(from_seconds(3), [&w, &lead, leader] { lead.strike(w, leader); });
-  for (const std::string& ref : cancelled)
-    w.at(from_seconds(3 + m.offset + w.uniform(0, 0.2)), [&w, ref] { w.withdraw(ref); });
+  for (const std::string& job_id : cancelled)
+    w.at(from_seconds(3 + m.offset + w.uniform(0, 0.2)), [&w, job_id] { w.cancel(job_id); });
   w.run(from_seconds(20));
   w.heal();
   w.checker.troubles_over(w.now());
@@ -248,39 +250,39 @@
 struct Counted {
   ByHand rt;
   wrenusher::estimates::Estimator estimator;
-  wrenusher::machines::Machines machines{rt, estimator};
-  wrenusher::book::Book book{rt, machines};
-  wrenusher::accounts::Waits waits;
-  wrenusher::reports::Reports reports{rt, book, machines, estimator, waits};
+  wrenusher::machines::MachineInventory machines{rt, estimator};
+  wrenusher::book::JobTable book{rt, machines};
+  wrenusher::accounts::StartLatencyMetrics waits;
+  wrenusher::reports::Reconciler reports{rt, book, machines, estimator, waits};
   JobSpec spec = job(0, 2, 100);
 
   Counted() { begin(7); }
   /// The records of one job, as a leader of this term finds them.
-  wrenusher::book::Job& begin(std::uint64_t epoch) {
-    book.begin(epoch);
+  wrenusher::book::Job& begin(std::uint64_t fencing_token) {
+    book.begin(fencing_token);
     machines.clear();
-    return book.accept(spec.ref, {spec, {}, 1000, false}, 1);
+    return book.add(spec.job_id, {spec, {}, 1000, false}, 1);
   }
-  wrenusher::book::Job& the_job() { return *book.find(spec.ref); }
+  wrenusher::book::Job& the_job() { return *book.find(spec.job_id); }
   /// A block in which task 0 has a claim on m-1.
   void found(std::uint64_t version) {
     wrenusher::records::BlockRecord b;
-    b.last_try = 2;
-    b.claims.push_back({"m-1", 2, {}});
-    b.claims.back().tasks.add(0);
-    book.restore(the_job(), 0, version, b);
+    b.last_attempt = 2;
+    b.assignments.push_back({"m-1", 2, {}});
+    b.assignments.back().tasks.add(0);
+    book.restore_block(the_job(), 0, version, b);
   }
   /// A report of a machine, of task 0 as given, or not showing it.
-  void report(const char* host, std::uint64_t attempt, std::optional<UnitStatus> status, const char* cause,
+  void report(const char* host, std::uint64_t attempt, std::optional<TaskStatus> status, const char* cause,
               bool current, bool settled = true) {
     WorkerReport r;
     r.host = host;
-    r.addr = "10.1.0.1:9000";
-    r.flavor = "small";
-    r.site = "a";
-    r.tenure = r.serial = r.epoch = 1;
-    if (status) r.units.push_back({spec.ref, 0, attempt, *status, cause, false});
-    reports.take(r, current, settled);
+    r.address = "10.1.0.1:9000";
+    r.machine_type = "small";
+    r.zone = "a";
+    r.incarnation = r.sequence = r.fencing_token = 1;
+    if (status) r.tasks.push_back({spec.job_id, 0, attempt, *status, cause, false});
+    reports.apply(r, current, settled);
   }
   double cores() const {
     const auto it = book.teams().find("red");
@@ -298,16 +300,16 @@
   Counted c;
   auto& before = c.the_job();
   for (int i = 0; i < 5; ++i) {
-    c.book.claim(before, 0, c.machines.at("m-1"), 1, Phase::fresh);
+    c.book.assign(before, 0, c.machines.get_or_add("m-1"), 1, TaskState::assigned);
     c.book.release(before, 0, "stopped");
   }
   const std::uint64_t on_its_way = before.blocks[0].version;
   c.begin(7);
   c.found(on_its_way - 2);
   auto& job = c.the_job();
-  c.book.claim(job, 1, c.machines.at("m-2"), 3, Phase::fresh);
+  c.book.assign(job, 1, c.machines.get_or_add("m-2"), 3, TaskState::assigned);
   EXPECT_GT(job.blocks[0].version, on_its_way);
-  EXPECT_FALSE(job.committed(1, job.claims.at(1).version));
+  EXPECT_FALSE(job.committed(1, job.assignments.at(1).version));
   EXPECT_EQ(c.book.unwritten().size(), 1U);
   EXPECT_EQ(c.book.disagreement(), "");
 }
@@ -318,14 +320,14 @@
   for (const bool shown_first : {false, true}) {
     for (const bool ended : {false, true}) {
       Counted c;
-      c.spec.shape = Shape::gang;
+      c.spec.type = JobType::gang;
       c.begin(7);
       c.found(kTerm - 5);
       ASSERT_EQ(c.cores(), 4);
-      if (shown_first) c.report("m-1", 2, UnitStatus::gathering, "", false);
-      c.report("m-1", 2, ended ? std::optional(UnitStatus::ended) : std::nullopt, "alone", false);
+      if (shown_first) c.report("m-1", 2, TaskStatus::waiting_for_gang, "", false);
+      c.report("m-1", 2, ended ? std::optional(TaskStatus::exited) : std::nullopt, "alone", false);
       EXPECT_EQ(c.cores(), 4) << shown_first << ended;
-      c.report("m-1", 2, ended ? std::optional(UnitStatus::ended) : std::nullopt, "alone", true);
+      c.report("m-1", 2, ended ? std::optional(TaskStatus::exited) : std::nullopt, "alone", true);
       EXPECT_EQ(c.cores(), 0) << shown_first << ended;
     }
   }
@@ -336,11 +338,11 @@
 TEST(Limits, ATaskThatWasDoneElsewhereCountsUntilItEndsWhereItStandsClaimed) {
   Counted c;
   c.found(kTerm - 5);
-  c.report("m-1", 2, UnitStatus::pulling, "", true);
-  c.report("m-9", 1, UnitStatus::ended, "done", true);
+  c.report("m-1", 2, TaskStatus::fetching_image, "", true);
+  c.report("m-9", 1, TaskStatus::exited, "done", true);
   EXPECT_EQ(c.cores(), 4);
   EXPECT_FALSE(c.the_job().done.contains(0));
-  c.report("m-1", 2, UnitStatus::ended, "done", true);
+  c.report("m-1", 2, TaskStatus::exited, "done", true);
   EXPECT_EQ(c.cores(), 0);
   EXPECT_TRUE(c.the_job().done.contains(0));
 }
@@ -364,33 +366,33 @@
   const auto needs = [](const Counted& c) { return c.book.teams().at("red"); };
   for (const bool withdrawn : {false, true}) {
     Counted c;
-    c.spec.needs.cards = to_amount(1);
+    c.spec.resources.gpus = to_amount(1);
     c.book.begin(7);
     c.machines.clear();
-    c.book.accept(c.spec.ref, {c.spec, {}, 1000, withdrawn}, 1);
+    c.book.add(c.spec.job_id, {c.spec, {}, 1000, withdrawn}, 1);
     c.found(kTerm - 5);
-    EXPECT_EQ(needs(c), c.spec.needs);
+    EXPECT_EQ(needs(c), c.spec.resources);
     // Task 1 is on a machine without a claim.
     WorkerReport r;
     r.host = "m-2";
-    r.flavor = "small";
-    r.site = "a";
-    r.tenure = r.serial = 1;
-    r.units.push_back({c.spec.ref, 1, 1, UnitStatus::running, "", false});
-    c.reports.take(r, true, true);
-    EXPECT_EQ(needs(c), c.spec.needs * 2);
-    if (!withdrawn) c.book.withdraw(c.the_job());
-    c.book.halt(c.the_job(), Micros{0});
-    EXPECT_EQ(needs(c), c.spec.needs * 2);
-    EXPECT_FALSE(c.book.over().contains(c.spec.ref));
-    c.machines.at("m-1").quiet = c.machines.at("m-1").condemned = true;
-    EXPECT_EQ(needs(c), c.spec.needs * 2);
-    r.units.clear();
-    c.reports.take(r, true, true);
-    EXPECT_EQ(needs(c), c.spec.needs);
+    r.machine_type = "small";
+    r.zone = "a";
+    r.incarnation = r.sequence = 1;
+    r.tasks.push_back({c.spec.job_id, 1, 1, TaskStatus::running, "", false});
+    c.reports.apply(r, true, true);
+    EXPECT_EQ(needs(c), c.spec.resources * 2);
+    if (!withdrawn) c.book.cancel(c.the_job());
+    c.book.stop_job(c.the_job(), Micros{0});
+    EXPECT_EQ(needs(c), c.spec.resources * 2);
+    EXPECT_FALSE(c.book.finished_jobs().contains(c.spec.job_id));
+    c.machines.get_or_add("m-1").silent = c.machines.get_or_add("m-1").cordoned = true;
+    EXPECT_EQ(needs(c), c.spec.resources * 2);
+    r.tasks.clear();
+    c.reports.apply(r, true, true);
+    EXPECT_EQ(needs(c), c.spec.resources);
     c.book.release(c.the_job(), 0, "its machine is gone", true);
-    EXPECT_EQ(needs(c), Needs{});
-    EXPECT_TRUE(c.book.over().contains(c.spec.ref));
+    EXPECT_EQ(needs(c), Resources{});
+    EXPECT_TRUE(c.book.finished_jobs().contains(c.spec.job_id));
   }
 }
 
@@ -406,7 +408,8 @@
     // Only a follower that is a write behind at that moment has missed changes: one call in some fifteen.
     for (int i = 0; i < 150; ++i) w.at(from_seconds(w.uniform(0, 25)), [&w] { w.state_forgets(); });
     for (int i = 0; i < 6; ++i) {
-      w.at(from_seconds(3 * i), [&w, ref = load.running[static_cast<std::size_t>(i)]] { w.withdraw(ref); });
+      w.at(from_seconds(3 * i),
+           [&w, job_id = load.running[static_cast<std::size_t>(i)]] { w.cancel(job_id); });
     }
     w.run(from_seconds(26));
     if (w.leader() >= 0) w.crash(w.leader(), from_seconds(10));
@@ -414,7 +417,7 @@
     w.write_late(0);
     w.run(from_seconds(13));
     w.checker.troubles_over(w.now());
-    for (const std::string& ref : load.services) w.withdraw(ref);
+    for (const std::string& job_id : load.services) w.cancel(job_id);
     w.run(from_seconds(240));
     EXPECT_TRUE(w.checker.broken().empty()) << "seed " << seed << "\n" << notes(w).substr(0, 1500);
     EXPECT_EQ(w.live(), 0U) << "seed " << seed;
--- a/tests/live_lab_test.cpp
+++ b/tests/live_lab_test.cpp
@@ -13,20 +13,20 @@
 // A controller that began while its tunables were written for the next one read none, and kept to the
 // defaults: idle machines went back, and no topology was in force until another one led.
 TEST(LiveLab, TunablesAreThereBeforeAnyControllerStarts) {
-  wrenusher::net::UvRuntime rt(1000);
-  LabOptions options;
+  wrenusher::net::UvRuntime runtime(1000);
+  TestbedOptions options;
   options.site = parse_site(small_site_yaml(), "built-in site");
-  options.wrenusher = "/bin/true";
+  options.program = "/bin/true";
   options.port = 17600;
   options.tunables = "idle_return_s: 3600\n";
-  LiveLab lab(rt, options);
+  LiveTestbed lab(runtime, options);
   const std::filesystem::path log = lab.log_of(0);
   const std::filesystem::path tunables = log.parent_path() / "tunables.yaml";
   EXPECT_EQ(wrenusher::fields::read_text(tunables.string()), options.tunables);
   // The first controller's log is opened right before it is started; /bin/true writes nothing to it.
   EXPECT_LE(std::filesystem::last_write_time(tunables), std::filesystem::last_write_time(log));
-  lab.stop([&] { rt.stop(); });
-  rt.run();
+  lab.stop([&] { runtime.stop(); });
+  runtime.run();
 }
 
 }  // namespace
--- a/tests/lost_answers_test.cpp
+++ b/tests/lost_answers_test.cpp
@@ -75,11 +75,11 @@
 }
 
 std::vector<Write> writes() {
-  const auto job_key = [](const JobSpec& s) { return records::job_key(s.ref); };
+  const auto job_key = [](const JobSpec& s) { return records::job_key(s.job_id); };
   return {
       {"submission", job_key(late_job()), job_key(late_job()), [](World& w) { w.submit(late_job()); }},
       {"cancellation", job_key(long_job()), job_key(long_job()),
-       [](World& w) { w.withdraw(long_job().ref); }},
+       [](World& w) { w.cancel(long_job().job_id); }},
       {"end", "end/", "job/", [](World& w) { w.submit(late_job()); }},
       {"claims", "claims/", "claims/", [](World& w) { w.submit(late_job()); }},
       {"term", "leader", "leader", end_leader, true},
@@ -96,20 +96,20 @@
   }
   w.submit(long_job());
   JobSpec gang = World::job(50, 3, 4, 15);
-  gang.shape = Shape::gang;
+  gang.type = JobType::gang;
   w.at(from_seconds(30), [&w, gang] { w.submit(gang); });
   JobSpec service = World::job(51, 2, 2, 0);
-  service.shape = Shape::daemon;
+  service.type = JobType::service;
   w.submit(service);
-  w.at(from_seconds(75), [&w, service] { w.withdraw(service.ref); });
-  w.at(from_seconds(80), [&w] { w.withdraw(long_job().ref); });
+  w.at(from_seconds(75), [&w, service] { w.cancel(service.job_id); });
+  w.at(from_seconds(80), [&w] { w.cancel(long_job().job_id); });
 }
 
 Site site_of(Then then) {
   Site s = World::default_site(World::small_site());
   s.topology_text = kMap;
   s.topology = wrenusher::topology::Topology::parse(kMap, "topology.yaml");
-  s.settings.tunables.standby = then != Then::ends_cold;
+  s.settings.tunables.warm_standby = then != Then::ends_cold;
   // Room enough at all times, so that nothing waits but for what is lost.
   s.machines = 8;
   s.types[0].ordinary = 8;
@@ -149,10 +149,10 @@
   std::optional<Instant> struck;
   JobSpec probe = World::job(70, 1, 1, 5);
   probe.image_gb = 0.01;  // and it waits for no image
-  w.machines().on_start = [&](const std::string& ref, std::uint32_t) {
-    if (ref == probe.ref && out.to_work < 0) out.to_work = to_seconds(w.now() - *struck);
+  w.machines().on_start = [&](const std::string& job_id, std::uint32_t) {
+    if (job_id == probe.job_id && out.to_work < 0) out.to_work = to_seconds(w.now() - *struck);
   };
-  SimWires::LostAnswers l;
+  SimTransport::AnswerLoss l;
   l.keys = {write.keys};
   l.most = lost == Lost::repeat ? 2 : 1;
   l.then = [&](const std::string& who) {
@@ -160,7 +160,7 @@
     struck = w.now();
     w.submit(probe);
     if (lost == Lost::read) {
-      SimWires::LostAnswers read;
+      SimTransport::AnswerLoss read;
       read.keys = {write.read};
       read.reads = true;
       read.most = 1;
@@ -170,7 +170,7 @@
   };
   w.lose_answers(l);
   write.cause(w);
-  for (int i = 0; i < 300 && !struck; ++i) w.run(millis(100));
+  for (int i = 0; i < 300 && !struck; ++i) w.run(from_millis(100));
   EXPECT_TRUE(struck) << story;
   w.run(from_seconds(30));
   w.checker.troubles_over(w.now());
@@ -181,7 +181,7 @@
   EXPECT_GE(w.leader(), 0) << story;
   // Ends are written, and what ended is off the machines' lists.
   EXPECT_EQ(w.keys("job/"), 0U) << story;
-  for (const std::string& h : w.hosts()) EXPECT_TRUE(w.units_on(h).empty()) << story << ", " << h;
+  for (const std::string& h : w.hosts()) EXPECT_TRUE(w.tasks_on(h).empty()) << story << ", " << h;
   out.lost = w.lost_answers();
   if (std::getenv("WRENUSHER_TELL") != nullptr)
     std::printf("%-14s %-18s %-40s lost %d, work after %.2f s\n", write.name, word(lost), word(then),
@@ -214,8 +214,9 @@
   for (int i = 0; i < 5; ++i) {
     w.run(from_seconds(20));
     ASSERT_GE(w.leader(), 0);
-    EXPECT_GT(w.state().find("catalog")->stamp, w.state().find("epoch")->stamp) << "term " << w.terms();
-    w.strike({"state_refuses", {}, from_seconds(9), {}, "leader", 0});
+    EXPECT_GT(w.kv_service().find("catalog")->mod_revision, w.kv_service().find("epoch")->mod_revision)
+        << "term " << w.terms();
+    w.inject_fault({"state_refuses", {}, from_seconds(9), {}, "leader", 0});
   }
 }
 
@@ -225,7 +226,7 @@
     World w(600 + seed, site_of(seed % 3 == 0 ? Then::ends_cold : Then::ends), 2);
     load(w);
     w.run(from_seconds(15));
-    SimWires::LostAnswers l;
+    SimTransport::AnswerLoss l;
     l.share = 0.3;
     const int changes = w.lose_answers(l);
     l.reads = true;
@@ -234,8 +235,8 @@
     const Micros when = from_seconds(w.uniform(2, 30));
     if (seed % 4 == 1) w.at(when, [&w] { end_leader(w); });
     if (seed % 4 == 2)
-      w.at(when, [&w] { w.strike({"state_refuses", {}, from_seconds(9), {}, "leader", 0}); });
-    if (seed % 4 == 3) w.at(when, [&w] { w.strike({"all_crash", {}, millis(700), {}, "", 0}); });
+      w.at(when, [&w] { w.inject_fault({"state_refuses", {}, from_seconds(9), {}, "leader", 0}); });
+    if (seed % 4 == 3) w.at(when, [&w] { w.inject_fault({"all_crash", {}, from_millis(700), {}, "", 0}); });
     w.run(from_seconds(45));
     EXPECT_GT(w.lost_answers(), 10);
     w.answer_again(changes);
@@ -274,9 +275,9 @@
 }
 
 /// The answer to one controller's write of the job's root is lost; `then` in the same moment.
-void lose_root(World& w, const std::string& ref, int controller, std::function<void()> then = {}) {
-  SimWires::LostAnswers l;
-  l.keys = {records::job_key(ref)};
+void lose_root(World& w, const std::string& job_id, int controller, std::function<void()> then = {}) {
+  SimTransport::AnswerLoss l;
+  l.keys = {records::job_key(job_id)};
   l.who = name_of(controller);
   l.most = 1;
   if (then) l.then = [then](const std::string&) { then(); };
@@ -286,17 +287,17 @@
 Request submission(const JobSpec& s) {
   return {"POST", "/submissions", encode(write_spec(s))};
 }
-Request question(const std::string& ref) {
-  return {"GET", "/submissions/" + ref, {}};
+Request question(const std::string& job_id) {
+  return {"GET", "/submissions/" + job_id, {}};
 }
-Request cancellation(const std::string& ref) {
-  return {"POST", "/submissions/" + ref + "/withdraw", {}};
+Request cancellation(const std::string& job_id) {
+  return {"POST", "/submissions/" + job_id + "/withdraw", {}};
 }
 
-bool on_machines(const World& w, const std::string& ref) {
+bool on_machines(const World& w, const std::string& job_id) {
   for (const std::string& h : w.hosts()) {
-    for (const auto& [there, task] : w.units_on(h)) {
-      if (there == ref) return true;
+    for (const auto& [there, task] : w.tasks_on(h)) {
+      if (there == job_id) return true;
     }
   }
   return false;
@@ -312,31 +313,31 @@
   ASSERT_GE(leader, 0);
   const int taker = (leader + 1) % 3;
   const int other = (leader + 2) % 3;
-  JobTruth job{World::job(1, 2, 1, 6), from_seconds(6), false};
+  SimulatedJob job{World::job(1, 2, 1, 6), from_seconds(6), false};
   w.machines().describe(job);
   w.checker.submitted(job.spec);
   std::size_t starts = 0;
-  w.machines().on_start = [&](const std::string& ref, std::uint32_t) {
-    starts += ref == job.spec.ref ? 1 : 0;
+  w.machines().on_start = [&](const std::string& job_id, std::uint32_t) {
+    starts += job_id == job.spec.job_id ? 1 : 0;
   };
-  lose_root(w, job.spec.ref, taker);
+  lose_root(w, job.spec.job_id, taker);
   std::string first;
-  w.tell(taker, submission(job.spec),
-         [&](const Outcome& o) { first = o.answered ? state_of(o.response) : "none"; });
-  w.run(millis(300));
+  w.send_commands(taker, submission(job.spec),
+                  [&](const CallResult& o) { first = o.answered ? state_of(o.response) : "none"; });
+  w.run(from_millis(300));
   EXPECT_EQ(first, "");  // it waits
-  EXPECT_EQ(state_of(w.ask(other, question(job.spec.ref))), "200 pending");
+  EXPECT_EQ(state_of(w.ask(other, question(job.spec.job_id))), "200 pending");
   EXPECT_EQ(state_of(w.ask(other, submission(job.spec))), "200 pending");
   w.run(from_seconds(2));
   EXPECT_EQ(first, "200 pending");  // what it read after the time had run out
-  for (int i = 0; i < 300 && !on_machines(w, job.spec.ref); ++i) w.run(millis(100));
+  for (int i = 0; i < 300 && !on_machines(w, job.spec.job_id); ++i) w.run(from_millis(100));
   w.run(from_seconds(2));
   for (const int c : {taker, other, leader})
     EXPECT_TRUE(state_of(w.ask(c, submission(job.spec))).starts_with("200 ")) << c;
-  for (int i = 0; i < 300 && w.keys("end/") == 0; ++i) w.run(millis(100));
+  for (int i = 0; i < 300 && w.keys("end/") == 0; ++i) w.run(from_millis(100));
   for (const int c : {taker, other, leader}) {
     EXPECT_EQ(told_by(w, c, submission(job.spec)), "200 done") << c;
-    EXPECT_EQ(told_by(w, c, question(job.spec.ref)), "200 done") << c;
+    EXPECT_EQ(told_by(w, c, question(job.spec.job_id)), "200 done") << c;
   }
   w.run(from_seconds(10));
   EXPECT_EQ(w.keys("job/"), 0U);
@@ -352,24 +353,24 @@
       World w(90 + seed);
       const JobSpec job = World::job(1, 4, 2, 300);
       w.submit(job);
-      for (int i = 0; i < 600 && !on_machines(w, job.ref); ++i) w.run(millis(100));
+      for (int i = 0; i < 600 && !on_machines(w, job.job_id); ++i) w.run(from_millis(100));
       w.run(from_seconds(5));
       const int leader = w.leader();
       ASSERT_GE(leader, 0);
       const int taker = (leader + 1) % 3;
       const int other = (leader + 2) % 3;
-      w.checker.asked_withdraw(job.ref);
-      lose_root(w, job.ref, taker);
+      w.checker.asked_cancel(job.job_id);
+      lose_root(w, job.job_id, taker);
       std::string first = "none";
-      w.tell(taker, cancellation(job.ref), [&](const Outcome& o) {
+      w.send_commands(taker, cancellation(job.job_id), [&](const CallResult& o) {
         if (o.answered && o.response.status == 200) first = state_of(o.response);
       });
-      w.run(millis(static_cast<std::int64_t>(w.uniform(20, 600))));
+      w.run(from_millis(static_cast<std::int64_t>(w.uniform(20, 600))));
       EXPECT_EQ(first, "none");
       const Instant asked = w.now();
-      const auto told = w.ask(other, question(job.ref));
+      const auto told = w.ask(other, question(job.job_id));
       EXPECT_EQ(state_of(told), "200 withdrawn");
-      w.checker.answered_poll(w.now(), job.ref, 200, "withdrawn", asked);
+      w.checker.answered_poll(w.now(), job.job_id, 200, "withdrawn", asked);
       if (outage) {
         w.state_outage(true);
       } else {
@@ -377,12 +378,12 @@
       }
       w.run(from_seconds(1.8));
       EXPECT_EQ(first, outage ? "none" : "200 withdrawn");
-      w.run(World::small_site().cancel - from_seconds(1));
-      EXPECT_FALSE(on_machines(w, job.ref)) << "seed " << seed;
+      w.run(World::small_site().cancel_deadline - from_seconds(1));
+      EXPECT_FALSE(on_machines(w, job.job_id)) << "seed " << seed;
       w.state_outage(false);
       w.run(from_seconds(30));
       for (int c = 0; c < 3; ++c)
-        EXPECT_EQ(told_by(w, c, cancellation(job.ref)), "200 withdrawn") << c << ", seed " << seed;
+        EXPECT_EQ(told_by(w, c, cancellation(job.job_id)), "200 withdrawn") << c << ", seed " << seed;
       expect_kept(w);
       EXPECT_EQ(w.keys("job/"), 0U);
     }
@@ -397,31 +398,31 @@
     const JobSpec job = World::job(1, 3, 2, 6);
     w.submit(job);
     std::optional<Instant> struck;
-    SimWires::LostAnswers l;
-    l.keys = {records::end_key(job.ref)};
+    SimTransport::AnswerLoss l;
+    l.keys = {records::final_state_key(job.job_id)};
     l.most = 1;
     l.then = [&](const std::string& who) {
       struck = w.now();
       if (!read_lost) return;
-      SimWires::LostAnswers read;
-      read.keys = {records::job_key(job.ref)};
+      SimTransport::AnswerLoss read;
+      read.keys = {records::job_key(job.job_id)};
       read.reads = true;
       read.who = who;
       read.most = 1;
       w.lose_answers(read);
     };
     w.lose_answers(l);
-    for (int i = 0; i < 600 && !struck; ++i) w.run(millis(100));
+    for (int i = 0; i < 600 && !struck; ++i) w.run(from_millis(100));
     ASSERT_TRUE(struck);
     EXPECT_EQ(w.keys("job/"), 0U);
     const int leader = w.leader();
     for (int c = 0; c < 3; ++c) {
       if (c == leader) continue;
-      EXPECT_EQ(state_of(w.ask(c, question(job.ref))), "200 done") << c;
+      EXPECT_EQ(state_of(w.ask(c, question(job.job_id))), "200 done") << c;
     }
     // The write's time runs out, and the read's; then the workers' next report.
     w.run(*struck + from_seconds(read_lost ? 5.5 : 3.5) - w.now());
-    EXPECT_FALSE(on_machines(w, job.ref)) << (read_lost ? "read lost" : "read");
+    EXPECT_FALSE(on_machines(w, job.job_id)) << (read_lost ? "read lost" : "read");
     EXPECT_EQ(w.lost_answers(), read_lost ? 2 : 1);
     w.run(from_seconds(20));
     expect_kept(w);
@@ -435,32 +436,32 @@
 struct CandidateByHand {
   Settings settings = World::small_site();
   ByHand rt;
-  std::unique_ptr<wrenusher::store::Store> store;
+  std::unique_ptr<wrenusher::store::KvClient> store;
   std::unique_ptr<wrenusher::membership::Leadership> lead;
   std::vector<wrenusher::mail::TermChanged> terms;
-  std::vector<wrenusher::mail::TopologyInForce> force;
+  std::vector<wrenusher::mail::TopologyActivated> force;
 
   CandidateByHand() {
     settings.node = "c0";
-    store = std::make_unique<wrenusher::store::Store>(rt, settings);
+    store = std::make_unique<wrenusher::store::KvClient>(rt, settings);
     lead = std::make_unique<wrenusher::membership::Leadership>(rt, settings, *store);
-    lead->changed.connect(rt, [this](const auto& t) { terms.push_back(t); });
-    lead->force.connect(rt, [this](const auto& t) { force.push_back(t); });
+    lead->term_changed.connect(rt, [this](const auto& t) { terms.push_back(t); });
+    lead->topology_activated.connect(rt, [this](const auto& t) { force.push_back(t); });
     lead->start();
   }
   /// The next call of this kind.
   ByHand::Call sent(const std::string& begins, Micros within = from_seconds(3)) {
-    for (Micros t{}; t <= within; t += millis(10)) {
+    for (Micros t{}; t <= within; t += from_millis(10)) {
       for (auto it = rt.calls.begin(); it != rt.calls.end(); ++it) {
         if (!(it->request.method + " " + it->request.target).starts_with(begins)) continue;
         ByHand::Call c = std::move(*it);
         rt.calls.erase(it);
         return c;
       }
-      rt.pass(millis(10));
+      rt.pass(from_millis(10));
     }
     ADD_FAILURE() << "no " << begins;
-    return {{}, [](const Outcome&) {}};
+    return {{}, [](const CallResult&) {}};
   }
   std::size_t open(const std::string& begins) const {
     return static_cast<std::size_t>(std::count_if(rt.calls.begin(), rt.calls.end(), [&](const auto& c) {
@@ -475,17 +476,17 @@
     rt.pass(from_seconds(1.5));
     c.done({false, true, {}});
   }
-  static Value row(const char* key, const Value& value, std::uint64_t stamp, std::uint64_t tenancy) {
-    return Value::Map{{"k", key}, {"value", value}, {"stamp", stamp}, {"tenancy", tenancy}};
+  static Value row(const char* key, const Value& value, std::uint64_t mod_revision, std::uint64_t lease_id) {
+    return Value::Map{{"k", key}, {"value", value}, {"stamp", mod_revision}, {"tenancy", lease_id}};
   }
   /// Up to the transaction, the record of terms being at `epoch` (0: none).
-  ByHand::Call campaign(std::uint64_t epoch, std::uint64_t stamp, std::uint64_t tenancy) {
-    answer(sent("POST /holds"), 200, Value::Map{{"tenancy", tenancy}});
+  ByHand::Call campaign(std::uint64_t fencing_token, std::uint64_t mod_revision, std::uint64_t lease_id) {
+    answer(sent("POST /holds"), 200, Value::Map{{"tenancy", lease_id}});
     const auto read = sent("GET /store/epoch");
-    if (epoch == 0) {
+    if (fencing_token == 0) {
       answer(read, 404, Value::Map{{"ledger_rev", std::uint64_t{1}}});
     } else {
-      answer(read, 200, row("epoch", Value::Map{{"epoch", epoch}}, stamp, 0));
+      answer(read, 200, row("epoch", Value::Map{{"epoch", fencing_token}}, mod_revision, 0));
     }
     return sent("POST /multi");
   }
@@ -521,7 +522,7 @@
     EXPECT_EQ(condition(won, "leader"), 0U);
     c.lose(won);
     EXPECT_EQ(c.led(), 0U);
-    EXPECT_FALSE(c.lead->certain());
+    EXPECT_FALSE(c.lead->lease_valid());
     const auto drop = c.sent("DELETE /holds/7");
     ByHand::Call again{{}, {}};
     if (dropped) {
@@ -544,9 +545,9 @@
     EXPECT_EQ(c.led(), 0U);
     CandidateByHand::answer(again, 200, Value::Map{{"ledger_rev", std::uint64_t{9}}});
     ASSERT_EQ(c.led(), 1U);
-    EXPECT_EQ(c.terms.back().epoch, 2U);
-    EXPECT_EQ(c.terms.back().stamp, 9U);
-    EXPECT_TRUE(c.lead->certain());
+    EXPECT_EQ(c.terms.back().fencing_token, 2U);
+    EXPECT_EQ(c.terms.back().mod_revision, 9U);
+    EXPECT_TRUE(c.lead->lease_valid());
   }
 }
 
@@ -559,11 +560,11 @@
   ASSERT_EQ(c.led(), 1U);
   const std::shared_ptr<const wrenusher::topology::Topology> map =
       wrenusher::topology::Topology::parse(kMap, "topology.yaml");
-  c.lead->on_topology({map});
+  c.lead->on_topology_loaded({map});
   c.lose(c.sent("POST /multi"));
-  EXPECT_NE(c.force.back().edition, map->edition());
+  EXPECT_NE(c.force.back().version, map->version());
   Value::Map record{{"epoch", std::uint64_t{1}}};
-  wrenusher::membership::write_edition(record, "topology", map->edition());
+  wrenusher::membership::write_topology_version(record, "topology", map->version());
   const auto failed = [](const ByHand::Call& call) {
     CandidateByHand::answer(call, 409,
                             Value::Map{{"failed", Value::List{"epoch"}}, {"ledger_rev", std::uint64_t{6}}});
@@ -575,7 +576,7 @@
   failed(c.sent("POST /multi"));
   CandidateByHand::answer(c.sent("GET /store/epoch"), 200,
                           CandidateByHand::row("epoch", Value(std::move(record)), 6, 0));
-  EXPECT_EQ(c.force.back().edition, map->edition());
+  EXPECT_EQ(c.force.back().version, map->version());
   EXPECT_TRUE(c.force.back().agreed);
   c.rt.pass(from_seconds(2));
   EXPECT_EQ(c.open("POST /multi"), 0U);
@@ -586,9 +587,9 @@
 /// A leader's book and its writes, with the state service answered by hand.
 struct WriterByHand : CandidateByHand {
   wrenusher::estimates::Estimator estimator;
-  wrenusher::machines::Machines machines{rt, estimator};
-  wrenusher::book::Book book{rt, machines};
-  wrenusher::writer::Writer writer{rt, settings, *store, book};
+  wrenusher::machines::MachineInventory machines{rt, estimator};
+  wrenusher::book::JobTable book{rt, machines};
+  wrenusher::writer::CommitBatcher writer{rt, settings, *store, book};
   std::vector<std::string> doubted;
 
   WriterByHand() {
@@ -596,16 +597,16 @@
     book.begin(1);
     writer.begin(5);
     writer.on_committed = writer.on_ready = [] {};
-    writer.on_doubt = [this](const std::string& ref) { doubted.push_back(ref); };
+    writer.on_job_uncertain = [this](const std::string& job_id) { doubted.push_back(job_id); };
   }
   wrenusher::book::Job& take_up(int number) {
     records::JobRecord rec;
     rec.spec = World::job(number, 8, 1, 10);
-    rec.block = 8;
-    return book.accept(rec.spec.ref, rec, 3);
+    rec.tasks_per_block = 8;
+    return book.add(rec.spec.job_id, rec, 3);
   }
   void claim(wrenusher::book::Job& job, std::uint32_t task) {
-    book.claim(job, task, machines.at("m-1"), 1, wrenusher::book::Phase::fresh);
+    book.assign(job, task, machines.get_or_add("m-1"), 1, wrenusher::book::TaskState::assigned);
   }
   ByHand::Call flush() {
     rt.pass(from_seconds(1));
@@ -630,14 +631,14 @@
   WriterByHand c;
   wrenusher::book::Job& job = c.take_up(1);
   c.claim(job, 0);
-  const std::uint64_t made = job.claims.at(0).version;
+  const std::uint64_t made = job.assignments.at(0).version;
   const auto first = c.flush();
   EXPECT_EQ(WriterByHand::slot_of(first), "claims/0");
   EXPECT_EQ(condition(first, "claims/0"), 0U);
-  EXPECT_EQ(condition(first, records::job_key(job.spec().ref)), 3U);
+  EXPECT_EQ(condition(first, records::job_key(job.spec().job_id)), 3U);
   c.lose(first);
   EXPECT_FALSE(job.committed(0, made));
-  EXPECT_EQ(c.doubted, std::vector<std::string>{job.spec().ref});
+  EXPECT_EQ(c.doubted, std::vector<std::string>{job.spec().job_id});
   const auto read = c.sent("GET /store/claims/0");
   const auto second = c.flush();
   EXPECT_EQ(WriterByHand::slot_of(second), "claims/1");
@@ -665,9 +666,9 @@
   wrenusher::book::Job& job = c.take_up(1);
   c.claim(job, 0);
   for (int i = 0; i < 8; ++i) c.lose(c.flush());
-  c.rt.pass(millis(300));
+  c.rt.pass(from_millis(300));
   c.writer.flush();
-  c.rt.pass(millis(300));
+  c.rt.pass(from_millis(300));
   EXPECT_EQ(c.open("POST /multi"), 0U);
   EXPECT_EQ(c.open("GET /store/claims/"), 8U);
   // The last one asked for: no answer is taken later than a second and a half after its question.
@@ -690,16 +691,16 @@
   c.book.begin(1);
   c.machines.clear();
   c.writer.begin(5);
-  c.writer.found_slot(0, 11);
+  c.writer.restore_shard(0, 11);
   wrenusher::book::Job& job = c.take_up(1);
   records::BlockRecord found;
-  found.claims.push_back({"m-1", 1, {}});
-  found.claims.back().tasks.add(0);
-  c.book.restore(job, 0, written, found);
-  c.writer.found_block(job, 0, 0);
+  found.assignments.push_back({"m-1", 1, {}});
+  found.assignments.back().tasks.add(0);
+  c.book.restore_block(job, 0, written, found);
+  c.writer.restore_block(job, 0, 0);
   c.claim(job, 6);
   EXPECT_GT(job.blocks[0].version, written);
-  EXPECT_FALSE(job.committed(6, job.claims.at(6).version));
+  EXPECT_FALSE(job.committed(6, job.assignments.at(6).version));
   EXPECT_EQ(WriterByHand::slot_of(c.flush()), "claims/1");
   EXPECT_EQ(c.book.disagreement(), "");
 }
--- a/tests/meetings_test.cpp
+++ b/tests/meetings_test.cpp
@@ -20,13 +20,13 @@
 }
 
 /// What a site file would say of it.
-std::string told(const TroubleSpec& t) {
+std::string told(const FaultSpec& t) {
   return t.what + " at " + std::to_string(to_seconds(t.at)).substr(0, 6) + " s for " +
          std::to_string(to_seconds(t.lasts)).substr(0, 5) + " s" + (t.whom.empty() ? "" : " " + t.whom) +
          "; ";
 }
 
-TroubleSpec draw(World& w, Micros at) {
+FaultSpec draw(World& w, Micros at) {
   struct Kind {
     const char* what;
     double least;
@@ -64,7 +64,7 @@
       {"mass_cancel", 1, 25, 0},
   };
   const Kind& k = kinds[static_cast<std::size_t>(w.pick(static_cast<int>(kinds.size())))];
-  TroubleSpec t;
+  FaultSpec t;
   t.what = k.what;
   t.at = at;
   t.lasts = from_seconds(w.uniform(k.least, k.most));
@@ -77,26 +77,28 @@
 void load(World& w) {
   for (int i = 0; i < 16; ++i) {
     // Jobs of two or three tasks among them, which end far apart.
-    JobTruth job;
+    SimulatedJob job;
     job.spec = World::job(
         i, i % 3 == 0 ? 2 + static_cast<std::uint32_t>(w.pick(2)) : 1 + static_cast<std::uint32_t>(w.pick(8)),
         4, w.uniform(5, 30));
-    if (i % 4 == 3) job.spec.needs.cores = to_amount(16);
-    if (i % 5 == 4) job.spec.snapshot_every = from_seconds(5), job.spec.snapshot = from_seconds(2);
-    if (i % 7 == 6) job.spec.expected = from_seconds(120);  // long
-    job.run = job.spec.expected;
+    if (i % 4 == 3) job.spec.resources.cores = to_amount(16);
+    if (i % 5 == 4)
+      job.spec.checkpoint_interval = from_seconds(5), job.spec.checkpoint_time = from_seconds(2);
+    if (i % 7 == 6) job.spec.expected_runtime = from_seconds(120);  // long
+    job.run_time = job.spec.expected_runtime;
     w.at(from_seconds(w.uniform(0, 80)), [&w, job] { w.submit(job); });
-    if (i % 4 == 1) w.at(from_seconds(w.uniform(30, 120)), [&w, ref = job.spec.ref] { w.withdraw(ref); });
+    if (i % 4 == 1)
+      w.at(from_seconds(w.uniform(30, 120)), [&w, job_id = job.spec.job_id] { w.cancel(job_id); });
   }
   JobSpec gang = World::job(50, 5, 8, 20);
-  gang.shape = Shape::gang;
-  gang.same_place = w.pick(2) == 0;
+  gang.type = JobType::gang;
+  gang.single_zone = w.pick(2) == 0;
   w.at(from_seconds(15), [&w, gang] { w.submit(gang); });
   JobSpec service = World::job(51, 3, 4, 0);
-  service.shape = Shape::daemon;
-  service.scatter = true;
+  service.type = JobType::service;
+  service.spread_zones = true;
   w.at(from_seconds(10), [&w, service] { w.submit(service); });
-  w.at(from_seconds(w.uniform(60, 120)), [&w, service] { w.withdraw(service.ref); });
+  w.at(from_seconds(w.uniform(60, 120)), [&w, service] { w.cancel(service.job_id); });
 }
 
 }  // namespace
@@ -111,9 +113,9 @@
     Micros end{};
     double at = w.uniform(35, 70);
     for (int n = 2 + w.pick(2); n > 0; --n) {
-      const TroubleSpec t = draw(w, from_seconds(at));
+      const FaultSpec t = draw(w, from_seconds(at));
       story += told(t);
-      w.at(t.at, [&w, t] { w.strike(t); });
+      w.at(t.at, [&w, t] { w.inject_fault(t); });
       end = std::max(end, t.at + t.lasts * (t.what == "rolling_restart" ? 3 : 1) + from_seconds(2));
       // From at once to well apart.
       at += w.pick(2) == 0 ? w.uniform(0, 2) : w.uniform(2, 30);
@@ -145,7 +147,7 @@
       DeskByHand::answer(quick, 404, DeskByHand::none(9));
       DeskByHand::answer(d.sent(), 200,
                          Value::Map{{"k", "end/" + d.ref},
-                                    {"value", wrenusher::records::new_end("done", 1)},
+                                    {"value", wrenusher::records::write_final_state("done", 1)},
                                     {"stamp", std::uint64_t{9}}});
     } else {
       DeskByHand::answer(quick, 200, d.live(9, true));
@@ -180,13 +182,15 @@
     w.write_late(0.4);
     // In some the leader ends, hands over for want of the state service, or all begin anew meanwhile.
     if (seed % 4 == 1)
-      w.at(from_seconds(w.uniform(5, 50)), [&w] { w.crash(std::max(0, w.leader()), millis(400)); });
+      w.at(from_seconds(w.uniform(5, 50)), [&w] { w.crash(std::max(0, w.leader()), from_millis(400)); });
     if (seed % 4 == 2)
       w.at(from_seconds(w.uniform(5, 50)), [&w] {
-        w.strike({"state_refuses", {}, from_seconds(12), {}, "leader", 0});
+        w.inject_fault({"state_refuses", {}, from_seconds(12), {}, "leader", 0});
       });
     if (seed % 4 == 3)
-      w.at(from_seconds(w.uniform(5, 50)), [&w] { w.strike({"all_crash", {}, millis(700), {}, "", 0}); });
+      w.at(from_seconds(w.uniform(5, 50)), [&w] {
+        w.inject_fault({"all_crash", {}, from_millis(700), {}, "", 0});
+      });
     w.run(from_seconds(60));
     w.write_late(0);
     w.run(from_seconds(13));
@@ -196,13 +200,13 @@
 
 // It goes on answering its workers and users while another leads, through whom jobs are cancelled.
 TEST(Meetings, ALeaderAloneWithWorkersAndUsersLetsBothGoAndCancelledWorkIsGone) {
-  for (const Cut how : {Cut::reset, Cut::hold}) {
+  for (const LinkCut how : {LinkCut::reset, LinkCut::hold}) {
     for (std::uint64_t seed = 1; seed <= 3; ++seed) {
       World w(400 + seed, World::small_site(), 4);
-      std::vector<std::string> refs;
+      std::vector<std::string> job_ids;
       for (int i = 0; i < 12; ++i) {
         const JobSpec s = World::job(i, 1 + static_cast<std::uint32_t>(i % 3), 2, 300);
-        refs.push_back(s.ref);
+        job_ids.push_back(s.job_id);
         w.submit(s);
       }
       w.run(from_seconds(40));
@@ -210,24 +214,25 @@
       ASSERT_GE(alone, 0);
       w.leave_alone(alone, how);
       const std::uint64_t term = w.terms();
-      for (int i = 0; i < 2000 && (w.terms() == term || w.leader() < 0); ++i) w.run(millis(10));
+      for (int i = 0; i < 2000 && (w.terms() == term || w.leader() < 0); ++i) w.run(from_millis(10));
       ASSERT_GE(w.leader(), 0);
       ASSERT_NE(w.leader(), alone);
-      for (std::size_t i = 0; i < refs.size(); i += 2) w.withdraw(refs[i]);
+      for (std::size_t i = 0; i < job_ids.size(); i += 2) w.cancel(job_ids[i]);
       w.run(from_seconds(3));
       // Its users are told to come back at once, and no new ones are sent to it.
-      const auto poll = w.ask(alone, {"GET", "/submissions/" + refs[1], {}});
+      const auto poll = w.ask(alone, {"GET", "/submissions/" + job_ids[1], {}});
       ASSERT_TRUE(poll.has_value());
       EXPECT_EQ(poll->status, 503);
       EXPECT_GT(poll->retry_after_s, 0);
       // Its workers find the other leader, and cancelled work is gone there.
-      w.run(World::small_site().cancel - from_seconds(3));
+      w.run(World::small_site().cancel_deadline - from_seconds(3));
       std::set<std::string> left;
       for (const std::string& h : w.hosts()) {
-        for (const auto& [ref, task] : w.units_on(h)) left.insert(ref);
+        for (const auto& [ref, task] : w.tasks_on(h)) left.insert(ref);
       }
-      for (std::size_t i = 0; i < refs.size(); ++i) EXPECT_EQ(left.contains(refs[i]), i % 2 == 1) << refs[i];
-      for (std::size_t i = 1; i < refs.size(); i += 2) w.withdraw(refs[i]);
+      for (std::size_t i = 0; i < job_ids.size(); ++i)
+        EXPECT_EQ(left.contains(job_ids[i]), i % 2 == 1) << job_ids[i];
+      for (std::size_t i = 1; i < job_ids.size(); i += 2) w.cancel(job_ids[i]);
       w.run(from_seconds(20));
       settle(w, 60, "seed " + std::to_string(seed));
     }
@@ -240,10 +245,10 @@
   for (const bool deaf : {false, true}) {
     for (std::uint64_t seed = 1; seed <= 4; ++seed) {
       World w(500 + seed, World::small_site(), 4);
-      std::vector<std::string> refs;
+      std::vector<std::string> job_ids;
       for (int i = 0; i < 12; ++i) {
         const JobSpec s = World::job(i, 1 + static_cast<std::uint32_t>(i % 3), 2, 120);
-        refs.push_back(s.ref);
+        job_ids.push_back(s.job_id);
         w.submit(s);
       }
       w.run(from_seconds(40));
@@ -253,7 +258,7 @@
       const auto jobs_on = [&w] {
         std::set<std::string> on;
         for (const std::string& h : w.hosts()) {
-          for (const auto& [ref, task] : w.units_on(h)) on.insert(ref);
+          for (const auto& [ref, task] : w.tasks_on(h)) on.insert(ref);
         }
         return on;
       };
@@ -263,23 +268,23 @@
         for (int c = 0; c < 3; ++c) {
           const std::string node = "c" + std::to_string(c);
           if (deaf) {
-            w.cut_one_way(node, hosts[i], Cut::reset);
+            w.cut_one_way(node, hosts[i], LinkCut::reset);
           } else {
-            w.cut(node, hosts[i], Cut::hold);
+            w.cut(node, hosts[i], LinkCut::hold);
           }
         }
       }
       w.crash(leader, from_seconds(60));
-      for (std::size_t i = 0; i < refs.size(); i += 3) w.withdraw(refs[i]);
+      for (std::size_t i = 0; i < job_ids.size(); i += 3) w.cancel(job_ids[i]);
       const double away = w.uniform(1, deaf ? 3 : 3.5);
       w.run(from_seconds(away));
       w.heal();
       w.run(from_seconds(4));
       // Those that are not cancelled still run where they did: no lease has run out.
       const std::set<std::string> left = jobs_on();
-      for (std::size_t i = 0; i < refs.size(); ++i) {
-        if (i % 3 == 0 || !before.contains(refs[i])) continue;
-        EXPECT_TRUE(left.contains(refs[i])) << refs[i] << " seed " << seed << (deaf ? " deaf" : "");
+      for (std::size_t i = 0; i < job_ids.size(); ++i) {
+        if (i % 3 == 0 || !before.contains(job_ids[i])) continue;
+        EXPECT_TRUE(left.contains(job_ids[i])) << job_ids[i] << " seed " << seed << (deaf ? " deaf" : "");
       }
       settle(w, 400, "seed " + std::to_string(seed));
     }
--- a/tests/planner_oracle.cpp
+++ b/tests/planner_oracle.cpp
@@ -10,10 +10,10 @@
 namespace {
 
 struct Later {
-  PlanHost host;
+  PlanMachine host;
   struct Place {
     Micros in;
-    Needs needs;
+    Resources needs;
     bool taken = false;
   };
   std::vector<Place> places;
@@ -21,19 +21,19 @@
 
 struct State {
   const Burst& s;
-  std::vector<PlanHost> hosts;
+  std::vector<PlanMachine> hosts;
   std::vector<Later> later;
-  std::map<std::string, Needs> teams;
+  std::map<std::string, Resources> teams;
 };
 
 /// Cores by type, those on their way included.
-std::map<std::string, std::pair<const Flavor*, Amount>> cores_of(const Burst& s) {
-  std::map<std::string, std::pair<const Flavor*, Amount>> out;
-  const auto add = [&](const Flavor* f, Amount n) {
+std::map<std::string, std::pair<const MachineType*, Amount>> cores_of(const Burst& s) {
+  std::map<std::string, std::pair<const MachineType*, Amount>> out;
+  const auto add = [&](const MachineType* f, Amount n) {
     out[f->name].first = f;
     out[f->name].second += n;
   };
-  for (const Here& h : s.here) add(h.host.flavor, h.host.flavor->room.cores);
+  for (const Here& h : s.here) add(h.host.machine_type, h.host.machine_type->capacity.cores);
   for (const auto& [f, n] : s.coming) add(f, n);
   return out;
 }
@@ -47,16 +47,16 @@
     std::size_t place;
   };
   std::vector<Found> found;
-  if (spec.shape == Shape::sweep && spec.devices().empty()) {
+  if (spec.type == JobType::array && spec.devices().empty()) {
     for (std::size_t i = 0; i < st.later.size(); ++i) {
       const Later& l = st.later[i];
-      const bool there = cached(l.host, spec.bundle);
-      if ((!there && pull_of(l.host, spec.bundle) == nullptr) || !open_to(l.host, job)) continue;
+      const bool there = has_image(l.host, spec.image);
+      if ((!there && find_fetch(l.host, spec.image) == nullptr) || !accepts(l.host, job)) continue;
       const Micros image = there ? Micros{0} : fetch_time(l.host, spec);
       for (std::size_t p = 0; p < l.places.size(); ++p) {
-        Needs room = l.host.free.room;
+        Resources room = l.host.free.resources;
         room += l.places[p].needs;
-        if (!l.places[p].taken && spec.needs.fits(room))
+        if (!l.places[p].taken && spec.resources.fits(room))
           found.push_back({std::max(l.places[p].in, image), i, p});
       }
     }
@@ -70,7 +70,7 @@
 }
 
 bool late_to_begin(const PlanJob& job, const Burst& s) {
-  return !job.begun && s.now - job.accepted > from_seconds(150);
+  return !job.has_started && s.now - job.accepted_at > from_seconds(150);
 }
 
 void reserve(State& st, const PlanJob& job, std::uint32_t tasks, Micros within) {
@@ -79,19 +79,19 @@
     Micros in;
     std::size_t later;
   };
-  const bool apart = job.layout && job.layout->together >= 0 && job.layout->together_must;
+  const bool apart = job.layout && job.layout->colocation >= 0 && job.layout->colocation_required;
   std::map<std::pair<std::string, std::uint32_t>, std::vector<Fit>> groups;
   for (std::size_t i = 0; i < st.later.size(); ++i) {
     const Later& l = st.later[i];
-    if (!open_to(l.host, job) || !burden(l.host, spec)) continue;
-    if (job.layout && layout_allowance(*job.layout, l.host, spec.units, false) == 0) continue;
+    if (!accepts(l.host, job) || !fetch_delay_imposed(l.host, spec)) continue;
+    if (job.layout && layout_allowance(*job.layout, l.host, spec.task_count, false) == 0) continue;
     auto& fits =
-        groups[{spec.same_place ? l.host.site : "", apart ? l.host.domain(job.layout->together) : 0}];
-    Free free = l.host.free;
+        groups[{spec.single_zone ? l.host.zone : "", apart ? l.host.domain(job.layout->colocation) : 0}];
+    FreeCapacity free = l.host.free;
     std::uint32_t here = 0;
     const auto add = [&](Micros in) {
       for (; here < tasks && count_fitting(spec, free, 1) > 0; ++here) {
-        free.take(spec, 1);
+        free.reserve(spec, 1);
         fits.push_back({in + fetch_time(l.host, spec), i});
       }
     };
@@ -100,7 +100,7 @@
     std::stable_sort(places.begin(), places.end(), [](const auto& a, const auto& b) { return a.in < b.in; });
     for (const Later::Place& p : places) {
       if (p.taken || p.in > within) continue;
-      free.room += p.needs;
+      free.resources += p.needs;
       add(p.in);
     }
   }
@@ -112,10 +112,10 @@
     std::optional<PlanLayout> layout = job.layout;
     std::vector<Fit> chosen;
     for (const Fit& f : fits) {
-      const PlanHost& h = st.later[f.later].host;
-      if (chosen.size() == tasks || (layout && layout_allowance(*layout, h, spec.units, false) == 0))
+      const PlanMachine& h = st.later[f.later].host;
+      if (chosen.size() == tasks || (layout && layout_allowance(*layout, h, spec.task_count, false) == 0))
         continue;
-      if (layout) layout_take(*layout, h, 1);
+      if (layout) layout_add(*layout, h, 1);
       chosen.push_back(f);
     }
     if (chosen.size() == tasks && (best.empty() || chosen.back().in < best.back().in)) best = chosen;
@@ -137,20 +137,22 @@
   const JobSpec& spec = *job.spec;
   std::vector<Candidate> out;
   for (std::size_t h = 0; h < st.hosts.size(); ++h) {
-    const PlanHost& host = st.hosts[h];
-    if (!st.s.here[h].open || !open_to(host, job)) continue;
-    if (job.avoid != nullptr && job.avoid->contains(host.name) && st.s.clock < job.avoid->at(host.name))
+    const PlanMachine& host = st.hosts[h];
+    if (!st.s.here[h].open || !accepts(host, job)) continue;
+    if (job.avoided_machines != nullptr && job.avoided_machines->contains(host.name) &&
+        st.s.clock < job.avoided_machines->at(host.name))
       continue;
     const std::uint32_t fits = count_fitting(spec, host.free, want);
-    const std::optional<Micros> delay = burden(host, spec);
+    const std::optional<Micros> delay = fetch_delay_imposed(host, spec);
     if (fits == 0 || !delay) continue;
-    if (job.layout && layout_allowance(*job.layout, host, spec.units, false) == 0) continue;
+    if (job.layout && layout_allowance(*job.layout, host, spec.task_count, false) == 0) continue;
     const Micros fetch = fetch_time(host, spec);
-    if (job.near_image && fetch * 2 > from_seconds(spec.image_gb / host.flavor->pull_gb_per_s)) continue;
-    const int cost = host.stays ? 0 : host.standby ? 1 : 2;
+    if (job.near_image && fetch * 2 > from_seconds(spec.image_gb / host.machine_type->fetch_gb_per_s))
+      continue;
+    const int cost = host.runs_services ? 0 : host.spot ? 1 : 2;
     out.push_back({h,
-                   {(finish_time(host, job) + *delay) / kAlike, host.flavor->room.cores, cost,
-                    misfit(host, spec.needs), h},
+                   {(finish_time(host, job) + *delay) / kEqualFinishWindow, host.machine_type->capacity.cores,
+                    cost, misfit(host, spec.resources), h},
                    fits,
                    fetch + *delay});
   }
@@ -172,11 +174,12 @@
   for (const bool prefers : {true, false}) {
     if (!prefers && (!layout || strict)) break;
     for (const Candidate& c : found) {
-      const PlanHost& host = st.hosts[c.host];
-      if (!zone.empty() && host.site != zone) continue;
-      if (domain && (prefers || layout->together_must) && host.domain(layout->together) != *domain) continue;
-      std::uint32_t n = std::min({c.fits - used[c.host], left, zone_allowance(spec, zones, host.site)});
-      if (layout) n = std::min(n, layout_allowance(*layout, host, spec.units, prefers));
+      const PlanMachine& host = st.hosts[c.host];
+      if (!zone.empty() && host.zone != zone) continue;
+      if (domain && (prefers || layout->colocation_required) && host.domain(layout->colocation) != *domain)
+        continue;
+      std::uint32_t n = std::min({c.fits - used[c.host], left, zone_allowance(spec, zones, host.zone)});
+      if (layout) n = std::min(n, layout_allowance(*layout, host, spec.task_count, prefers));
       if (c.fetch.count() > 0) {
         const auto soon =
             std::count_if(places.begin(), places.end(), [&](const auto& p) { return p.first <= c.fetch; });
@@ -184,8 +187,8 @@
       }
       if (n == 0) continue;
       out.push_back({static_cast<std::uint32_t>(j), static_cast<std::uint32_t>(c.host), n});
-      zones[host.site] += n;
-      if (layout) layout_take(*layout, host, n);
+      zones[host.zone] += n;
+      if (layout) layout_add(*layout, host, n);
       used[c.host] += n;
       left -= n;
     }
@@ -202,17 +205,17 @@
 std::vector<Placement> best(const State& st, std::size_t j, const std::vector<Candidate>& found,
                             const std::vector<std::pair<Micros, Later::Place*>>& places, std::uint32_t want) {
   const PlanJob& job = st.s.jobs[j];
-  const bool zones = job.spec->same_place && job.zones.empty();
-  const bool domains = job.layout && job.layout->together >= 0 && job.layout->together_at.empty();
+  const bool zones = job.spec->single_zone && job.zones.empty();
+  const bool domains = job.layout && job.layout->colocation >= 0 && job.layout->colocated_at.empty();
   std::vector<std::pair<std::string, std::optional<std::uint32_t>>> scopes;
   for (const Candidate& c : found) {
-    const PlanHost& h = st.hosts[c.host];
-    std::pair<std::string, std::optional<std::uint32_t>> scope{zones ? h.site : "", std::nullopt};
-    if (domains) scope.second = h.domain(job.layout->together);
+    const PlanMachine& h = st.hosts[c.host];
+    std::pair<std::string, std::optional<std::uint32_t>> scope{zones ? h.zone : "", std::nullopt};
+    if (domains) scope.second = h.domain(job.layout->colocation);
     if (std::find(scopes.begin(), scopes.end(), scope) == scopes.end()) scopes.push_back(scope);
   }
   std::vector<Placement> out;
-  if (job.spec->shape == Shape::gang) {
+  if (job.spec->type == JobType::gang) {
     for (const bool strict : {true, false}) {
       for (const auto& [zone, domain] : scopes) {
         out = choose(st, j, found, places, want, zone, domain, strict);
@@ -224,7 +227,7 @@
   for (const auto& [zone, domain] : scopes) {
     const auto c = choose(st, j, found, places, want, zone, domain, false);
     if (sum(c) > sum(out)) out = c;
-    if (job.spec->shape != Shape::daemon || !domains) break;
+    if (job.spec->type != JobType::service || !domains) break;
   }
   return out;
 }
@@ -243,18 +246,19 @@
   for (std::size_t j = 0; j < s.jobs.size(); ++j) {
     const PlanJob& job = s.jobs[j];
     const Slack sl = slack(job, s.now, s.settings->objectives);
-    if (sl.standing == Standing::late || sl.spare == Micros::max() || job.spec->shape != Shape::sweep)
+    if (sl.status == DeadlineStatus::missed || sl.remaining == Micros::max() ||
+        job.spec->type != JobType::array)
       continue;
     const double seconds = job.waiting * to_seconds(job.estimate);
-    items.push_back({j, sl.spare, seconds, seconds * from_amount(job.spec->needs.cores)});
+    items.push_back({j, sl.remaining, seconds, seconds * from_amount(job.spec->resources.cores)});
   }
   std::sort(items.begin(), items.end(), [&](const Item& a, const Item& b) {
-    return std::tuple(s.jobs[a.job].spec->urgency, a.spare, s.jobs[a.job].spec->ref) <
-           std::tuple(s.jobs[b.job].spec->urgency, b.spare, s.jobs[b.job].spec->ref);
+    return std::tuple(s.jobs[a.job].spec->priority, a.spare, s.jobs[a.job].spec->job_id) <
+           std::tuple(s.jobs[b.job].spec->priority, b.spare, s.jobs[b.job].spec->job_id);
   });
   const auto cores = cores_of(s);
-  const auto serves = [&](const Flavor& f, const PlanJob& job) {
-    return !job.keep_off.contains(f.name) && fits_flavor(*job.spec, f);
+  const auto serves = [&](const MachineType& f, const PlanJob& job) {
+    return !job.excluded_types.contains(f.name) && fits_machine_type(*job.spec, f);
   };
   std::map<std::string, double> waiting_work;
   const auto add = [&](const Item& item, double sign) {
@@ -264,7 +268,8 @@
     double ahead = 0;
     for (const auto& [name, f] : cores) {
       if (!serves(*f.first, s.jobs[item.job])) continue;
-      const double work = item.seconds * from_amount(in_cores(s.jobs[item.job].spec->needs, *f.first));
+      const double work =
+          item.seconds * from_amount(core_equivalents(s.jobs[item.job].spec->resources, *f.first));
       waiting_work[name] += sign * work * from_amount(f.second) / all;
       ahead += waiting_work[name];
     }
@@ -279,7 +284,7 @@
     for (std::size_t k = 0; k < taken.size(); ++k) {
       const Item& other = items[taken[k]];
       const JobSpec& spec = *s.jobs[other.job].spec;
-      if (spec.urgency == job.spec->urgency && spec.needs == job.spec->needs &&
+      if (spec.priority == job.spec->priority && spec.resources == job.spec->resources &&
           other.work > items[taken[most]].work)
         most = k;
     }
@@ -293,25 +298,26 @@
 std::vector<std::size_t> order(const Burst& s) {
   std::vector<std::size_t> out(s.jobs.size());
   std::iota(out.begin(), out.end(), std::size_t{0});
-  using Key = std::tuple<Urgency, bool, Standing, Micros, Micros, std::int64_t, std::int64_t, std::string>;
+  using Key =
+      std::tuple<Priority, bool, DeadlineStatus, Micros, Micros, std::int64_t, std::int64_t, std::string>;
   std::vector<Key> keys;
   const std::vector<bool> given_up = overload(s);
   for (std::size_t i = 0; i < s.jobs.size(); ++i) {
     const PlanJob& j = s.jobs[i];
-    const std::int64_t accepted = j.accepted.time_since_epoch().count();
+    const std::int64_t accepted = j.accepted_at.time_since_epoch().count();
     const std::int64_t due =
-        j.spec->due ? accepted + j.spec->due->count() : std::numeric_limits<std::int64_t>::max();
+        j.spec->deadline ? accepted + j.spec->deadline->count() : std::numeric_limits<std::int64_t>::max();
     Slack sl = slack(j, s.now, s.settings->objectives);
-    if (sl.standing == Standing::late) sl.left = Micros::max();
-    if (given_up[i]) sl = {Standing::late, sl.spare, sl.spare};
+    if (sl.status == DeadlineStatus::missed) sl.pressed_for = Micros::max();
+    if (given_up[i]) sl = {DeadlineStatus::missed, sl.remaining, sl.remaining};
     // Nothing may be put off for more than two and a half minutes: then a job that has not begun goes before
     // all of its urgency, the longest wait first, and an array as if it were of urgency `high`.
-    if (late_to_begin(j, s)) sl = {Standing::pressed, j.accepted - s.now, {}};
+    if (late_to_begin(j, s)) sl = {DeadlineStatus::pressed, j.accepted_at - s.now, {}};
     const bool behind = !j.guaranteed && !late_to_begin(j, s);
-    Urgency urgency = j.spec->urgency;
-    if (late_to_begin(j, s) && j.spec->shape == Shape::sweep && urgency != Urgency::prod)
-      urgency = Urgency::high;
-    keys.emplace_back(urgency, behind, sl.standing, sl.left, -rank(j), due, accepted, j.spec->ref);
+    Priority urgency = j.spec->priority;
+    if (late_to_begin(j, s) && j.spec->type == JobType::array && urgency != Priority::prod)
+      urgency = Priority::high;
+    keys.emplace_back(urgency, behind, sl.status, sl.pressed_for, -rank(j), due, accepted, j.spec->job_id);
   }
   std::sort(out.begin(), out.end(), [&](std::size_t a, std::size_t b) { return keys[a] < keys[b]; });
   return out;
@@ -322,33 +328,34 @@
   for (const Here& h : s.here) {
     st.hosts.push_back(h.host);
     Later l{h.host, {}};
-    for (const Leaving& p : h.leaving) l.places.push_back({leaves_in(p, h.host, s.clock), p.needs, false});
+    for (const EndingTask& p : h.leaving)
+      l.places.push_back({time_until_free(p, h.host, s.clock), p.resources, false});
     st.later.push_back(std::move(l));
   }
   Plan plan;
   for (const std::size_t j : order(s)) {
     const PlanJob& job = s.jobs[j];
     const JobSpec& spec = *job.spec;
-    const bool gang = spec.shape == Shape::gang;
+    const bool gang = spec.type == JobType::gang;
     const std::uint32_t want = count_fitting(
-        spec.needs, ceiling_left(s.settings->team(spec.owner), st.teams[spec.owner]), job.waiting);
+        spec.resources, ceiling_left(s.settings->team(spec.team), st.teams[spec.team]), job.waiting);
     if (want == 0 || (gang && want < job.waiting)) continue;
-    const bool pressed = slack(job, s.now, s.settings->objectives).standing == Standing::pressed;
-    const bool first = spec.shape == Shape::sweep && late_to_begin(job, s);
+    const bool pressed = slack(job, s.now, s.settings->objectives).status == DeadlineStatus::pressed;
+    const bool first = spec.type == JobType::array && late_to_begin(job, s);
     const std::uint32_t now = first ? 1 : want;
     const auto places = first ? decltype(waiting(st, job)){} : waiting(st, job);
     const auto chosen = best(st, j, candidates(st, job, now), places, now);
     for (const Placement& p : chosen) {
-      PlanHost& host = st.hosts[p.host];
-      host.free.take(spec, p.tasks);
-      if (!cached(host, spec.bundle) && pull_of(host, spec.bundle) == nullptr)
-        host.pulls.push_back({spec.bundle, spec.image_gb, spec.urgency});
+      PlanMachine& host = st.hosts[p.machine];
+      host.free.reserve(spec, p.tasks);
+      if (!has_image(host, spec.image) && find_fetch(host, spec.image) == nullptr)
+        host.fetches.push_back({spec.image, spec.image_gb, spec.priority});
       plan.placements.push_back(p);
     }
     std::uint32_t placed = sum(chosen);
     if (placed == 0 && first) reserve(st, job, 1, from_seconds(60));
-    if (placed == 0 && gang && pressed) reserve(st, job, job.waiting, kReserve);
-    st.teams[spec.owner] += spec.needs * want;
+    if (placed == 0 && gang && pressed) reserve(st, job, job.waiting, kGangReservation);
+    st.teams[spec.team] += spec.resources * want;
     const std::uint32_t soon = std::min(want - placed, static_cast<std::uint32_t>(places.size()));
     for (std::uint32_t i = 0; i < soon; ++i) places[i].second->taken = true;
     if (!pressed) placed += soon;
@@ -357,16 +364,17 @@
   return plan;
 }
 
-Moment moment(const Burst& s) {
+PlanningContext moment(const Burst& s) {
   return {s.now, s.clock, s.settings, &s.teams, s.coming};
 }
 
 namespace {
 
 /// A board with the burst on it; slots are the indices.
-Board board_of(const Burst& s) {
-  Board b;
-  for (const Here& h : s.here) b.set_host(b.new_host(), h.host, h.leaving, h.host.flavor->room.cores, h.open);
+PlacementIndex board_of(const Burst& s) {
+  PlacementIndex b;
+  for (const Here& h : s.here)
+    b.set_machine(b.new_machine(), h.host, h.leaving, h.host.machine_type->capacity.cores, h.open);
   for (const PlanJob& j : s.jobs) b.set_job(b.new_job(), j, s.settings->objectives);
   return b;
 }
@@ -374,20 +382,20 @@
 }  // namespace
 
 std::vector<std::size_t> board_order(const Burst& s) {
-  Board b = board_of(s);
-  const auto slots = b.order(moment(s));
+  PlacementIndex b = board_of(s);
+  const auto slots = b.service_order(moment(s));
   return {slots.begin(), slots.end()};
 }
 
 Plan board_place(const Burst& s) {
-  Board b = board_of(s);
+  PlacementIndex b = board_of(s);
   return b.plan(moment(s));
 }
 
-Snapshot snapshot(const Burst& s) {
-  Snapshot out;
+PreemptionView snapshot(const Burst& s) {
+  PreemptionView out;
   out.jobs = s.jobs;
-  for (const Here& h : s.here) out.hosts.push_back(h.host);
+  for (const Here& h : s.here) out.machines.push_back(h.host);
   return out;
 }
 
--- a/tests/planner_oracle.hpp
+++ b/tests/planner_oracle.hpp
@@ -12,8 +12,8 @@
 using namespace wrenusher::planner;
 
 struct Here {
-  PlanHost host;
-  std::vector<Leaving> leaving;
+  PlanMachine host;
+  std::vector<EndingTask> leaving;
   bool open = true;
 };
 
@@ -23,8 +23,8 @@
   Instant clock{};
   std::vector<PlanJob> jobs;
   std::vector<Here> here;
-  std::map<std::string, Needs> teams;
-  std::vector<std::pair<const Flavor*, Amount>> coming;
+  std::map<std::string, Resources> teams;
+  std::vector<std::pair<const MachineType*, Amount>> coming;
   const Settings* settings = nullptr;
 };
 
@@ -38,7 +38,7 @@
 std::vector<std::size_t> board_order(const Burst& s);
 Plan board_place(const Burst& s);
 /// What `preempt` looks at.
-Snapshot snapshot(const Burst& s);
-Moment moment(const Burst& s);
+PreemptionView snapshot(const Burst& s);
+PlanningContext moment(const Burst& s);
 
 }  // namespace oracle
--- a/tests/planner_test.cpp
+++ b/tests/planner_test.cpp
@@ -18,9 +18,10 @@
 /// A small deployment to plan in: two types in two zones and a few teams.
 struct World {
   Settings settings;
-  Flavor small{"small", {to_amount(16), 0, to_amount(64)}, 30, 0.5, 1, 0.3, from_seconds(20), {"a", "b"}};
-  Flavor large{"large", {to_amount(64), to_amount(4), to_amount(256)}, 30, 0.5, 4, 1, from_seconds(30),
-               {"a"}};
+  MachineType small{"small",   {to_amount(16), 0, to_amount(64)}, 30, 0.5, 1, 0.3, from_seconds(20),
+                    {"a", "b"}};
+  MachineType large{"large", {to_amount(64), to_amount(4), to_amount(256)}, 30, 0.5, 4, 1, from_seconds(30),
+                    {"a"}};
   std::vector<std::unique_ptr<JobSpec>> specs;
   std::map<std::string, std::uint64_t> cached{{"hot", 1}};
   Burst s;
@@ -31,13 +32,13 @@
   }
   JobSpec& job(const std::string& owner, std::uint32_t units, double cores, double estimate) {
     auto spec = std::make_unique<JobSpec>();
-    spec->ref = "req-" + std::to_string(100 + specs.size());
-    spec->owner = owner;
-    spec->units = units;
-    spec->needs = {to_amount(cores), 0, to_amount(1)};
-    spec->bundle = "cold";
+    spec->job_id = "req-" + std::to_string(100 + specs.size());
+    spec->team = owner;
+    spec->task_count = units;
+    spec->resources = {to_amount(cores), 0, to_amount(1)};
+    spec->image = "cold";
     spec->image_gb = 5;
-    spec->standby = true;
+    spec->spot_allowed = true;
     specs.push_back(std::move(spec));
     PlanJob j;
     j.spec = specs.back().get();
@@ -46,19 +47,19 @@
     s.jobs.push_back(j);
     return *specs.back();
   }
-  PlanHost& host(const Flavor& f, const std::string& site) {
-    PlanHost h;
+  PlanMachine& host(const MachineType& f, const std::string& site) {
+    PlanMachine h;
     h.name = "m-" + std::to_string(100 + s.here.size());
-    h.site = site;
-    h.flavor = &f;
-    h.standby = true;
-    h.free.room = f.room;
+    h.zone = site;
+    h.machine_type = &f;
+    h.spot = true;
+    h.free.resources = f.capacity;
     s.here.push_back({h, {}, true});
     return s.here.back().host;
   }
   /// One that has no room until places on it come free.
-  oracle::Here& busy(const Flavor& f, const std::string& site, std::vector<Leaving> leaving) {
-    host(f, site).free.room = {};
+  oracle::Here& busy(const MachineType& f, const std::string& site, std::vector<EndingTask> leaving) {
+    host(f, site).free.resources = {};
     s.here.back().leaving = std::move(leaving);
     s.here.back().open = false;
     return s.here.back();
@@ -92,10 +93,10 @@
 
 TEST(Planner, ServesByUrgencyThenGuaranteeThenFallingRank) {
   World w;
-  w.job("blue", 1, 1, 500);                        // 0: beyond any guarantee
-  w.job("red", 1, 1, 10);                          // 1: within the guarantee
-  w.job("red", 1, 1, 90);                          // 2: likewise, higher rank
-  w.job("blue", 1, 1, 1).urgency = Urgency::high;  // 3: urgent
+  w.job("blue", 1, 1, 500);                          // 0: beyond any guarantee
+  w.job("red", 1, 1, 10);                            // 1: within the guarantee
+  w.job("red", 1, 1, 90);                            // 2: likewise, higher rank
+  w.job("blue", 1, 1, 1).priority = Priority::high;  // 3: urgent
   w.s.jobs[1].guaranteed = w.s.jobs[2].guaranteed = true;
   EXPECT_EQ(served(w.s), (std::vector<std::size_t>{3, 2, 1, 0}));
 }
@@ -118,12 +119,12 @@
 
 TEST(Planner, TakesTheLeastFinishWithFetchIncluded) {
   World w;
-  w.job("blue", 1, 4, 60).bundle = "hot";
+  w.job("blue", 1, 4, 60).image = "hot";
   w.host(w.small, "a");
   w.host(w.small, "a").images = &w.cached;
   const Plan p = planned(w.s);
   ASSERT_EQ(p.placements.size(), 1U);
-  EXPECT_EQ(p.placements[0].host, 1U);
+  EXPECT_EQ(p.placements[0].machine, 1U);
 }
 
 TEST(Planner, WaitsWhereThereIsNoRoomAndSaysSo) {
@@ -146,7 +147,7 @@
 
 TEST(Planner, PlacesAGangWholeOrNotAtAll) {
   World w;
-  w.job("blue", 5, 8, 60).shape = Shape::gang;
+  w.job("blue", 5, 8, 60).type = JobType::gang;
   w.host(w.small, "a");
   w.host(w.small, "b");
   EXPECT_TRUE(planned(w.s).placements.empty());
@@ -163,44 +164,44 @@
     for (int i = 0; i < jobs; ++i) {
       JobSpec& j = w.job(*rc::gen::element<std::string>("red", "blue"), *rc::gen::inRange(1U, 12U),
                          *rc::gen::element(1.0, 4.0, 16.0, 33.3), 30);
-      j.shape = *rc::gen::element(Shape::sweep, Shape::gang, Shape::daemon);
-      j.same_place = *rc::gen::arbitrary<bool>();
-      j.scatter = !j.same_place && *rc::gen::arbitrary<bool>();
-      j.standby = *rc::gen::arbitrary<bool>();
-      if (*rc::gen::arbitrary<bool>()) j.flavors = {"small"};
-      if (*rc::gen::arbitrary<bool>()) j.site = "b";
+      j.type = *rc::gen::element(JobType::array, JobType::gang, JobType::service);
+      j.single_zone = *rc::gen::arbitrary<bool>();
+      j.spread_zones = !j.single_zone && *rc::gen::arbitrary<bool>();
+      j.spot_allowed = *rc::gen::arbitrary<bool>();
+      if (*rc::gen::arbitrary<bool>()) j.machine_types = {"small"};
+      if (*rc::gen::arbitrary<bool>()) j.zone = "b";
     }
     const int hosts = *rc::gen::inRange(0, 6);
     for (int i = 0; i < hosts; ++i) {
-      PlanHost& h =
+      PlanMachine& h =
           w.host(*rc::gen::arbitrary<bool>() ? w.small : w.large, *rc::gen::element<std::string>("a", "b"));
-      h.standby = *rc::gen::arbitrary<bool>();
+      h.spot = *rc::gen::arbitrary<bool>();
     }
     w.s.teams["red"].cores = to_amount(*rc::gen::element(0.0, 40.0, 64.0));
     const Plan p = planned(w.s);
-    std::vector<Needs> used(w.s.here.size());
+    std::vector<Resources> used(w.s.here.size());
     std::map<std::size_t, std::map<std::string, std::uint32_t>> zones;
     std::map<std::size_t, std::uint32_t> placed;
-    Needs red = w.s.teams["red"];
+    Resources red = w.s.teams["red"];
     for (const Placement& x : p.placements) {
       const JobSpec& spec = *w.s.jobs[x.job].spec;
-      const PlanHost& h = w.s.here[x.host].host;
-      RC_ASSERT(spec.allows(h.flavor->name, h.site, h.standby));
-      used[x.host] += spec.needs * x.tasks;
-      zones[x.job][h.site] += x.tasks;
+      const PlanMachine& h = w.s.here[x.machine].host;
+      RC_ASSERT(spec.allows(h.machine_type->name, h.zone, h.spot));
+      used[x.machine] += spec.resources * x.tasks;
+      zones[x.job][h.zone] += x.tasks;
       placed[x.job] += x.tasks;
-      if (spec.owner == "red") red += spec.needs * x.tasks;
+      if (spec.team == "red") red += spec.resources * x.tasks;
     }
     RC_ASSERT(red.cores <= to_amount(64));
-    for (std::size_t h = 0; h < used.size(); ++h) RC_ASSERT(used[h].fits(w.s.here[h].host.free.room));
+    for (std::size_t h = 0; h < used.size(); ++h) RC_ASSERT(used[h].fits(w.s.here[h].host.free.resources));
     for (const auto& [j, by_zone] : zones) {
       const JobSpec& spec = *w.s.jobs[j].spec;
-      RC_ASSERT(!spec.same_place || by_zone.size() == 1U);
+      RC_ASSERT(!spec.single_zone || by_zone.size() == 1U);
       for (const auto& [z, n] : by_zone) {
-        RC_ASSERT(!spec.scatter || n <= (spec.units + 1) / 2);
+        RC_ASSERT(!spec.spread_zones || n <= (spec.task_count + 1) / 2);
       }
-      RC_ASSERT(spec.shape != Shape::gang || placed[j] == spec.units);
-      RC_ASSERT(placed[j] <= spec.units);
+      RC_ASSERT(spec.type != JobType::gang || placed[j] == spec.task_count);
+      RC_ASSERT(placed[j] <= spec.task_count);
     }
   }));
 }
@@ -211,8 +212,8 @@
   w.s.now = WallTime{from_seconds(1000)};
   const auto due = [&](double estimate, double left) {
     JobSpec& j = w.job("blue", 1, 1, estimate);
-    j.due = from_seconds(100);
-    w.s.jobs.back().accepted = w.s.now + from_seconds(left + estimate - 100);
+    j.deadline = from_seconds(100);
+    w.s.jobs.back().accepted_at = w.s.now + from_seconds(left + estimate - 100);
   };
   due(60, 200);  // 0: has time
   due(20, 30);   // 1: pressed
@@ -228,8 +229,8 @@
   w.s.now = WallTime{from_seconds(1000)};
   w.s.coming = {{&w.small, to_amount(16)}};
   for (const std::uint32_t tasks : {20U, 400U, 30U}) {
-    w.job("blue", tasks, 1, 10).due = from_seconds(60);
-    w.s.jobs.back().accepted = w.s.now;
+    w.job("blue", tasks, 1, 10).deadline = from_seconds(60);
+    w.s.jobs.back().accepted_at = w.s.now;
   }
   EXPECT_EQ(served(w.s).back(), 1U);
   w.s.coming = {{&w.small, to_amount(160)}};
@@ -245,8 +246,8 @@
   for (const std::uint32_t tasks : {20U, 400U, 30U}) {
     // All have the same time to spare, but the large one has waited for 200 s already.
     const double waited = tasks == 400 ? 200 : 0;
-    w.job("blue", tasks, 1, 10).due = from_seconds(60 + waited);
-    w.s.jobs.back().accepted = w.s.now - from_seconds(waited);
+    w.job("blue", tasks, 1, 10).deadline = from_seconds(60 + waited);
+    w.s.jobs.back().accepted_at = w.s.now - from_seconds(waited);
   }
   EXPECT_EQ(served(w.s).front(), 1U);
 }
@@ -256,20 +257,20 @@
   w.s.now = WallTime{from_seconds(1000)};
   const auto waits = [&](const char* team, double since, bool begun) -> JobSpec& {
     JobSpec& j = w.job(team, 1, 1, 50);
-    w.s.jobs.back().accepted = w.s.now - from_seconds(since);
-    w.s.jobs.back().begun = begun;
+    w.s.jobs.back().accepted_at = w.s.now - from_seconds(since);
+    w.s.jobs.back().has_started = begun;
     return j;
   };
   waits("blue", 140, false);  // 0: has a while yet
   waits("red", 10, false);    // 1: within its guarantee
   w.s.jobs.back().guaranteed = true;
-  waits("blue", 160, false).due = from_seconds(5);  // 2: overdue, and hopeless by its own due time
-  waits("blue", 160, true).due = from_seconds(5);   // 3: hopeless too, but it has begun
-  waits("blue", 170, false);                        // 4: overdue for longer
-  waits("blue", 1, false).urgency = Urgency::high;  // 5: urgent
-  waits("blue", 1, false).urgency = Urgency::prod;  // 6: most urgent
-  waits("blue", 160, false).shape =
-      Shape::daemon;  // 7: overdue, but what starts as a whole keeps its urgency
+  waits("blue", 160, false).deadline = from_seconds(5);  // 2: overdue, and hopeless by its own due time
+  waits("blue", 160, true).deadline = from_seconds(5);   // 3: hopeless too, but it has begun
+  waits("blue", 170, false);                             // 4: overdue for longer
+  waits("blue", 1, false).priority = Priority::high;     // 5: urgent
+  waits("blue", 1, false).priority = Priority::prod;     // 6: most urgent
+  waits("blue", 160, false).type =
+      JobType::service;  // 7: overdue, but what starts as a whole keeps its urgency
   EXPECT_EQ(served(w.s), (std::vector<std::size_t>{6, 4, 2, 5, 7, 1, 0, 3}));
 }
 
@@ -278,35 +279,35 @@
   World w;
   w.s.now = WallTime{from_seconds(1000)};
   JobSpec& large = w.job("blue", 3, 16, 30);
-  w.s.jobs.back().accepted = w.s.now - from_seconds(160);
+  w.s.jobs.back().accepted_at = w.s.now - from_seconds(160);
   const auto tasks_of = [&](std::size_t job) {
     std::uint32_t n = 0;
     for (const Placement& p : planned(w.s).placements) n += p.job == job ? p.tasks : 0;
     return n;
   };
-  w.job("blue", 40, 4, 30).urgency = Urgency::high;
-  w.s.jobs.back().accepted = w.s.now;
+  w.job("blue", 40, 4, 30).priority = Priority::high;
+  w.s.jobs.back().accepted_at = w.s.now;
   // Half of the machine is free, and the rest will be within the minute: nothing else is put there.
-  w.host(w.small, "a").free.room.cores = to_amount(8);
+  w.host(w.small, "a").free.resources.cores = to_amount(8);
   w.s.here.back().leaving = {{{to_amount(8), 0, to_amount(8)}, std::nullopt, from_seconds(45), nullptr}};
   EXPECT_EQ(tasks_of(0), 0U);
   EXPECT_EQ(tasks_of(1), 0U);
-  w.s.jobs[0].begun = true;
+  w.s.jobs[0].has_started = true;
   EXPECT_EQ(tasks_of(1), 2U);
-  w.s.jobs[0].begun = false;
+  w.s.jobs[0].has_started = false;
   // Where there is room it takes one place, and leaves the others to those who go first otherwise.
   w.host(w.small, "b");
   w.host(w.small, "b");
   EXPECT_EQ(tasks_of(0), 1U);
   EXPECT_EQ(tasks_of(1), 6U);
-  large.urgency = Urgency::low;
+  large.priority = Priority::low;
   EXPECT_EQ(tasks_of(0), 1U);
 }
 
 TEST(Planner, LeavesTypesToThoseWhoNeedThem) {
   World w;
   w.job("blue", 2, 4, 30);
-  w.s.jobs.back().keep_off = {"large"};
+  w.s.jobs.back().excluded_types = {"large"};
   w.host(w.large, "a");
   const Plan p = planned(w.s);
   EXPECT_TRUE(p.placements.empty());
@@ -318,25 +319,25 @@
   World w;
   JobSpec& cold = w.job("blue", 1, 1, 30);  // 5 GB at 0.5 GB/s
   JobSpec other = cold;
-  other.bundle = "other";
-  PlanHost& h = w.host(w.small, "a");
+  other.image = "other";
+  PlanMachine& h = w.host(w.small, "a");
   EXPECT_EQ(fetch_time(h, cold), from_seconds(10));
-  h.pulls = {{"x", 2, Urgency::normal}, {"y", 20, Urgency::normal}};
-  EXPECT_EQ(fetch_time(h, cold), from_seconds(24));  // 5 and 2 and 5 GB
-  EXPECT_EQ(*burden(h, cold), from_seconds(14));     // the same 7 GB for the others
-  h.pulls.push_back({"cold", 1, Urgency::normal});   // its own is nearly there
+  h.fetches = {{"x", 2, Priority::normal}, {"y", 20, Priority::normal}};
+  EXPECT_EQ(fetch_time(h, cold), from_seconds(24));            // 5 and 2 and 5 GB
+  EXPECT_EQ(*fetch_delay_imposed(h, cold), from_seconds(14));  // the same 7 GB for the others
+  h.fetches.push_back({"cold", 1, Priority::normal});          // its own is nearly there
   EXPECT_EQ(fetch_time(h, cold), from_seconds(6));
-  EXPECT_EQ(*burden(h, cold), Micros{0});
+  EXPECT_EQ(*fetch_delay_imposed(h, cold), Micros{0});
   EXPECT_EQ(fetch_time(h, other), from_seconds(26));
 }
 
 TEST(Planner, BeginsNoFetchBesideOneForAService) {
   World w;
   w.job("blue", 1, 1, 30);
-  w.host(w.small, "a").pulls = {{"x", 9, Urgency::prod}};
+  w.host(w.small, "a").fetches = {{"x", 9, Priority::prod}};
   EXPECT_TRUE(planned(w.s).placements.empty());
   w.s.jobs[0].spec = [&] {
-    w.specs[0]->urgency = Urgency::prod;
+    w.specs[0]->priority = Priority::prod;
     return w.specs[0].get();
   }();
   EXPECT_EQ(planned(w.s).placements.size(), 1U);
@@ -346,33 +347,33 @@
   // While machines are scarce every freed place took whatever came first, and nearly every start fetched for
   // half as long as it ran.
   World w;
-  w.job("blue", 3, 16, 30).bundle = "hot";
+  w.job("blue", 3, 16, 30).image = "hot";
   w.host(w.small, "a");  // 10 s of fetch
   for (const double in : {4.0, 15.0})
-    w.busy(w.small, "a", {{w.specs[0]->needs, std::nullopt, from_seconds(in), nullptr}}).host.images =
+    w.busy(w.small, "a", {{w.specs[0]->resources, std::nullopt, from_seconds(in), nullptr}}).host.images =
         &w.cached;
   Plan p = planned(w.s);
   // One waits 4 s; the fetch is sooner than the place that frees after 15 s; the third has that in view.
   ASSERT_EQ(p.placements.size(), 1U);
   EXPECT_TRUE(p.shortages.empty());
   // A pressed job with but a place in view is short all the same.
-  w.specs[0]->due = from_seconds(40);
+  w.specs[0]->deadline = from_seconds(40);
   p = planned(w.s);
   ASSERT_EQ(p.shortages.size(), 1U);
   EXPECT_EQ(p.shortages[0].tasks, 2U);
-  EXPECT_EQ(p.shortages[0].soon, 2U);
+  EXPECT_EQ(p.shortages[0].expected_soon, 2U);
 }
 
 TEST(Planner, AMachineThatHasAnImageAndFetchesItAgainOffersItsPlaceOnce) {
   // The machines that have an image are looked up by its name. One listed twice would let two tasks wait for
   // one place, and the second would wait for longer than the fetch it was spared.
   World w;
-  w.job("blue", 2, 16, 30).bundle = "hot";
+  w.job("blue", 2, 16, 30).image = "hot";
   w.host(w.small, "a");
-  w.busy(w.small, "a", {{w.specs[0]->needs, std::nullopt, from_seconds(4), nullptr}});
-  PlanHost& busy = w.s.here[1].host;
+  w.busy(w.small, "a", {{w.specs[0]->resources, std::nullopt, from_seconds(4), nullptr}});
+  PlanMachine& busy = w.s.here[1].host;
   busy.images = &w.cached;
-  busy.pulls = {{"hot", 1, Urgency::normal}};
+  busy.fetches = {{"hot", 1, Priority::normal}};
   const Plan p = planned(w.s);
   ASSERT_EQ(p.placements.size(), 1U);
   EXPECT_EQ(p.placements[0].tasks, 1U);
@@ -381,22 +382,22 @@
   busy.images = nullptr;
   EXPECT_EQ(planned(w.s).placements.size(), 1U);
   EXPECT_TRUE(planned(w.s).shortages.empty());
-  busy.pulls.clear();
+  busy.fetches.clear();
   ASSERT_EQ(planned(w.s).shortages.size(), 1U);
 }
 
 TEST(Planner, AimsForStartsPressWhatStartsAsAWhole) {
   World w;
   w.settings.objectives = {{"wait", "q", 1.0, from_seconds(70)}, {"finished", "q", 1.0, from_seconds(400)}};
-  w.job("blue", 2, 1, 100).queue = "q";
+  w.job("blue", 2, 1, 100).job_class = "q";
   const auto at = [&](double waited) {
-    return slack(w.s.jobs[0], w.s.jobs[0].accepted + from_seconds(waited), w.settings.objectives);
+    return slack(w.s.jobs[0], w.s.jobs[0].accepted_at + from_seconds(waited), w.settings.objectives);
   };
-  EXPECT_EQ(at(0).standing, Standing::ordinary);  // an array counts by its end
-  w.specs[0]->shape = Shape::gang;
-  EXPECT_EQ(at(10).standing, Standing::pressed);
-  EXPECT_EQ(at(10).left, from_seconds(60));
-  EXPECT_EQ(at(80).standing, Standing::ordinary);  // missed: its end is next, with 220 s to spare
+  EXPECT_EQ(at(0).status, DeadlineStatus::ordinary);  // an array counts by its end
+  w.specs[0]->type = JobType::gang;
+  EXPECT_EQ(at(10).status, DeadlineStatus::pressed);
+  EXPECT_EQ(at(10).pressed_for, from_seconds(60));
+  EXPECT_EQ(at(80).status, DeadlineStatus::ordinary);  // missed: its end is next, with 220 s to spare
 }
 
 TEST(Planner, KeepsPlacesForAGangThatMustStartSoon) {
@@ -404,15 +405,15 @@
   World w;
   w.settings.objectives = {{"wait", "gangs", 1.0, from_seconds(70)}};
   JobSpec& gang = w.job("blue", 1, 16, 90);
-  gang.shape = Shape::gang;
-  gang.queue = "gangs";
+  gang.type = JobType::gang;
+  gang.job_class = "gangs";
   w.job("blue", 2, 8, 30);
-  PlanHost& h = w.host(w.small, "a");
-  h.free.room.cores = to_amount(8);
+  PlanMachine& h = w.host(w.small, "a");
+  h.free.resources.cores = to_amount(8);
   h.images = &w.cached;
   w.s.here[0].leaving = {{{to_amount(8), 0, to_amount(1)}, std::nullopt, from_seconds(5), nullptr}};
   EXPECT_TRUE(planned(w.s).placements.empty());
-  w.s.here[0].leaving[0].in = from_seconds(60);  // too far off to keep room idle
+  w.s.here[0].leaving[0].min_remaining = from_seconds(60);  // too far off to keep room idle
   EXPECT_EQ(planned(w.s).placements.size(), 1U);
 }
 
@@ -421,54 +422,54 @@
   World w;
   w.settings.objectives = {{"wait", "gangs", 1.0, from_seconds(70)}};
   JobSpec& gang = w.job("blue", 3, 0, 90);
-  gang.needs = {};
-  gang.shape = Shape::gang;
-  gang.queue = "gangs";
+  gang.resources = {};
+  gang.type = JobType::gang;
+  gang.job_class = "gangs";
   w.busy(w.small, "a", {});
   EXPECT_TRUE(planned(w.s).placements.empty());
 }
 
 TEST(Planner, ServicesTakeTheMachineWhereLeastIsLost) {
   World w;
-  w.job("blue", 1, 8, 60).urgency = Urgency::prod;
-  w.specs[0]->shape = Shape::daemon;
-  w.specs[0]->bundle = "hot";
+  w.job("blue", 1, 8, 60).priority = Priority::prod;
+  w.specs[0]->type = JobType::service;
+  w.specs[0]->image = "hot";
   JobSpec array = w.job("blue", 1, 8, 60);
   JobSpec gang = w.job("blue", 2, 8, 60);
-  gang.shape = Shape::gang;
-  gang.snapshot_every = from_seconds(10);
-  gang.snapshot = from_seconds(3);
+  gang.type = JobType::gang;
+  gang.checkpoint_interval = from_seconds(10);
+  gang.checkpoint_time = from_seconds(3);
   w.s.jobs.resize(1);
-  for (int i = 0; i < 3; ++i) w.host(w.small, "a").free.room = {};
+  for (int i = 0; i < 3; ++i) w.host(w.small, "a").free.resources = {};
   w.s.here[1].host.images = &w.cached;
-  std::vector<Running> running = {{0, &array, 0, Micros{0}, from_seconds(60), false},
-                                  {1, &gang, 0, from_seconds(40), from_seconds(50), false},
-                                  {2, &gang, 1, from_seconds(40), from_seconds(50), false}};
+  std::vector<RunningTask> running = {{0, &array, 0, Micros{0}, from_seconds(60), false},
+                                      {1, &gang, 0, from_seconds(40), from_seconds(50), false},
+                                      {2, &gang, 1, from_seconds(40), from_seconds(50), false}};
   // 10 s of fetch where an array has just begun, or the 3 s that a gang takes to save: it stops as a whole.
-  EXPECT_EQ(preempt(oracle::snapshot(w.s), {{0, 1}}, running), (std::vector<std::size_t>{1, 2}));
+  EXPECT_EQ(choose_preemptions(oracle::snapshot(w.s), {{0, 1}}, running), (std::vector<std::size_t>{1, 2}));
   w.s.here[0].host.images = &w.cached;
-  EXPECT_EQ(preempt(oracle::snapshot(w.s), {{0, 1}}, running), (std::vector<std::size_t>{0}));
+  EXPECT_EQ(choose_preemptions(oracle::snapshot(w.s), {{0, 1}}, running), (std::vector<std::size_t>{0}));
   // Free room where the image would have to be fetched is left alone while room is made where it is.
   w.host(w.small, "a");
   EXPECT_EQ(planned(w.s).placements.size(), 1U);
-  EXPECT_TRUE(preempt(oracle::snapshot(w.s), {{0, 1}}, running).empty());
+  EXPECT_TRUE(choose_preemptions(oracle::snapshot(w.s), {{0, 1}}, running).empty());
   w.s.jobs[0].near_image = true;
   EXPECT_TRUE(planned(w.s).placements.empty());
-  EXPECT_EQ(preempt(oracle::snapshot(w.s), {{0, 1}}, running), (std::vector<std::size_t>{0}));
+  EXPECT_EQ(choose_preemptions(oracle::snapshot(w.s), {{0, 1}}, running), (std::vector<std::size_t>{0}));
 }
 
 TEST(Planner, StopsLessUrgentTasksForUrgentOnes) {
   World w;
-  w.job("blue", 2, 4, 30).urgency = Urgency::high;
+  w.job("blue", 2, 4, 30).priority = Priority::high;
   const Shortage two{0, 2};
-  w.host(w.small, "a").free.room = {};
+  w.host(w.small, "a").free.resources = {};
   JobSpec saves = w.job("blue", 1, 4, 60);
-  saves.snapshot_every = from_seconds(10);
+  saves.checkpoint_interval = from_seconds(10);
   JobSpec normal = w.job("blue", 1, 4, 60);
   JobSpec equal = normal;
-  equal.urgency = Urgency::high;
+  equal.priority = Priority::high;
   w.s.jobs.resize(1);
-  const std::vector<Running> running = {
+  const std::vector<RunningTask> running = {
       {0, &equal, 0, from_seconds(1), from_seconds(50), false},    // 0: as urgent
       {0, &normal, 0, from_seconds(50), from_seconds(20), false},  // 1: too far on to lose its work
       {0, &normal, 1, from_seconds(5), from_seconds(50), false},   // 2: young
@@ -476,11 +477,11 @@
       {0, &saves, 1, from_seconds(55), from_seconds(5), false},    // 4: ends by itself
       {0, &normal, 2, from_seconds(2), from_seconds(50), false},   // 5: younger still
   };
-  EXPECT_EQ(preempt(oracle::snapshot(w.s), {two}, running), (std::vector<std::size_t>{3, 5}));
+  EXPECT_EQ(choose_preemptions(oracle::snapshot(w.s), {two}, running), (std::vector<std::size_t>{3, 5}));
   // Room that is already being made is not made twice.
-  std::vector<Running> going = running;
+  std::vector<RunningTask> going = running;
   going[3].stopping = going[5].stopping = true;
-  EXPECT_TRUE(preempt(oracle::snapshot(w.s), {two}, going).empty());
+  EXPECT_TRUE(choose_preemptions(oracle::snapshot(w.s), {two}, going).empty());
 }
 
 namespace {
@@ -502,7 +503,7 @@
 struct Drawn {
   World w;
   std::shared_ptr<const wrenusher::topology::Topology> tree = small_tree();
-  std::vector<std::unique_ptr<wrenusher::topology::Place>> places;
+  std::vector<std::unique_ptr<wrenusher::topology::MachineLocation>> places;
   std::vector<std::unique_ptr<std::map<std::string, std::uint64_t>>> images;
   std::map<std::string, Instant> avoid;
   int made = 0;
@@ -511,91 +512,91 @@
 
   PlanJob draw_job() {
     auto spec = std::make_unique<JobSpec>();
-    spec->ref = "req-" + std::to_string(1000 + made++);
-    spec->owner = pick(3) == 0 ? "red" : "blue";
-    spec->queue = pick(2) == 0 ? "q" : "r";
-    spec->units = static_cast<std::uint32_t>(1 + pick(6));
-    spec->shape = std::vector{Shape::sweep, Shape::sweep, Shape::gang,
-                              Shape::daemon}[static_cast<std::size_t>(pick(4))];
-    spec->urgency =
-        std::vector{Urgency::prod, Urgency::normal, Urgency::normal}[static_cast<std::size_t>(pick(3))];
-    spec->needs = {to_amount(std::vector{1, 4, 16}[static_cast<std::size_t>(pick(3))]),
-                   pick(8) == 0 ? to_amount(1) : 0, to_amount(1 + pick(2))};
-    spec->bundle = "b" + std::to_string(pick(4));
+    spec->job_id = "req-" + std::to_string(1000 + made++);
+    spec->team = pick(3) == 0 ? "red" : "blue";
+    spec->job_class = pick(2) == 0 ? "q" : "r";
+    spec->task_count = static_cast<std::uint32_t>(1 + pick(6));
+    spec->type = std::vector{JobType::array, JobType::array, JobType::gang,
+                             JobType::service}[static_cast<std::size_t>(pick(4))];
+    spec->priority =
+        std::vector{Priority::prod, Priority::normal, Priority::normal}[static_cast<std::size_t>(pick(3))];
+    spec->resources = {to_amount(std::vector{1, 4, 16}[static_cast<std::size_t>(pick(3))]),
+                       pick(8) == 0 ? to_amount(1) : 0, to_amount(1 + pick(2))};
+    spec->image = "b" + std::to_string(pick(4));
     spec->image_gb = 5;
-    spec->standby = pick(4) != 0;
-    spec->same_place = pick(6) == 0;
-    spec->scatter = !spec->same_place && pick(6) == 0;
-    if (pick(6) == 0) spec->flavors = {"small"};
-    if (pick(2) == 0) spec->due = from_seconds(100 + 40 * pick(4));
+    spec->spot_allowed = pick(4) != 0;
+    spec->single_zone = pick(6) == 0;
+    spec->spread_zones = !spec->single_zone && pick(6) == 0;
+    if (pick(6) == 0) spec->machine_types = {"small"};
+    if (pick(2) == 0) spec->deadline = from_seconds(100 + 40 * pick(4));
     PlanJob j;
     if (pick(3) == 0) {
       spec->layout.emplace();
       PlanLayout l;
       if (pick(2) == 0) {
         l.spread = pick(2);
-        l.most = static_cast<std::uint32_t>(1 + pick(3));
-        l.spread_must = pick(2) == 0;
+        l.max_tasks = static_cast<std::uint32_t>(1 + pick(3));
+        l.spread_required = pick(2) == 0;
         if (pick(3) == 0) l.spread_at = {{static_cast<std::uint32_t>(pick(9)), 1}};
       }
       if (pick(2) == 0) {
-        l.together = pick(2);
-        l.together_must = pick(2) == 0;
-        if (pick(4) == 0) l.together_at = {{static_cast<std::uint32_t>(pick(9)), 1}};
+        l.colocation = pick(2);
+        l.colocation_required = pick(2) == 0;
+        if (pick(4) == 0) l.colocated_at = {{static_cast<std::uint32_t>(pick(9)), 1}};
       }
       if (pick(4) == 0) spec->layout->devices = {{"signer", 1}};
       j.layout = l;
     }
     j.spec = spec.get();
-    j.waiting = spec->units;
+    j.waiting = spec->task_count;
     j.estimate = from_seconds(10 + 20 * pick(4));
     j.guaranteed = pick(4) == 0;
-    j.begun = pick(2) == 0;
-    j.near_image = spec->shape == Shape::daemon && pick(4) == 0;
-    if (pick(6) == 0) j.keep_off = {"large"};
-    if (pick(6) == 0) j.avoid = &avoid;
-    j.accepted = WallTime{from_seconds(1000 - 30 * pick(9))};
+    j.has_started = pick(2) == 0;
+    j.near_image = spec->type == JobType::service && pick(4) == 0;
+    if (pick(6) == 0) j.excluded_types = {"large"};
+    if (pick(6) == 0) j.avoided_machines = &avoid;
+    j.accepted_at = WallTime{from_seconds(1000 - 30 * pick(9))};
     w.specs.push_back(std::move(spec));
     return j;
   }
   oracle::Here draw_host(const std::string& name) {
     oracle::Here h;
-    const Flavor& f = pick(3) == 0 ? w.large : w.small;
+    const MachineType& f = pick(3) == 0 ? w.large : w.small;
     h.host.name = name + "-" + std::to_string(pick(3)) + std::to_string(pick(4));
-    h.host.site = &f == &w.large || pick(2) == 0 ? "a" : "b";
-    h.host.flavor = &f;
-    h.host.standby = pick(3) != 0;
-    h.host.stays = pick(5) == 0;
+    h.host.zone = &f == &w.large || pick(2) == 0 ? "a" : "b";
+    h.host.machine_type = &f;
+    h.host.spot = pick(3) != 0;
+    h.host.runs_services = pick(5) == 0;
     h.host.speed = pick(5) == 0 ? 0.9 : 1.0;
-    h.host.free.room = f.room;
+    h.host.free.resources = f.capacity;
     images.push_back(std::make_unique<std::map<std::string, std::uint64_t>>());
     for (int i = 0; i < pick(3); ++i) images.back()->emplace("b" + std::to_string(pick(4)), 1);
     h.host.images = images.back().get();
     for (int i = 0; i < 4; ++i) {
       const std::string b = "b" + std::to_string(i);
       if (pick(6) == 0 && !images.back()->contains(b))
-        h.host.pulls.push_back({b, 1.0 + pick(4), pick(4) == 0 ? Urgency::prod : Urgency::normal});
+        h.host.fetches.push_back({b, 1.0 + pick(4), pick(4) == 0 ? Priority::prod : Priority::normal});
     }
-    places.push_back(
-        std::make_unique<wrenusher::topology::Place>(tree->find(h.host.name, "", f.name, h.host.site)));
+    places.push_back(std::make_unique<wrenusher::topology::MachineLocation>(
+        tree->find(h.host.name, "", f.name, h.host.zone)));
     h.host.place = places.back().get();
     h.host.free.devices = places.back()->devices;
-    h.host.guarded = !h.host.free.devices.empty() && pick(2) == 0;
+    h.host.reserved_for_devices = !h.host.free.devices.empty() && pick(2) == 0;
     const int tasks = pick(4);
     for (int i = 0; i < tasks; ++i) {
-      Leaving l{{to_amount(std::vector{1, 4, 16}[static_cast<std::size_t>(pick(3))]), 0, to_amount(1)},
-                {},
-                {},
-                nullptr};
-      h.host.free.room -= l.needs;
-      l.in = from_seconds(2 * pick(5));
-      if (pick(2) == 0) l.end = Instant{from_seconds(500 + 5 * pick(20))};
+      EndingTask l{{to_amount(std::vector{1, 4, 16}[static_cast<std::size_t>(pick(3))]), 0, to_amount(1)},
+                   {},
+                   {},
+                   nullptr};
+      h.host.free.resources -= l.resources;
+      l.min_remaining = from_seconds(2 * pick(5));
+      if (pick(2) == 0) l.ends_at = Instant{from_seconds(500 + 5 * pick(20))};
       if (pick(5) == 0 && !w.specs.empty())
-        l.fetches = w.specs[static_cast<std::size_t>(pick(static_cast<int>(w.specs.size())))].get();
+        l.awaited_image = w.specs[static_cast<std::size_t>(pick(static_cast<int>(w.specs.size())))].get();
       h.leaving.push_back(l);
     }
     h.open = pick(6) != 0;
-    if (h.host.free.room.cores < 0 || h.host.free.room.memory < 0) h.open = false;
+    if (h.host.free.resources.cores < 0 || h.host.free.resources.memory < 0) h.open = false;
     if (pick(5) == 0) avoid[h.host.name] = Instant{from_seconds(490 + pick(30))};
     return h;
   }
@@ -606,10 +607,10 @@
                  const std::function<std::string(std::size_t)>& host) {
   std::string out;
   for (const Placement& x : p.placements)
-    out += job(x.job).spec->ref + ": " + std::to_string(x.tasks) + " on " + host(x.host) + "\n";
+    out += job(x.job).spec->job_id + ": " + std::to_string(x.tasks) + " on " + host(x.machine) + "\n";
   for (const Shortage& x : p.shortages)
-    out += job(x.job).spec->ref + " lacks " + std::to_string(x.tasks) + ", soon " + std::to_string(x.soon) +
-           "\n";
+    out += job(x.job).spec->job_id + " lacks " + std::to_string(x.tasks) + ", soon " +
+           std::to_string(x.expected_soon) + "\n";
   return out;
 }
 
@@ -622,10 +623,10 @@
     d.w.settings.objectives = {{"wait", "q", 1.0, from_seconds(120)}, {"deadline", "r", 1.0, {}}};
     s.now = WallTime{from_seconds(1000)};
     s.clock = Instant{from_seconds(500)};
-    Board b;
+    PlacementIndex b;
     // What stands on the board, and where.
-    std::map<std::string, std::pair<Board::Slot, oracle::Here>> hosts;
-    std::map<std::string, std::pair<Board::Slot, PlanJob>> jobs;
+    std::map<std::string, std::pair<PlacementIndex::Slot, oracle::Here>> hosts;
+    std::map<std::string, std::pair<PlacementIndex::Slot, PlanJob>> jobs;
     int names = 0;
     const int steps = *rc::gen::inRange(1, 25);
     for (int step = 0; step < steps; ++step) {
@@ -634,17 +635,17 @@
         const int what = Drawn::pick(10);
         if (what < 3 || hosts.empty()) {
           oracle::Here h = d.draw_host("m" + std::to_string(100 + names++));
-          const Board::Slot slot = b.new_host();
-          b.set_host(slot, h.host, h.leaving, h.host.flavor->room.cores, h.open);
+          const PlacementIndex::Slot slot = b.new_machine();
+          b.set_machine(slot, h.host, h.leaving, h.host.machine_type->capacity.cores, h.open);
           hosts.emplace(h.host.name, std::pair(slot, h));
         } else if (what < 6 || jobs.empty()) {
           const PlanJob j = d.draw_job();
-          const Board::Slot slot = b.new_job();
+          const PlacementIndex::Slot slot = b.new_job();
           b.set_job(slot, j, d.w.settings.objectives);
-          jobs.emplace(j.spec->ref, std::pair(slot, j));
+          jobs.emplace(j.spec->job_id, std::pair(slot, j));
         } else if (what == 6) {
           const auto it = std::next(hosts.begin(), Drawn::pick(static_cast<int>(hosts.size())));
-          b.drop_host(it->second.first);
+          b.drop_machine(it->second.first);
           hosts.erase(it);
         } else if (what == 7) {
           const auto it = std::next(jobs.begin(), Drawn::pick(static_cast<int>(jobs.size())));
@@ -655,10 +656,10 @@
           oracle::Here again = d.draw_host("x");
           again.host.name = h.host.name;
           h = again;
-          b.set_host(slot, h.host, h.leaving, h.host.flavor->room.cores, h.open);
+          b.set_machine(slot, h.host, h.leaving, h.host.machine_type->capacity.cores, h.open);
         } else {
           auto& [slot, j] = std::next(jobs.begin(), Drawn::pick(static_cast<int>(jobs.size())))->second;
-          j.waiting = static_cast<std::uint32_t>(1 + Drawn::pick(static_cast<int>(j.spec->units)));
+          j.waiting = static_cast<std::uint32_t>(1 + Drawn::pick(static_cast<int>(j.spec->task_count)));
           j.estimate = from_seconds(10 + 20 * Drawn::pick(4));
           b.set_job(slot, j, d.w.settings.objectives);
         }
@@ -674,14 +675,15 @@
       if (Drawn::pick(3) == 0) s.coming = {{&d.w.small, to_amount(16 * Drawn::pick(5))}};
       std::string mine_order;
       std::string all_order;
-      for (const Board::Slot j : b.order(oracle::moment(s))) mine_order += b.job(j).spec->ref + " ";
-      for (const std::size_t j : oracle::order(s)) all_order += s.jobs[j].spec->ref + " ";
+      for (const PlacementIndex::Slot j : b.service_order(oracle::moment(s)))
+        mine_order += b.job(j).spec->job_id + " ";
+      for (const std::size_t j : oracle::order(s)) all_order += s.jobs[j].spec->job_id + " ";
       RC_ASSERT(mine_order == all_order);
       const Plan mine = b.plan(oracle::moment(s));
       const Plan all = oracle::place(s);
       const std::string got = told(
-          mine, [&](std::size_t i) -> const PlanJob& { return b.job(static_cast<Board::Slot>(i)); },
-          [&](std::size_t i) { return b.host(static_cast<Board::Slot>(i))->name; });
+          mine, [&](std::size_t i) -> const PlanJob& { return b.job(static_cast<PlacementIndex::Slot>(i)); },
+          [&](std::size_t i) { return b.machine(static_cast<PlacementIndex::Slot>(i))->name; });
       const std::string want = told(
           all, [&](std::size_t i) -> const PlanJob& { return s.jobs[i]; },
           [&](std::size_t i) { return s.here[i].host.name; });
--- a/tests/questions_test.cpp
+++ b/tests/questions_test.cpp
@@ -10,8 +10,8 @@
 using namespace wrenusher::lab;
 using namespace wrenusher::protocol;
 
-Request question(const std::string& ref) {
-  return {"GET", "/submissions/" + ref, {}};
+Request question(const std::string& job_id) {
+  return {"GET", "/submissions/" + job_id, {}};
 }
 
 Request submission(const JobSpec& spec) {
@@ -30,18 +30,18 @@
     w.run(from_seconds(20));
     for (int i = 0; i < jobs; ++i) {
       const JobSpec job = World::job(i, 1, 16, 3600);
-      refs.push_back(job.ref);
-      w.at(millis(100) * i, [this, job] { w.submit(job); });
+      refs.push_back(job.job_id);
+      w.at(from_millis(100) * i, [this, job] { w.submit(job); });
     }
-    w.run(millis(100) * jobs + from_seconds(10));
+    w.run(from_millis(100) * jobs + from_seconds(10));
   }
   std::uint64_t requests(int controller) { return w.state_requests("c" + std::to_string(controller)); }
   /// Asks one node so many times a second about all jobs in turn.
   void ask(int controller, double per_second, Micros how_long) {
     const auto every = from_seconds(1 / per_second);
     for (Micros at{}; at < how_long; at += every) {
-      w.at(at, [this, controller, ref = refs[static_cast<std::size_t>(asked % refs.size())]] {
-        w.tell(controller, question(ref), [this](const Outcome& o) {
+      w.at(at, [this, controller, job_id = refs[static_cast<std::size_t>(asked % refs.size())]] {
+        w.send_commands(controller, question(job_id), [this](const CallResult& o) {
           ++outcomes;
           answered += o.answered && o.response.status == 200;
         });
@@ -99,13 +99,13 @@
   Micros longest{};
   for (int i = 0; i < 300; ++i) {
     const JobSpec job = World::job(1000 + i, 1, 2, 5);
-    b.w.at(millis(30) * i, [&, job] {
+    b.w.at(from_millis(30) * i, [&, job] {
       b.w.machines().describe({job, from_seconds(5), false});
       b.w.checker.submitted(job);
-      b.w.tell(
+      b.w.send_commands(
           node, submission(job),
-          [&, job, sent = b.w.now()](const Outcome& o) {
-            b.w.checker.answered_submit(b.w.now(), job.ref, o.answered ? o.response.status : 0);
+          [&, job, sent = b.w.now()](const CallResult& o) {
+            b.w.checker.answered_submit(b.w.now(), job.job_id, o.answered ? o.response.status : 0);
             if (o.answered) longest = std::max(longest, b.w.now() - sent);
             taken += o.answered && o.response.status == 201;
             if (!o.answered || o.response.status != 503) return;
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -18,9 +18,9 @@
 void load(World& w, double last_s) {
   for (int i = 0; i * 3 < last_s; ++i) {
     JobSpec s = World::job(i, 2 + static_cast<std::uint32_t>(w.pick(8)), 4, w.uniform(5, 20));
-    if (i % 5 == 4) s.snapshot_every = from_seconds(5), s.snapshot = from_seconds(2);
+    if (i % 5 == 4) s.checkpoint_interval = from_seconds(5), s.checkpoint_time = from_seconds(2);
     w.at(from_seconds(3 * i), [&w, s] { w.submit(s); });
-    if (i % 6 == 5) w.at(from_seconds(3 * i + w.uniform(1, 30)), [&w, s] { w.withdraw(s.ref); });
+    if (i % 6 == 5) w.at(from_seconds(3 * i + w.uniform(1, 30)), [&w, s] { w.cancel(s.job_id); });
   }
 }
 
@@ -45,7 +45,7 @@
                                       {"boots_late", 60}};
 
 void strike(World& w, const Struck& s) {
-  w.strike({s.what, {}, from_seconds(s.lasts_s), {}, "", s.share});
+  w.inject_fault({s.what, {}, from_seconds(s.lasts_s), {}, "", s.share});
 }
 
 /// Few machines, all of one type and kept, with reports and leases as the larger deployments have them.
@@ -55,11 +55,11 @@
   s.types[0].spot = 12;
   s.types[0].ordinary = 12;
   s.machines = 8;
-  s.settings.report = from_seconds(5);
-  s.settings.lease = from_seconds(24);
-  s.settings.cancel = from_seconds(54);
+  s.settings.report_interval = from_seconds(5);
+  s.settings.worker_lease = from_seconds(24);
+  s.settings.cancel_deadline = from_seconds(54);
   s.settings.tunables.idle_return = from_seconds(3600);
-  s.settings.tunables.standby = standby;
+  s.settings.tunables.warm_standby = standby;
   return s;
 }
 
@@ -70,7 +70,7 @@
 /// A machine with something on it; empty: none.
 std::string busy_host(World& w) {
   for (const std::string& h : w.hosts()) {
-    if (!w.units_on(h).empty()) return h;
+    if (!w.tasks_on(h).empty()) return h;
   }
   return {};
 }
@@ -78,19 +78,19 @@
 /// Runs until the condition holds; seconds that took, or the most.
 double until(World& w, double most_s, const std::function<bool()>& holds) {
   const Instant from = w.now();
-  while (!holds() && to_seconds(w.now() - from) < most_s) w.run(millis(20));
+  while (!holds() && to_seconds(w.now() - from) < most_s) w.run(from_millis(20));
   return to_seconds(w.now() - from);
 }
 
 /// Seconds until none of what was on the machine is missing any more: it is on another, or done.
 double until_replaced(World& w, const std::string& host, double most_s) {
-  const auto lost = w.checker.on_any({host});
+  const auto lost = w.checker.on_any_machine({host});
   return until(w, most_s, [&] {
     std::set<std::string> others;
     for (const std::string& h : w.hosts()) {
       if (h != host) others.insert(h);
     }
-    const auto there = w.checker.on_any(others);
+    const auto there = w.checker.on_any_machine(others);
     return std::all_of(lost.begin(), lost.end(), [&](const auto& unit) {
       return there.contains(unit) || w.checker.is_done(unit.first, unit.second);
     });
@@ -120,13 +120,13 @@
   };
   const auto accept = [&](Checker& c, const JobSpec& j, double after_s = 0) {
     c.submitted(j);
-    c.answered_submit(at(after_s), j.ref, 201);
+    c.answered_submit(at(after_s), j.job_id, 201);
   };
   const auto run = [&](Checker& c, const JobSpec& j, double after_s) {
-    for (std::uint32_t i = 0; i < j.units; ++i) {
-      c.started(at(after_s), j.ref, i, "m-1", "small", "a", false);
-      c.left(j.ref, i, "m-1");
-      c.completed(j.ref, i);
+    for (std::uint32_t i = 0; i < j.task_count; ++i) {
+      c.started(at(after_s), j.job_id, i, "m-1", "small", "a", false);
+      c.task_left(j.job_id, i, "m-1");
+      c.completed(j.job_id, i);
     }
   };
   const JobSpec j = World::job(1, 2, 4, 5);
@@ -135,21 +135,21 @@
     accept(c, j);
     accept(c, other);
     c.troubles_over(at(30));
-    c.answered_poll(at(100), other.ref, 200, "pending", at(100));
-    c.look(at(104));
+    c.answered_poll(at(100), other.job_id, 200, "pending", at(100));
+    c.check(at(104));
     EXPECT_TRUE(c.broken().empty());
-    c.look(at(106));
+    c.check(at(106));
     EXPECT_EQ(c.notes().size(), 1U);
   });
   caught("left_waiting", [&](Checker& c) {
     accept(c, j);
     c.troubles_over(at(0));
-    c.waits(at(10), j.ref, true);
-    c.waits(at(40), j.ref, false);
-    c.waits(at(50), j.ref, true);
-    c.waits(at(109), j.ref, true);
+    c.waits(at(10), j.job_id, true);
+    c.waits(at(40), j.job_id, false);
+    c.waits(at(50), j.job_id, true);
+    c.waits(at(109), j.job_id, true);
     EXPECT_TRUE(c.broken().empty());
-    c.waits(at(111), j.ref, true);
+    c.waits(at(111), j.job_id, true);
   });
   caught("starved", [&](Checker& c) {
     // Of ten small ones and two large ones all small ones are done: of the class and the team more than half.
@@ -161,16 +161,16 @@
     for (int i = 0; i < 2; ++i) {
       JobSpec large = World::job(2 * i + 101, 9, 4, 5);
       accept(c, large);
-      c.started(at(20), large.ref, 0, "m-1", "small", "a", false);
+      c.started(at(20), large.job_id, 0, "m-1", "small", "a", false);
     }
     c.judge(at(600));
     EXPECT_EQ(c.notes().front(), "starved: largest of work: 0 of 2");
   });
   caught("starved", [&](Checker& c) {
     JobSpec guest = j;
-    guest.queue = "guests";
+    guest.job_class = "guests";
     accept(c, guest);
-    c.started(at(20), guest.ref, 0, "m-1", "small", "a", false);
+    c.started(at(20), guest.job_id, 0, "m-1", "small", "a", false);
     accept(c, other);
     run(c, other, 5);
     JobSpec third = World::job(5, 2, 4, 5);
@@ -185,52 +185,53 @@
   });
   // What is withdrawn, fails everywhere or has just come is nobody's fault.
   Checker c(s);
-  for (const JobSpec& x : {j, other, World::job(5, 2, 4, 5)}) accept(c, x, x.ref == j.ref ? 500 : 0);
-  c.asked_withdraw(other.ref);
-  c.hopeless(World::job(5, 2, 4, 5).ref);
+  for (const JobSpec& x : {j, other, World::job(5, 2, 4, 5)}) accept(c, x, x.job_id == j.job_id ? 500 : 0);
+  c.asked_cancel(other.job_id);
+  c.hopeless(World::job(5, 2, 4, 5).job_id);
   c.judge(at(600));
   EXPECT_TRUE(c.broken().empty());
 }
 
 TEST(Heed, TellsWhoGetsNoAnswers) {
   WorkerReport r;
-  r.tenure = 1;
-  r.epoch = 4;
-  wrenusher::fleet::Heed h;
-  const auto unit = [](const char* ref, UnitStatus s) { return UnitReport{ref, 0, 1, s, "", false}; };
-  const Order run{Order::Verb::run, "req-1", 0, 1, {}};
-  const Order reap{Order::Verb::reap, "req-2", 0, 1, {}};
-  const Order halt{Order::Verb::halt, "req-3", 0, 1, {}};
-  const auto next = [&](const std::vector<Order>& answer, std::uint64_t serials = 1, bool steady = true) {
-    r.serial += serials;
-    h.reported(r, steady);
-    h.answered(5, answer);
-    return h.unheeded();
+  r.incarnation = 1;
+  r.fencing_token = 4;
+  wrenusher::fleet::DeliveryMonitor h;
+  const auto unit = [](const char* job_id, TaskStatus s) { return TaskReport{job_id, 0, 1, s, "", false}; };
+  const WorkerCommand run{WorkerCommand::Verb::start, "req-1", 0, 1, {}};
+  const WorkerCommand reap{WorkerCommand::Verb::forget, "req-2", 0, 1, {}};
+  const WorkerCommand halt{WorkerCommand::Verb::stop, "req-3", 0, 1, {}};
+  const auto next = [&](const std::vector<WorkerCommand>& answer, std::uint64_t serials = 1,
+                        bool steady = true) {
+    r.sequence += serials;
+    h.on_report(r, steady);
+    h.on_reply(5, answer);
+    return h.unobserved_replies();
   };
   EXPECT_EQ(next({}), 0);
   // A token that does not rise, and then does.
   EXPECT_EQ(next({}), 1);
   EXPECT_EQ(next({}), 2);
-  r.epoch = 5;
+  r.fencing_token = 5;
   EXPECT_EQ(next({run, reap}), 0);
   // Neither started nor reaped; then one of the two.
-  r.units = {unit("req-2", UnitStatus::ended)};
+  r.tasks = {unit("req-2", TaskStatus::exited)};
   EXPECT_EQ(next({run, reap}), 1);
   EXPECT_EQ(next({run, reap}), 2);
-  r.units.push_back(unit("req-1", UnitStatus::pulling));
+  r.tasks.push_back(unit("req-1", TaskStatus::fetching_image));
   EXPECT_EQ(next({halt}), 0);
   // What is halted may run on; reports that go elsewhere in between show in their count, calls aside.
-  r.units = {unit("req-3", UnitStatus::running)};
+  r.tasks = {unit("req-3", TaskStatus::running)};
   EXPECT_EQ(next({}), 0);
   EXPECT_EQ(next({}, 2), 1);
-  h.called();
+  h.on_polled();
   EXPECT_EQ(next({}, 2), 0);
   EXPECT_EQ(next({}, 9, false), 0);
   // A lease that runs out for want of answers, or since the machine was away.
-  ++r.tenure;
+  ++r.incarnation;
   EXPECT_EQ(next({}), 2);
   EXPECT_EQ(next({}), 0);
-  ++r.tenure;
+  ++r.incarnation;
   EXPECT_EQ(next({}, 1, false), 0);
 }
 
@@ -240,10 +241,10 @@
   Settings s = World::small_site();
   s.node = "c0";
   s.peers = {{"c1", "a", "10.0.0.2:8081"}};
-  ByHand rt;
-  wrenusher::membership::Peer peer(rt, s);
-  std::vector<wrenusher::mail::PeerNews> heard;
-  peer.news.connect(rt, [&](const wrenusher::mail::PeerNews& n) { heard.push_back(n); });
+  ByHand runtime;
+  wrenusher::membership::Peer peer(runtime, s);
+  std::vector<wrenusher::mail::PeerStatus> heard;
+  peer.peer_status.connect(runtime, [&](const wrenusher::mail::PeerStatus& n) { heard.push_back(n); });
   peer.start();
   // Words of two lives, in any order and some twice; each names itself as its leader.
   std::pair<int, int> newest(-1, -1);
@@ -255,8 +256,8 @@
         {"node", "c1"}, {"epoch", 3}, {"leader", name}, {"since", 40 + word.first}, {"n", word.second}});
     const std::size_t before = heard.size();
     if (answer) {
-      peer.on_withdrawn({"req-1"});  // sends at once
-      rt.calls.back().done({true, true, {200, body, 0}});
+      peer.on_cancelled({"req-1"});  // sends at once
+      runtime.calls.back().done({true, true, {200, body, 0}});
     } else {
       peer.serve({"POST", "/beat", body}, [](const Response&) {});
     }
@@ -266,7 +267,7 @@
     if (!taken) continue;
     newest = word;
     RC_ASSERT(heard.back().leader == name);
-    RC_ASSERT(heard.back().reached.has_value() == answer);
+    RC_ASSERT(heard.back().asked_at.has_value() == answer);
   }
 }
 
@@ -275,17 +276,19 @@
   Settings s = World::small_site();
   s.node = "c0";
   s.peers = {{"c1", "a", "10.0.0.2:8081"}};
-  ByHand rt;
-  wrenusher::membership::Peer peer(rt, s);
+  ByHand runtime;
+  wrenusher::membership::Peer peer(runtime, s);
   wrenusher::base::Instant through{};
   std::vector<std::string> cancelled;
-  peer.known.connect(rt, [&](const wrenusher::mail::CancellationsKnown& k) { through = k.through; });
-  peer.withdrawn.connect(rt, [&](const wrenusher::mail::JobWithdrawn& w) { cancelled.push_back(w.ref); });
+  peer.cancellations_known.connect(
+      runtime, [&](const wrenusher::mail::CancellationsKnown& k) { through = k.through; });
+  peer.job_cancelled.connect(runtime,
+                             [&](const wrenusher::mail::JobCancelled& w) { cancelled.push_back(w.job_id); });
   peer.start();
   std::uint64_t n = 0;
-  const auto beat = [&](std::uint64_t last, const char* ref) {
+  const auto beat = [&](std::uint64_t last, const char* job_id) {
     Value::List rows;
-    if (ref != nullptr) rows.emplace_back(ref);
+    if (job_id != nullptr) rows.emplace_back(job_id);
     return encode(Value::Map{{"node", "c1"},
                              {"epoch", 3},
                              {"leader", "c1"},
@@ -299,20 +302,20 @@
     peer.serve({"POST", "/beat", body}, [](const Response&) {});
   };
   comes(beat(0, nullptr));
-  rt.at += millis(100);
-  const auto read = rt.at;
-  peer.on_read({read, {}});
+  runtime.at += from_millis(100);
+  const auto read = runtime.at;
+  peer.on_cancellations_read({read, {}});
   EXPECT_EQ(through, read);
-  rt.at += millis(5000);
+  runtime.at += from_millis(5000);
   comes(beat(1, "req-1"));
   EXPECT_EQ(cancelled, std::vector<std::string>{"req-1"});
   EXPECT_EQ(through, read);
-  const auto asked = rt.at;
-  rt.calls.clear();
-  peer.on_withdrawn({"req-2"});  // asks at once
-  ASSERT_FALSE(rt.calls.empty());
-  rt.at += millis(300);
-  rt.calls.back().done({true, true, {200, beat(1, nullptr), 0}});
+  const auto asked = runtime.at;
+  runtime.calls.clear();
+  peer.on_cancelled({"req-2"});  // asks at once
+  ASSERT_FALSE(runtime.calls.empty());
+  runtime.at += from_millis(300);
+  runtime.calls.back().done({true, true, {200, beat(1, nullptr), 0}});
   EXPECT_EQ(through, asked);
 }
 
@@ -321,44 +324,44 @@
 TEST(Certainty, WhatWaitsForTheCloudIsNotDoneOnceItHasEnded) {
   Settings s = World::small_site();
   s.peers = {{"c1", "a", "10.0.0.2:8081"}};
-  s.tunables.standby = false;
-  ByHand rt;
-  wrenusher::store::Store store(rt, s);
-  wrenusher::provisioner::Provisioner p(rt, s, store);
+  s.tunables.warm_standby = false;
+  ByHand runtime;
+  wrenusher::store::KvClient store(runtime, s);
+  wrenusher::provisioner::Provisioner p(runtime, s, store);
   const auto posts = [&] {
-    return std::count_if(rt.calls.begin(), rt.calls.end(),
+    return std::count_if(runtime.calls.begin(), runtime.calls.end(),
                          [](const auto& c) { return c.request.target.starts_with("/rentals/return"); });
   };
   p.on_term({true, 3, 7, "c0", {}, {}});
-  p.on_certainty({rt.at + from_seconds(30)});
+  p.on_lease_validity({runtime.at + from_seconds(30)});
   p.start();
-  p.on_suspect({"m-1", "of no use"});
+  p.on_machine_suspect({"m-1", "of no use"});
   const auto refuse = [&] {
     const auto sent = posts();
-    for (int i = 0; i < 40 && posts() == sent; ++i) rt.pass(millis(100));
+    for (int i = 0; i < 40 && posts() == sent; ++i) runtime.pass(from_millis(100));
     ASSERT_EQ(posts(), sent + 1);
-    for (std::size_t i = 0; i < rt.calls.size(); ++i) rt.calls[i].done({true, true, {429, {}, 0}});
-    rt.calls.clear();
+    for (std::size_t i = 0; i < runtime.calls.size(); ++i) runtime.calls[i].done({true, true, {429, {}, 0}});
+    runtime.calls.clear();
   };
   for (int i = 0; i < 4; ++i) refuse();
   // The cloud is asked again only after a while; in that time the node stands still.
-  p.on_certainty({rt.at + from_seconds(1)});
-  rt.pass(from_seconds(0.5));
+  p.on_lease_validity({runtime.at + from_seconds(1)});
+  runtime.pass(from_seconds(0.5));
   ASSERT_EQ(posts(), 0);
-  rt.pass(from_seconds(20));
-  rt.pass(from_seconds(1));
+  runtime.pass(from_seconds(20));
+  runtime.pass(from_seconds(1));
   EXPECT_EQ(posts(), 0);
-  p.on_certainty({rt.at + from_seconds(3)});
-  rt.pass(from_seconds(1));
-  rt.pass(from_seconds(1));
+  p.on_lease_validity({runtime.at + from_seconds(3)});
+  runtime.pass(from_seconds(1));
+  runtime.pass(from_seconds(1));
   EXPECT_EQ(posts(), 1);
 }
 
 namespace {
 
 /// A report as it once was.
-Request report(const std::string& host, std::uint64_t tenure, std::uint64_t serial, std::uint64_t epoch,
-               const std::vector<std::string>& running) {
+Request report(const std::string& host, std::uint64_t incarnation, std::uint64_t sequence,
+               std::uint64_t fencing_token, const std::vector<std::string>& running) {
   Value::List units;
   for (const std::string& unit : running)
     units.emplace_back(Value::Map{{"unit", unit}, {"try", 1}, {"status", "running"}});
@@ -368,9 +371,9 @@
                             {"flavor", "small"},
                             {"site", "a"},
                             {"standby", false},
-                            {"tenure", tenure},
-                            {"serial", serial},
-                            {"epoch", epoch},
+                            {"tenure", incarnation},
+                            {"serial", sequence},
+                            {"epoch", fencing_token},
                             {"units", std::move(units)}})};
 }
 
@@ -385,12 +388,13 @@
   long_tasks(w, 8);
   w.run(from_seconds(30));
   const auto hosts = w.hosts();
-  for (const std::string& h : hosts) w.reborn(h);
+  for (const std::string& h : hosts) w.restart_worker(h);
   w.crash(w.leader(), from_seconds(6));
   w.run(from_seconds(25));
   ASSERT_GE(w.leader(), 0);
   const std::size_t starts = w.checker.starts();
-  for (const std::string& h : hosts) w.tell(w.leader(), report(h, 1, 900, old_term, {}), [](const auto&) {});
+  for (const std::string& h : hosts)
+    w.send_commands(w.leader(), report(h, 1, 900, old_term, {}), [](const auto&) {});
   w.run(from_seconds(20));
   EXPECT_EQ(w.checker.starts(), starts);
   w.checker.troubles_over(w.now());
@@ -414,11 +418,11 @@
   const JobSpec late = World::job(1, 4, 4, 20);
   w.submit(late);
   w.run(from_seconds(1));
-  ASSERT_FALSE(w.checker.on_a_machine(late.ref));
+  ASSERT_FALSE(w.checker.on_a_machine(late.job_id));
   std::vector<std::string> units;
-  for (std::uint32_t i = 0; i < 4; ++i) units.push_back(unit_name(late.ref, i));
-  w.tell(w.leader(), report("m-9999", 1, 1, 1, units), [](const auto&) {});
-  EXPECT_LT(until(w, 60, [&] { return w.checker.on_a_machine(late.ref); }), 8);
+  for (std::uint32_t i = 0; i < 4; ++i) units.push_back(task_name(late.job_id, i));
+  w.send_commands(w.leader(), report("m-9999", 1, 1, 1, units), [](const auto&) {});
+  EXPECT_LT(until(w, 60, [&] { return w.checker.on_a_machine(late.job_id); }), 8);
   w.run(from_seconds(200));
   EXPECT_EQ(w.live(), 0U);
   expect_kept(w);
@@ -468,10 +472,10 @@
     ASSERT_FALSE(host.empty());
     const auto before = w.hosts();
     if (takeover) {
-      for (int i = 0; i < 3; ++i) w.cut_one_way(name_of(i), host, Cut::reset);
+      for (int i = 0; i < 3; ++i) w.cut_one_way(name_of(i), host, LinkCut::reset);
       w.crash(w.leader(), from_seconds(6));
     } else {
-      w.cut_one_way(name_of(w.leader()), host, Cut::reset);
+      w.cut_one_way(name_of(w.leader()), host, LinkCut::reset);
     }
     const double s = until_replaced(w, host, 120);
     EXPECT_LT(s, 40);
@@ -494,7 +498,7 @@
   w.run(from_seconds(30));
   const int leader = w.leader();
   const auto before = w.hosts();
-  for (const std::string& h : before) w.cut_one_way(name_of(leader), h, Cut::reset);
+  for (const std::string& h : before) w.cut_one_way(name_of(leader), h, LinkCut::reset);
   const double s = until(w, 120, [&] { return w.leader() >= 0 && w.leader() != leader; });
   EXPECT_LT(s, 20);
   w.run(from_seconds(20));
@@ -523,12 +527,13 @@
     const int old = w.leader();
     const auto before = w.hosts();
     w.cloud_outage(!c.list);
-    w.leave_alone(old, Cut::hold);
+    w.leave_alone(old, LinkCut::hold);
     until(w, 30, [&] { return w.leader() >= 0 && w.leader() != old; });
-    const auto cancelled = World::job(3, 4, 4, 90).ref;
+    const auto cancelled = World::job(3, 4, 4, 90).job_id;
     // Where it can be taken: at the old leader its user would be told to come back, a second later.
-    w.tell(w.leader(), {"POST", "/submissions/" + cancelled + "/withdraw", {}}, [](const Outcome&) {});
-    w.withdraw(cancelled);
+    w.send_commands(w.leader(), {"POST", "/submissions/" + cancelled + "/withdraw", {}},
+                    [](const CallResult&) {});
+    w.cancel(cancelled);
     EXPECT_LT(until(w, 120, [&] { return !w.checker.on_a_machine(cancelled); }), c.within_s);
     w.run(from_seconds(60));
     for (const std::string& h : before) EXPECT_TRUE(is_there(w, h)) << h << " is returned, hints " << c.hints;
@@ -547,9 +552,9 @@
   long_tasks(w, 5);
   w.run(from_seconds(30));
   const std::string host = busy_host(w);
-  const auto on_it = w.checker.on_any({host});
+  const auto on_it = w.checker.on_any_machine({host});
   ASSERT_FALSE(on_it.empty());
-  w.reborn(host);
+  w.restart_worker(host);
   const double s = until(w, 120, [&] { return !is_there(w, host); });
   EXPECT_LT(s, 5);
   w.checker.troubles_over(w.now());
--- a/tests/small_jobs_test.cpp
+++ b/tests/small_jobs_test.cpp
@@ -14,12 +14,13 @@
 /// Four a second, a quarter cancelled while they wait, run or have just ended.
 void stream(World& w) {
   for (int i = 0; i < kJobs; ++i) {
-    JobTruth job;
+    SimulatedJob job;
     job.spec = World::job(i, 1, 1, w.uniform(2, 6));
-    job.run = job.spec.expected;
+    job.run_time = job.spec.expected_runtime;
     const double at = 10 + i / 4.0;
     w.at(from_seconds(at), [&w, job] { w.submit(job); });
-    if (i % 4 == 3) w.at(from_seconds(at + w.uniform(0.1, 9)), [&w, ref = job.spec.ref] { w.withdraw(ref); });
+    if (i % 4 == 3)
+      w.at(from_seconds(at + w.uniform(0.1, 9)), [&w, job_id = job.spec.job_id] { w.cancel(job_id); });
   }
 }
 
@@ -37,10 +38,10 @@
     for (const char* c : {"c0", "c1", "c2"}) n += w.state_requests(c);
     return n;
   };
-  const std::uint64_t puts_before = w.state().writes();
+  const std::uint64_t puts_before = w.kv_service().writes();
   const std::uint64_t requests_before = requests();
   w.run(from_seconds(100));
-  const Spent out{static_cast<double>(w.state().writes() - puts_before) / kJobs,
+  const Spent out{static_cast<double>(w.kv_service().writes() - puts_before) / kJobs,
                   static_cast<double>(requests() - requests_before) / kJobs};
   w.heal();
   w.checker.troubles_over(w.now());
@@ -78,7 +79,7 @@
         Trouble{"state_outage", 12, ""}, Trouble{"state_slow", 25, ""}, Trouble{"all_crash", 1, ""},
         Trouble{"close_looks", 60, ""}}) {
     World w(++seed, World::small_site(), 3);
-    w.at(from_seconds(40), [&w, t] { w.strike({t.what, {}, from_seconds(t.lasts), {}, t.whom, 0}); });
+    w.at(from_seconds(40), [&w, t] { w.inject_fault({t.what, {}, from_seconds(t.lasts), {}, t.whom, 0}); });
     play(w, t.what);
   }
 }
--- a/tests/state_service_test.cpp
+++ b/tests/state_service_test.cpp
@@ -18,7 +18,7 @@
 
 namespace {
 
-constexpr StateLimits kWide{0, 0, 16, 16};
+constexpr KvLimits kWide{0, 0, 16, 16};
 
 /// A folder of its own that goes with the test.
 class Folder {
@@ -38,25 +38,25 @@
 
 /// A service that is asked directly, in simulated time.
 struct Service {
-  SimWires wires{1};
-  StateService state;
-  explicit Service(std::unique_ptr<Keep> keep, StateLimits limits = kWide)
+  SimTransport wires{1};
+  KvService state;
+  explicit Service(std::unique_ptr<DurableStorage> keep, KvLimits limits = kWide)
       : state(wires, limits, std::move(keep)) {}
   Response ask(const std::string& method, const std::string& target, const Value& body = {}) {
     std::optional<Response> out;
     state.serve("c0", {method, target, body.is_null() ? "" : encode(body)}, [&](Response r) { out = r; });
-    for (int i = 0; !out && i < 100; ++i) wires.run(millis(100));
+    for (int i = 0; !out && i < 100; ++i) wires.run(from_millis(100));
     return out.value_or(Response{});
   }
   Value get(const std::string& target) { return decode(ask("GET", target).body).value_or(Value()); }
 };
 
-Value condition(const std::string& k, std::uint64_t stamp) {
-  return Value::Map{{"k", k}, {"stamp", stamp}};
+Value condition(const std::string& k, std::uint64_t mod_revision) {
+  return Value::Map{{"k", k}, {"stamp", mod_revision}};
 }
-Value put(const std::string& k, const Value& v, std::uint64_t tenancy = 0) {
+Value put(const std::string& k, const Value& v, std::uint64_t lease_id = 0) {
   Value::Map m{{"put", k}, {"value", v}};
-  if (tenancy != 0) m.emplace_back("tenancy", tenancy);
+  if (lease_id != 0) m.emplace_back("tenancy", lease_id);
   return m;
 }
 Value erase(const std::string& k) {
@@ -100,7 +100,7 @@
 
 RC_GTEST_PROP(StateService, TheDurableOneAnswersLikeTheSimulatedOneAndOutlivesAnyEnd, ()) {
   Folder folder;
-  Service simulated(std::make_unique<MemoryKeep>());
+  Service simulated(std::make_unique<MemoryStorage>());
   auto durable = std::make_unique<Service>(open_sqlite(folder.sub("db")));
   std::uint64_t holds = 0;
   const int steps = *rc::gen::inRange(1, 40);
@@ -172,7 +172,7 @@
       status = s.ask("POST", "/multi", transaction({}, {put("k/" + std::to_string(n++), large)})).status;
     }
     EXPECT_EQ(status, 503);
-    EXPECT_NE(s.state.trouble().find("full"), std::string::npos) << s.state.trouble();
+    EXPECT_NE(s.state.storage_error().find("full"), std::string::npos) << s.state.storage_error();
     EXPECT_EQ(picture(s), answered);
     EXPECT_EQ(s.ask("GET", "/store/k/0").status, 200);
   }
@@ -214,7 +214,7 @@
       if (!bad.empty()) {
         EXPECT_EQ(picture(s), good) << "byte " << at;
       }
-    } catch (const KeepDamaged& e) {
+    } catch (const StorageDamaged& e) {
       ++refused;
       EXPECT_NE(std::string(e.what()).find("state.db"), std::string::npos) << e.what();
     }
@@ -226,11 +226,11 @@
   Folder folder;
   { Service before(open_sqlite(folder.sub("db"))); }
   Service first(open_sqlite(folder.sub("db")));
-  EXPECT_THROW(Service(open_sqlite(folder.sub("db"))), KeepDamaged);
+  EXPECT_THROW(Service(open_sqlite(folder.sub("db"))), StorageDamaged);
 }
 
 TEST(StateService, HoldsEndOnTimeWithTheirKeysAndHaveTheirFullTimeAfterAnOutage) {
-  Service s(std::make_unique<MemoryKeep>());
+  Service s(std::make_unique<MemoryStorage>());
   const auto id = decode(s.ask("POST", "/holds", life(2000)).body).value()["tenancy"].count().value();
   ASSERT_EQ(s.ask("POST", "/multi", transaction({}, {put("leader", 1, id), put("other", 2)})).status, 200);
   s.wires.run(from_seconds(1.5));
@@ -252,7 +252,7 @@
 }
 
 TEST(StateService, FollowTellsAllChangesAndSaysWhenSomeAreGone) {
-  Service s(std::make_unique<MemoryKeep>());
+  Service s(std::make_unique<MemoryStorage>());
   for (std::uint32_t n = 0; n < 10100; ++n)
     s.ask("POST", "/multi", transaction({}, {put("c/" + std::to_string(n % 7), n)}));
   EXPECT_EQ(s.ask("GET", "/follow?starts=c/&from=50").status, 410);
@@ -264,7 +264,7 @@
 }
 
 TEST(StateService, KeepsToItsLimits) {
-  Service s(std::make_unique<MemoryKeep>(), {10, 5, 1, 4});
+  Service s(std::make_unique<MemoryStorage>(), {10, 5, 1, 4});
   EXPECT_EQ(s.ask("POST", "/multi", transaction({}, {put("a", std::string(2000, 'x'))})).status, 400);
   EXPECT_EQ(s.ask("POST", "/multi",
                   transaction({}, {put("a", 1), put("b", 1), put("c", 1), put("d", 1), put("e", 1)}))
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -12,11 +12,11 @@
 using namespace wrenusher::base;
 using wrenusher::lab::World;
 using wrenusher::settings::Settings;
-using wrenusher::store::Change;
-using wrenusher::store::Commit;
-using wrenusher::store::FollowReply;
-using wrenusher::store::Read;
-using wrenusher::store::Store;
+using wrenusher::store::CommitReply;
+using wrenusher::store::KvClient;
+using wrenusher::store::Mutation;
+using wrenusher::store::ReadReply;
+using wrenusher::store::WatchReply;
 
 /// A node alone with a state service that answers 200 to everything, at once.
 struct StoreByHand {
@@ -27,13 +27,13 @@
     return s;
   }();
   ByHand rt;
-  Store store{rt, settings};
+  KvClient store{rt, settings};
   int reads = 0;    ///< that reached the service
   int commits = 0;  ///< likewise
 
   void pass(Micros time) {
-    for (Micros t{}; t < time; t += millis(10)) {
-      rt.pass(millis(10));
+    for (Micros t{}; t < time; t += from_millis(10)) {
+      rt.pass(from_millis(10));
       answer();
     }
   }
@@ -46,14 +46,14 @@
       }
     }
   }
-  void change(Store::Urgent urgent, int puts, std::function<void(Commit)> done) {
-    std::vector<Change> changes;
+  void change(KvClient::RequestClass urgent, int puts, std::function<void(CommitReply)> done) {
+    std::vector<Mutation> changes;
     for (int i = 0; i < puts; ++i) changes.push_back({"k" + std::to_string(i), Value(1), 0});
     store.commit({}, changes, urgent, std::move(done));
   }
   /// Uses up what a second's rest has left of the changes' pace.
   void use_up_changes() {
-    change(Store::Urgent::hold, 10, [](const Commit&) {});
+    change(KvClient::RequestClass::lease, 10, [](const CommitReply&) {});
     answer();
   }
 };
@@ -62,12 +62,13 @@
 TEST(StorePace, QuestionsDoNotWaitBehindChanges) {
   StoreByHand s;
   s.use_up_changes();
-  for (int i = 0; i < 20; ++i) s.change(Store::Urgent::user, 1, [](const Commit&) {});
+  for (int i = 0; i < 20; ++i) s.change(KvClient::RequestClass::user, 1, [](const CommitReply&) {});
   int answered = 0;
   for (int i = 0; i < 30; ++i) {
-    s.store.get("x", Store::Urgent::user, [&](const Read& r) { answered += r.result == Read::Result::ok; });
+    s.store.get("x", KvClient::RequestClass::user,
+                [&](const ReadReply& r) { answered += r.result == ReadReply::Result::ok; });
   }
-  s.pass(millis(200));
+  s.pass(from_millis(200));
   EXPECT_EQ(answered, 30);
   EXPECT_LE(s.commits, 4);
   s.pass(from_seconds(3));
@@ -79,14 +80,15 @@
   int committed = 0;
   for (int second = 0; second < 5; ++second) {
     for (int i = 0; i < 100; ++i) {
-      for (int k = 0; k < 3; ++k) s.store.get("x", Store::Urgent::user, [](const Read&) {});
+      for (int k = 0; k < 3; ++k) s.store.get("x", KvClient::RequestClass::user, [](const ReadReply&) {});
       if (i % 10 == 0) {
-        for (const auto urgent : {Store::Urgent::user, Store::Urgent::schedule}) {
+        for (const auto urgent : {KvClient::RequestClass::user, KvClient::RequestClass::scheduling}) {
           if (i % 20 == 0)
-            s.change(urgent, 1, [&](const Commit& c) { committed += c.result == Commit::Result::committed; });
+            s.change(urgent, 1,
+                     [&](const CommitReply& c) { committed += c.result == CommitReply::Result::committed; });
         }
       }
-      s.pass(millis(10));
+      s.pass(from_millis(10));
     }
   }
   EXPECT_GE(committed, 45);  // 10 a second were asked for, and there is pace for 9.5
@@ -98,10 +100,11 @@
   int users = 0;
   int scheduled = 0;
   for (int i = 0; i < 200; ++i) {
-    s.change(Store::Urgent::user, 1,
-             [&](const Commit& c) { users += c.result == Commit::Result::committed; });
-    if (i % 10 == 0) s.change(Store::Urgent::schedule, 5, [&](const Commit&) { ++scheduled; });
-    s.pass(millis(100));
+    s.change(KvClient::RequestClass::user, 1,
+             [&](const CommitReply& c) { users += c.result == CommitReply::Result::committed; });
+    if (i % 10 == 0)
+      s.change(KvClient::RequestClass::scheduling, 5, [&](const CommitReply&) { ++scheduled; });
+    s.pass(from_millis(100));
   }
   // 9.5 a second for 20 s: five for scheduling, one for a user, and so on.
   EXPECT_GE(scheduled, 18);
@@ -115,14 +118,14 @@
   int committed = 0;
   Instant last{};
   for (int i = 0; i < 60; ++i) {
-    s.change(Store::Urgent::user, 1, [&](const Commit& c) {
-      if (c.result == Commit::Result::committed) {
+    s.change(KvClient::RequestClass::user, 1, [&](const CommitReply& c) {
+      if (c.result == CommitReply::Result::committed) {
         ++committed;
         last = s.rt.at;
         return;
       }
-      EXPECT_TRUE(c.crowded);
-      EXPECT_EQ(c.result, Commit::Result::refused);
+      EXPECT_TRUE(c.queue_full);
+      EXPECT_EQ(c.result, CommitReply::Result::refused);
       ++refused;
     });
   }
@@ -139,8 +142,8 @@
   int answered = 0;
   int failed = 0;
   for (int i = 0; i < 400; ++i) {
-    s.store.follow("job/", 3, Micros{0}, Store::Urgent::user, [&](const FollowReply& f) {
-      ++(f.result == FollowReply::Result::failed ? failed : answered);
+    s.store.watch("job/", 3, Micros{0}, KvClient::RequestClass::user, [&](const WatchReply& f) {
+      ++(f.result == WatchReply::Result::failed ? failed : answered);
     });
   }
   s.pass(from_seconds(4));
@@ -150,12 +153,12 @@
 
 TEST(StorePace, SparesNothingWhileAnythingWaits) {
   StoreByHand s;
-  EXPECT_TRUE(s.store.requests_to_spare());
+  EXPECT_TRUE(s.store.has_spare_requests());
   s.use_up_changes();
-  s.change(Store::Urgent::user, 1, [](const Commit&) {});
-  EXPECT_FALSE(s.store.requests_to_spare());
+  s.change(KvClient::RequestClass::user, 1, [](const CommitReply&) {});
+  EXPECT_FALSE(s.store.has_spare_requests());
   s.pass(from_seconds(2));
-  EXPECT_TRUE(s.store.requests_to_spare());
+  EXPECT_TRUE(s.store.has_spare_requests());
 }
 
 }  // namespace
