--- a/tests/takeover_test.cpp
+++ b/tests/takeover_test.cpp
@@ -18,7 +18,7 @@
 /// Runs until the condition holds; the time that took, or the most.
 Micros until(World& w, Micros most, const std::function<bool()>& holds) {
   const Instant from = w.now();
-  while (!holds() && w.now() - from < most) w.run(millis(5));
+  while (!holds() && w.now() - from < most) w.run(from_millis(5));
   return w.now() - from;
 }
 
@@ -26,19 +26,19 @@
 void load(World& w, double last_s) {
   for (int i = 0; i * 3 < last_s; ++i) {
     JobSpec s = World::job(i, 2 + static_cast<std::uint32_t>(w.pick(8)), 4, w.uniform(5, 20));
-    if (i % 4 == 3) s.needs.cores = to_amount(16);
-    if (i % 5 == 4) s.snapshot_every = from_seconds(5), s.snapshot = from_seconds(2);
+    if (i % 4 == 3) s.resources.cores = to_amount(16);
+    if (i % 5 == 4) s.checkpoint_interval = from_seconds(5), s.checkpoint_time = from_seconds(2);
     w.at(from_seconds(3 * i), [&w, s] { w.submit(s); });
   }
   JobSpec gang = World::job(900, 4, 8, 20);
-  gang.shape = Shape::gang;
-  gang.same_place = true;
+  gang.type = JobType::gang;
+  gang.single_zone = true;
   w.at(from_seconds(30), [&w, gang] { w.submit(gang); });
   JobSpec service = World::job(901, 3, 2, 0);
-  service.shape = Shape::daemon;
-  service.scatter = true;
+  service.type = JobType::service;
+  service.spread_zones = true;
   w.at(from_seconds(5), [&w, service] { w.submit(service); });
-  w.at(from_seconds(last_s + 60), [&w, service] { w.withdraw(service.ref); });
+  w.at(from_seconds(last_s + 60), [&w, service] { w.cancel(service.job_id); });
 }
 
 /// Something that goes wrong around a takeover; `leader` is the one that leads when it begins.
@@ -61,7 +61,7 @@
     if (w.terms() > now) {
       f();
     } else if (const auto again = weak.lock()) {
-      w.at(millis(5), [again] { (*again)(); });
+      w.at(from_millis(5), [again] { (*again)(); });
     }
   };
   (*look)();
@@ -74,20 +74,20 @@
   return {
       {"a commit under way of which nobody knows",
        [](World& w, int l) {
-         w.cut_one_way("state", name_of(l), Cut::reset);
-         w.at(millis(400), [&w, l] { end(w, l); });
+         w.cut_one_way("state", name_of(l), LinkCut::reset);
+         w.at(from_millis(400), [&w, l] { end(w, l); });
          heal_after(w, 20);
        }},
       {"what a dead leader had sent to the state service comes late",
        [](World& w, int l) {
-         w.cut_one_way(name_of(l), "state", Cut::hold);
+         w.cut_one_way(name_of(l), "state", LinkCut::hold);
          w.at(from_seconds(1), [&w, l] { end(w, l); });
          heal_after(w, 9);
        }},
       {"two takeovers in a row, the second within the first's check",
        [](World& w, int l) {
          in_next_term(w, [&w] {
-           w.at(millis(10), [&w] {
+           w.at(from_millis(10), [&w] {
              for (int i = 0; i < 3; ++i)
                if (w.leader() == i) end(w, i);
            });
@@ -101,34 +101,34 @@
        }},
       {"a standby is cut off from the leader alone",
        [](World& w, int l) {
-         w.cut(name_of(l), name_of(other(l)), Cut::hold);
+         w.cut(name_of(l), name_of(other(l)), LinkCut::hold);
          w.at(from_seconds(8), [&w, l] { end(w, l); });
          heal_after(w, 30);
        }},
       {"a standby does not hear the leader, which hears it",
        [](World& w, int l) {
-         w.cut_one_way(name_of(l), name_of(other(l)), Cut::reset);
+         w.cut_one_way(name_of(l), name_of(other(l)), LinkCut::reset);
          w.at(from_seconds(8), [&w, l] { end(w, l); });
          heal_after(w, 30);
        }},
       {"the leader does not hear a standby",
        [](World& w, int l) {
-         w.cut_one_way(name_of(other(l)), name_of(l), Cut::hold);
+         w.cut_one_way(name_of(other(l)), name_of(l), LinkCut::hold);
          w.at(from_seconds(8), [&w, l] { end(w, l); });
          heal_after(w, 30);
        }},
       {"a standby is cut off from the state service, and hears no answers of it",
        [](World& w, int l) {
-         w.cut(name_of(other(l)), "state", Cut::hold);
-         w.cut_one_way("state", name_of(other(l, 2)), Cut::hold);
+         w.cut(name_of(other(l)), "state", LinkCut::hold);
+         w.cut_one_way("state", name_of(other(l, 2)), LinkCut::hold);
          w.at(from_seconds(5), [&w, l] { end(w, l); });
          heal_after(w, 12);
        }},
       {"the standbys are cut off from the workers",
        [](World& w, int l) {
          for (const std::string& h : w.hosts()) {
-           w.cut(name_of(other(l)), h, Cut::hold);
-           w.cut_one_way(name_of(other(l, 2)), h, Cut::reset);
+           w.cut(name_of(other(l)), h, LinkCut::hold);
+           w.cut_one_way(name_of(other(l, 2)), h, LinkCut::reset);
          }
          w.at(from_seconds(2), [&w, l] { end(w, l); });
          heal_after(w, 20);
@@ -149,7 +149,7 @@
        }},
       {"the state service is slow during the check",
        [](World& w, int l) {
-         w.state_slow(millis(600));
+         w.state_slow(from_millis(600));
          w.at(from_seconds(15), [&w] { w.state_slow(Micros{0}); });
          end(w, l);
        }},
@@ -170,7 +170,7 @@
        }},
       {"all begin anew one after the other while a zone is cut off",
        [](World& w, int) {
-         w.cut_zone("b", Cut::hold);
+         w.cut_zone("b", LinkCut::hold);
          heal_after(w, 25);
          for (int i = 0; i < 3; ++i) w.at(from_seconds(6 * i), [&w, i] { w.crash(i, from_seconds(3)); });
        }},
@@ -181,7 +181,7 @@
        }},
       {"machines hang that the hints call well",
        [](World& w, int l) {
-         w.at(millis(300), [&w] {
+         w.at(from_millis(300), [&w] {
            for (const std::string& h : w.hosts()) {
              if (w.pick(2) == 0) w.hang(h, from_seconds(w.uniform(3, 25)));
            }
@@ -190,7 +190,7 @@
        }},
       {"machines come up that only the dead leader knew of",
        [](World& w, int l) {
-         for (int i = 1; i < 3; ++i) w.cut(name_of(l), name_of(other(l, i)), Cut::reset);
+         for (int i = 1; i < 3; ++i) w.cut(name_of(l), name_of(other(l, i)), LinkCut::reset);
          for (int i = 500; i < 512; ++i) w.submit(World::job(i, 6, 8, 10));
          w.at(from_seconds(2), [&w, l] { end(w, l); });
          heal_after(w, 20);
@@ -199,7 +199,7 @@
        [](World& w, int l) {
          end(w, l);
          in_next_term(w, [&w] {
-           w.at(millis(700), [&w] {
+           w.at(from_millis(700), [&w] {
              for (int i = 0; i < 3; ++i)
                if (w.leader() == i) w.stall(i, from_seconds(6));
            });
@@ -209,9 +209,9 @@
        [](World& w, int l) {
          in_next_term(w, [&w] {
            for (int k = 0; k < 8; ++k) {
-             w.at(millis(400 * k), [&w] {
+             w.at(from_millis(400 * k), [&w] {
                for (int i = 0; i < 3; ++i)
-                 if (w.leader() == i) w.stall(i, millis(300));
+                 if (w.leader() == i) w.stall(i, from_millis(300));
              });
            }
          });
@@ -221,7 +221,7 @@
        [](World& w, int l) {
          end(w, l);
          for (int i = 0; i < 20; i += 3)
-           w.at(millis(200 * i), [&w, i] { w.withdraw(World::job(i, 1, 1, 1).ref); });
+           w.at(from_millis(200 * i), [&w, i] { w.cancel(World::job(i, 1, 1, 1).job_id); });
        }},
   };
 }
@@ -234,7 +234,7 @@
   s.types[0].ordinary = 12;
   s.machines = 12;
   s.settings.tunables.idle_return = from_seconds(3600);
-  s.settings.tunables.standby = standby;
+  s.settings.tunables.warm_standby = standby;
   return s;
 }
 
@@ -249,11 +249,11 @@
   w.run(from_seconds(15));
   // Those that come first by name are kept busy, so that the image comes to others.
   JobSpec filler = World::job(5, 8, 16, 40);
-  filler.bundle = "zero";
+  filler.image = "zero";
   w.submit(filler);
   w.run(from_seconds(8));
   JobSpec first = World::job(1, 12, 4, 10);
-  first.bundle = "one";
+  first.image = "one";
   first.image_gb = 12;
   w.submit(first);
   w.run(from_seconds(80));
@@ -262,12 +262,12 @@
   w.crash(leader, from_seconds(60));
   until(w, from_seconds(15), [&] { return w.leader() >= 0; });
   w.run(from_seconds(4));
-  w.machines().on_order = [&](const std::string&, std::uint32_t, std::uint64_t, bool has_image) {
+  w.machines().on_command = [&](const std::string&, std::uint32_t, std::uint64_t, bool has_image) {
     ++seen.all;
     seen.had_image += has_image ? 1 : 0;
   };
   JobSpec second = World::job(3, 6, 4, 10);
-  second.bundle = "one";
+  second.image = "one";
   second.image_gb = 12;
   w.submit(second);
   w.run(from_seconds(30));
@@ -322,19 +322,19 @@
     std::optional<Instant> ordered;
     const Instant ended = w.now();
     w.crash(leader, from_seconds(40));
-    const Micros hold = World::small_site().tunables.hold_life;
-    EXPECT_LE(until(w, from_seconds(15), [&] { return w.leader() >= 0; }), hold + millis(250));
-    w.machines().on_order = [&](const std::string&, std::uint32_t, std::uint64_t, bool) {
+    const Micros hold = World::small_site().tunables.leader_lease;
+    EXPECT_LE(until(w, from_seconds(15), [&] { return w.leader() >= 0; }), hold + from_millis(250));
+    w.machines().on_command = [&](const std::string&, std::uint32_t, std::uint64_t, bool) {
       if (!ordered) ordered = w.now();
     };
     for (int i = 600; i < 604; ++i) w.submit(World::job(i, 4, 1, 5));
     w.run(from_seconds(8));
     ASSERT_TRUE(ordered);
-    EXPECT_LE(*ordered - ended, hold + millis(1500)) << "seed " << seed;
+    EXPECT_LE(*ordered - ended, hold + from_millis(1500)) << "seed " << seed;
     w.run(from_seconds(20));
-    ASSERT_FALSE(w.takeovers().empty());
-    const auto& parts = w.takeovers().back().parts;
-    EXPECT_TRUE(parts.warm);
+    ASSERT_FALSE(w.failovers().empty());
+    const auto& parts = w.failovers().back().parts;
+    EXPECT_TRUE(parts.from_replica);
     EXPECT_LE(parts.last_machine, from_seconds(2.5)) << "seed " << seed;
     EXPECT_TRUE(w.checker.broken().empty()) << notes(w);
   }
@@ -354,9 +354,9 @@
   w.run(from_seconds(60));
   const int leader = w.leader();
   ASSERT_GE(leader, 0);
-  for (const std::string& host : w.hosts()) w.cut(name_of(leader), host, Cut::hold);
+  for (const std::string& host : w.hosts()) w.cut(name_of(leader), host, LinkCut::hold);
   until(w, from_seconds(30), [&] { return w.leader() != leader; });
-  EXPECT_LE(until(w, from_seconds(10), [&] { return w.leader() >= 0; }), millis(400));
+  EXPECT_LE(until(w, from_seconds(10), [&] { return w.leader() >= 0; }), from_millis(400));
   EXPECT_NE(w.leader(), leader);
   EXPECT_TRUE(w.checker.broken().empty()) << notes(w);
 }
@@ -368,7 +368,7 @@
   const int leader = w.leader();
   ASSERT_GE(leader, 0);
   // It moves for a tenth of a second in each second: enough to keep its hold, and to be slow at everything.
-  for (int k = 0; k < 25; ++k) w.at(from_seconds(k), [&w, leader] { w.stall(leader, millis(900)); });
+  for (int k = 0; k < 25; ++k) w.at(from_seconds(k), [&w, leader] { w.stall(leader, from_millis(900)); });
   EXPECT_LE(until(w, from_seconds(25), [&] { return w.leader() >= 0 && w.leader() != leader; }),
             from_seconds(14));
   EXPECT_NE(w.leader(), leader);
@@ -421,7 +421,7 @@
   EXPECT_LE(until(w, from_seconds(15), [&] { return w.leader() >= 0; }), from_seconds(1.6));
   EXPECT_NE(w.leader(), leader);
   w.run(from_seconds(30));
-  EXPECT_TRUE(w.takeovers().back().parts.warm);
+  EXPECT_TRUE(w.failovers().back().parts.from_replica);
   EXPECT_TRUE(w.checker.broken().empty()) << notes(w);
 }
 
@@ -456,16 +456,17 @@
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
     World w(60 + seed);
     JobSpec service = World::job(901, 6, 4, 0);
-    service.shape = Shape::daemon;
-    service.urgency = Urgency::prod;
+    service.type = JobType::service;
+    service.priority = Priority::prod;
     w.submit(service);
     w.run(from_seconds(30));
     for (int i = 0; i < 30; ++i) w.submit(World::job(i, 8, 4, 25));
     w.run(from_seconds(15));
     const auto hosts = w.hosts();
     const auto of = [&](const std::string& host) {
-      const auto units = w.units_on(host);
-      return std::count_if(units.begin(), units.end(), [&](const auto& u) { return u.first == service.ref; });
+      const auto units = w.tasks_on(host);
+      return std::count_if(units.begin(), units.end(),
+                           [&](const auto& u) { return u.first == service.job_id; });
     };
     const auto with =
         std::find_if(hosts.begin(), hosts.end(), [&](const std::string& h) { return of(h) > 0; });
@@ -475,8 +476,8 @@
     ASSERT_GE(leader, 0);
     w.die(*with);
     end(w, leader);
-    w.machines().on_order = [&](const std::string& ref, std::uint32_t, std::uint64_t, bool) {
-      if (ref == service.ref) --lost;
+    w.machines().on_command = [&](const std::string& job_id, std::uint32_t, std::uint64_t, bool) {
+      if (job_id == service.job_id) --lost;
     };
     // The hold, the machine's silence, the cloud's word that it is gone: before that nothing of it may start.
     w.run(from_seconds(16));
@@ -502,7 +503,7 @@
 
 TEST(Takeover, SwitchedOffItReadsTheRecordsAsBefore) {
   Settings s = World::small_site();
-  s.tunables.standby = false;
+  s.tunables.warm_standby = false;
   World w(41, s);
   load(w, 60);
   w.run(from_seconds(50));
@@ -511,7 +512,7 @@
   for (int i = 1; i < 3; ++i) EXPECT_EQ(w.ready(other(leader, i)), Readiness::cold);
   end(w, leader);
   w.run(from_seconds(400));
-  EXPECT_FALSE(w.takeovers().back().parts.warm);
+  EXPECT_FALSE(w.failovers().back().parts.from_replica);
   EXPECT_TRUE(w.checker.broken().empty()) << notes(w);
   EXPECT_EQ(w.live(), 0U);
 }
@@ -526,34 +527,35 @@
   std::map<std::uint64_t, std::multiset<std::uint32_t>> orders;
   explicit GangDay(std::uint64_t seed) : w(seed, site()) {
     gang = World::job(1, 4, 16, 30);
-    gang.shape = Shape::gang;
-    gang.same_place = true;
-    gang.standby = false;
+    gang.type = JobType::gang;
+    gang.single_zone = true;
+    gang.spot_allowed = false;
     gang.image_gb = 20;
-    gang.snapshot_every = from_seconds(5);
-    gang.snapshot = from_seconds(2);
-    w.machines().on_order = [this](const std::string& ref, std::uint32_t task, std::uint64_t attempt, bool) {
-      if (ref == gang.ref) orders[attempt].insert(task);
+    gang.checkpoint_interval = from_seconds(5);
+    gang.checkpoint_time = from_seconds(2);
+    w.machines().on_command = [this](const std::string& job_id, std::uint32_t task, std::uint64_t attempt,
+                                     bool) {
+      if (job_id == gang.job_id) orders[attempt].insert(task);
     };
     w.run(from_seconds(15));
     w.submit(gang);
   }
   static Site site() {
     Site s = steady_site(true);
-    s.settings.gang_wait = from_seconds(60);
+    s.settings.gang_start_timeout = from_seconds(60);
     return s;
   }
   /// A machine on which a task of the gang is, or is to be.
   std::string member() const {
     for (const std::string& h : w.hosts()) {
-      if (!w.units_on(h).empty()) return h;
+      if (!w.tasks_on(h).empty()) return h;
     }
     return "";
   }
   void finish() {
     w.run(from_seconds(300));
     EXPECT_TRUE(w.checker.broken().empty()) << notes(w);
-    EXPECT_EQ(w.told(gang.ref), "done");
+    EXPECT_EQ(w.told(gang.job_id), "done");
   }
 };
 
@@ -594,17 +596,17 @@
   // The leader ends while its tasks save, and before they have left.
   for (const std::int64_t after : {100, 600, 1500, 3000}) {
     GangDay d(5);
-    d.gang.standby = true;
+    d.gang.spot_allowed = true;
     d.w.run(from_seconds(45));
     ASSERT_EQ(d.orders.size(), 1U);
     JobSpec service = World::job(51, 8, 16, 0);
-    service.shape = Shape::daemon;
-    service.urgency = Urgency::prod;
-    service.standby = false;
+    service.type = JobType::service;
+    service.priority = Priority::prod;
+    service.spot_allowed = false;
     d.w.submit(service);
-    d.w.run(millis(after));
+    d.w.run(from_millis(after));
     if (d.w.leader() >= 0) end(d.w, d.w.leader());
-    d.w.at(from_seconds(100), [&] { d.w.withdraw(service.ref); });
+    d.w.at(from_seconds(100), [&] { d.w.cancel(service.job_id); });
     d.finish();
   }
 }
--- a/tests/topology_test.cpp
+++ b/tests/topology_test.cpp
@@ -14,7 +14,7 @@
 using namespace wrenusher::base;
 using namespace wrenusher::protocol;
 using namespace wrenusher::topology;
-using wrenusher::fields::FieldError;
+using wrenusher::fields::ConfigError;
 
 namespace {
 
@@ -23,7 +23,7 @@
 std::string refusal(const std::string& yaml) {
   try {
     Topology::parse(yaml, "t.yaml");
-  } catch (const FieldError& e) {
+  } catch (const ConfigError& e) {
     return e.what();
   }
   return "";
@@ -82,7 +82,7 @@
   EXPECT_EQ(rack("x-1", "10.9.9.9"), "s > r2");
   EXPECT_EQ(rack("m", "10.0.0.8"), "no known domain");
   EXPECT_EQ(t->find("x-1", "", "", "").devices, (std::map<std::string, std::uint32_t>{{"signer", 2}}));
-  EXPECT_EQ(t->find("m", "10.0.0.8", "", "").at(0), kNowhere);
+  EXPECT_EQ(t->find("m", "10.0.0.8", "", "").domain_at(0), kNowhere);
 }
 
 TEST(Topology, PatternsMeetWhereSomeNameMatchesBoth) {
@@ -110,7 +110,7 @@
         yaml += std::string(i > 0 ? ", " : "") + "{addr: 10.0.0." + std::to_string(at) + "/" +
                 std::to_string(bits) + "}";
         Pattern p;
-        p.addr = {0x0a000000U + at, 0x0a000000U + at + (1U << (32U - static_cast<unsigned>(bits))) - 1U};
+        p.addresses = {0x0a000000U + at, 0x0a000000U + at + (1U << (32U - static_cast<unsigned>(bits))) - 1U};
         all.emplace_back("r" + std::to_string(r), p);
       }
       yaml += "]}\n";
@@ -129,74 +129,75 @@
 TEST(Topology, SaysWhatCanNeverHold) {
   const auto t = two_racks();
   const Catalog catalog{{"small", {"small", {to_amount(8), 0, to_amount(8)}, 0, 1, 1, 1, {}, {"a"}}}};
-  const auto why = [&](const Layout& layout, Shape shape, std::uint32_t units, double cores) {
+  const auto why = [&](const Layout& layout, JobType shape, std::uint32_t units, double cores) {
     JobSpec s;
-    s.units = units;
-    s.shape = shape;
-    s.needs = {to_amount(cores), 0, to_amount(1)};
+    s.task_count = units;
+    s.type = shape;
+    s.resources = {to_amount(cores), 0, to_amount(1)};
     s.layout = layout;
     const auto f = t->never_holds(s, catalog);
     return f ? f->field + ": " + f->what : "";
   };
   const Layout one_each{Layout::Spread{"rack", 1, 0, true}, {}, {}};
-  EXPECT_EQ(why(one_each, Shape::daemon, 3, 1),
+  EXPECT_EQ(why(one_each, JobType::service, 3, 1),
             "layout.spread: 3 tasks, at most 1 in one rack, need more than the 2 there are");
-  EXPECT_EQ(why(one_each, Shape::daemon, 2, 1), "");
-  EXPECT_EQ(why(one_each, Shape::sweep, 30, 1), "");  // an array takes turns
-  EXPECT_EQ(why({Layout::Spread{"rack", 1, 0, false}, {}, {}}, Shape::daemon, 3, 1), "");
-  EXPECT_EQ(why({Layout::Spread{"row", 1, 0, false}, {}, {}}, Shape::sweep, 1, 1),
+  EXPECT_EQ(why(one_each, JobType::service, 2, 1), "");
+  EXPECT_EQ(why(one_each, JobType::array, 30, 1), "");  // an array takes turns
+  EXPECT_EQ(why({Layout::Spread{"rack", 1, 0, false}, {}, {}}, JobType::service, 3, 1), "");
+  EXPECT_EQ(why({Layout::Spread{"row", 1, 0, false}, {}, {}}, JobType::array, 1, 1),
             "layout.spread.level: there is no level 'row' in the topology");
   // Rack 1 has four addresses; rack 2 a name with *, so no bound.
   const auto four =
       Topology::parse(kHead + "  r1: {level: rack, in: s, machines: [{addr: 10.0.0.0/30}]}\n", "t.yaml");
   JobSpec gang;
-  gang.shape = Shape::gang;
-  gang.units = 9;
-  gang.needs = {to_amount(4), 0, to_amount(1)};
-  gang.layout = Layout{{}, Layout::Together{"rack", true}, {}};
+  gang.type = JobType::gang;
+  gang.task_count = 9;
+  gang.resources = {to_amount(4), 0, to_amount(1)};
+  gang.layout = Layout{{}, Layout::Colocation{"rack", true}, {}};
   EXPECT_EQ(four->never_holds(gang, catalog)->what,
             "9 of its tasks must be in one rack, and the largest holds 8");
-  gang.units = 8;
+  gang.task_count = 8;
   EXPECT_FALSE(four->never_holds(gang, catalog));
   gang.layout->spread = Layout::Spread{"rack", 0, 0.5, true};
   EXPECT_EQ(four->never_holds(gang, catalog)->field, "layout.spread");
-  EXPECT_EQ(why({{}, {}, {{"tape", 1}}}, Shape::sweep, 1, 1),
+  EXPECT_EQ(why({{}, {}, {{"tape", 1}}}, JobType::array, 1, 1),
             "layout.devices: there is no device 'tape' in the topology");
-  EXPECT_EQ(why({{}, {}, {{"signer", 3}}}, Shape::sweep, 1, 1),
+  EXPECT_EQ(why({{}, {}, {{"signer", 3}}}, JobType::array, 1, 1),
             "layout.devices: no machine has 3 of 'signer'");
-  EXPECT_EQ(why({{}, {}, {{"signer", 1}}}, Shape::daemon, 3, 1),
+  EXPECT_EQ(why({{}, {}, {{"signer", 1}}}, JobType::service, 3, 1),
             "layout.devices: all its tasks together need more of 'signer' than there are");
   // No rented machine brings the signer, whose name is known; the range may fill.
-  EXPECT_FALSE(t->may_bring("signer", "small", "a"));
-  EXPECT_TRUE(t->may_come(t->find("m", "10.0.0.1", "", "").leaf, "small", "a"));
+  EXPECT_FALSE(t->may_gain_device("signer", "small", "a"));
+  EXPECT_TRUE(t->may_gain_machine(t->find("m", "10.0.0.1", "", "").leaf, "small", "a"));
 }
 
 TEST(Survey, TakesNewerVersionsAndKeepsWhatStandsOtherwise) {
   struct Still : Runtime {
     Instant now() const override { return {}; }
-    WallTime wall() const override { return {}; }
+    WallTime wall_time() const override { return {}; }
     std::mt19937_64& random() override { return random_; }
     void post(std::function<void()> f) override { f(); }
     void after(Micros, std::function<void()> f) override { next = std::move(f); }
-    void fetch(const Endpoint&, Request, Micros, Done) override {}
+    void call(const Endpoint&, Request, Micros, CallHandler) override {}
     std::function<void()> next;
     std::mt19937_64 random_;
-  } rt;
+  } runtime;
   std::optional<std::string> file = "version: 2\nlevels: [rack]\ndomains: {}\n";
-  wrenusher::survey::Survey s(rt, "t.yaml", [&](const std::string&) { return file; });
+  wrenusher::survey::TopologyLoader s(runtime, "t.yaml", [&](const std::string&) { return file; });
   std::vector<std::uint64_t> read;
-  s.read.connect(
-      rt, [&](const wrenusher::mail::TopologyRead& t) { read.push_back(t.topology->edition().version); });
+  s.topology_loaded.connect(runtime, [&](const wrenusher::mail::TopologyLoaded& t) {
+    read.push_back(t.topology->version().version);
+  });
   s.start();
   for (const char* text :
        {"version: 1\nlevels: [rack]\ndomains: {}\n", "version: 2\nlevels: [row]\ndomains: {}\n",
         "version: 3\nlevels: [", "version: 3\nlevels: [row]\ndomains: {}\n"}) {
     file = text;
-    auto next = std::move(rt.next);
+    auto next = std::move(runtime.next);
     next();
   }
   file.reset();
-  auto next = std::move(rt.next);
+  auto next = std::move(runtime.next);
   next();
   EXPECT_EQ(read, (std::vector<std::uint64_t>{2, 3}));
 }
@@ -213,24 +214,24 @@
                           "  r3: {level: rack, in: s2, machines: [{host: c-*}]}\n",
                       "t.yaml");
   std::vector<std::string> names{"a-1", "a-2", "a-3", "b-1", "b-2", "b-3", "c-1", "c-2", "c-3"};
-  std::vector<Place> places;
+  std::vector<MachineLocation> places;
   std::map<char, Instant> heard;
-  wrenusher::watch::Watch watch;
+  wrenusher::watch::DomainFailureDetector watch;
   Instant now{from_seconds(100)};
 
   Racks() {
     for (const std::string& n : names) places.push_back(t->find(n, "", "", ""));
-    watch.take(t);
+    watch.set_topology(t);
   }
   /// A second passes in which the racks named were heard.
   std::size_t pass(const std::string& racks) {
     now += from_seconds(1);
     for (const char r : racks) heard[r] = now;
-    std::vector<wrenusher::watch::Member> members;
+    std::vector<wrenusher::watch::DomainMember> members;
     for (std::size_t i = 0; i < names.size(); ++i)
       members.push_back({&names[i], &places[i], heard[names[i][0]]});
-    watch.look(now, from_seconds(3), members);
-    return watch.doubted().size();
+    watch.evaluate(now, from_seconds(3), members);
+    return watch.suspected().size();
   }
 };
 
@@ -241,13 +242,13 @@
   EXPECT_EQ(r.pass("abc"), 0U);
   for (int i = 0; i < 3; ++i) EXPECT_EQ(r.pass("bc"), 0U);
   EXPECT_EQ(r.pass("bc"), 3U);
-  EXPECT_TRUE(r.watch.lost(r.places[0]));
-  EXPECT_FALSE(r.watch.lost(r.places[3]));
+  EXPECT_TRUE(r.watch.is_lost(r.places[0]));
+  EXPECT_FALSE(r.watch.is_lost(r.places[3]));
   EXPECT_EQ(r.pass("abc"), 2U);  // one machine is trusted at once
   for (int i = 0; i < 4; ++i) EXPECT_EQ(r.pass("abc"), 2U);
   EXPECT_EQ(r.pass("abc"), 1U);  // two after five seconds
   for (int i = 0; i < 5; ++i) r.pass("abc");
-  EXPECT_EQ(r.watch.doubted().size(), 0U);
+  EXPECT_EQ(r.watch.suspected().size(), 0U);
   // A rack that flaps is trusted more slowly.
   for (int i = 0; i < 4; ++i) r.pass("bc");
   EXPECT_EQ(r.pass("bc"), 3U);
@@ -258,10 +259,10 @@
   Racks r;
   r.pass("abc");
   for (int i = 0; i < 4; ++i) r.pass("c");
-  EXPECT_EQ(r.watch.doubted().size(), 6U);
-  EXPECT_TRUE(r.watch.lost(r.places[0]));
+  EXPECT_EQ(r.watch.suspected().size(), 6U);
+  EXPECT_TRUE(r.watch.is_lost(r.places[0]));
   // Now the third as well: it is the listener that is cut off, and nothing new is concluded.
   for (int i = 0; i < 6; ++i) r.pass("");
-  EXPECT_EQ(r.watch.doubted().size(), 6U);
-  EXPECT_FALSE(r.watch.lost(r.places[6]));
+  EXPECT_EQ(r.watch.suspected().size(), 6U);
+  EXPECT_FALSE(r.watch.is_lost(r.places[6]));
 }
--- a/tests/world_test.cpp
+++ b/tests/world_test.cpp
@@ -19,8 +19,8 @@
 void ordinary_load(World& w, int jobs = 10) {
   for (int i = 0; i < jobs; ++i) {
     JobSpec s = World::job(i, 1 + static_cast<std::uint32_t>(w.pick(8)), 4, w.uniform(5, 30));
-    if (i % 4 == 3) s.needs.cores = to_amount(32);
-    if (i % 5 == 4) s.snapshot_every = from_seconds(5), s.snapshot = from_seconds(2);
+    if (i % 4 == 3) s.resources.cores = to_amount(32);
+    if (i % 5 == 4) s.checkpoint_interval = from_seconds(5), s.checkpoint_time = from_seconds(2);
     w.at(from_seconds(w.uniform(0, 60)), [&w, s] { w.submit(s); });
   }
 }
@@ -64,27 +64,27 @@
        }},
       {"controller_cut_hold",
        [](World& w) {
-         w.isolate("c" + std::to_string(w.pick(3)), Cut::hold);
+         w.isolate("c" + std::to_string(w.pick(3)), LinkCut::hold);
          w.at(from_seconds(25), [&w] { w.heal(); });
        }},
       {"controller_cut_reset",
        [](World& w) {
-         w.isolate("c" + std::to_string(w.pick(3)), Cut::reset);
+         w.isolate("c" + std::to_string(w.pick(3)), LinkCut::reset);
          w.at(from_seconds(25), [&w] { w.heal(); });
        }},
       {"controller_cut_but_for_the_store",
        [](World& w) {
-         w.isolate("c" + std::to_string(w.pick(3)), Cut::hold, {"state"});
+         w.isolate("c" + std::to_string(w.pick(3)), LinkCut::hold, {"state"});
          w.at(from_seconds(25), [&w] { w.heal(); });
        }},
       {"controller_cut_from_the_store",
        [](World& w) {
-         w.cut("c" + std::to_string(w.pick(3)), "state", Cut::hold);
+         w.cut("c" + std::to_string(w.pick(3)), "state", LinkCut::hold);
          w.at(from_seconds(25), [&w] { w.heal(); });
        }},
       {"zone_cut",
        [](World& w) {
-         w.cut_zone(w.pick(2) == 0 ? "a" : "b", w.pick(2) == 0 ? Cut::hold : Cut::reset);
+         w.cut_zone(w.pick(2) == 0 ? "a" : "b", w.pick(2) == 0 ? LinkCut::hold : LinkCut::reset);
          w.at(from_seconds(25), [&w] { w.heal(); });
        }},
       {"one_stands_still", [](World& w) { w.stall(w.pick(3), from_seconds(w.uniform(1, 8))); }},
@@ -165,27 +165,27 @@
   auto all = troubles();
   for (const char* what : {"controller_alone", "controller_flickers", "machine_deaf", "machine_reborn",
                            "late_copies", "question_storm", "boots_late"}) {
-    all.push_back({what, [what](World& w) { w.strike({what, {}, from_seconds(25), {}, "", 0.2}); }});
+    all.push_back({what, [what](World& w) { w.inject_fault({what, {}, from_seconds(25), {}, "", 0.2}); }});
   }
   for (std::uint64_t seed = 100; seed < 125; ++seed) {
     World w(seed);
     ordinary_load(w, 14);
     for (int i = 0; i < 14; i += 5) {
-      w.at(from_seconds(w.uniform(20, 90)), [&w, i] { w.withdraw(World::job(i, 1, 1, 1).ref); });
+      w.at(from_seconds(w.uniform(20, 90)), [&w, i] { w.cancel(World::job(i, 1, 1, 1).job_id); });
     }
     JobSpec gang = World::job(50, 5, 8, 15);
-    gang.shape = Shape::gang;
-    gang.same_place = seed % 2 == 0;
+    gang.type = JobType::gang;
+    gang.single_zone = seed % 2 == 0;
     w.at(from_seconds(15), [&w, gang] { w.submit(gang); });
     JobSpec daemon = World::job(51, 3, 4, 0);
-    daemon.shape = Shape::daemon;
-    daemon.scatter = true;
+    daemon.type = JobType::service;
+    daemon.spread_zones = true;
     w.at(from_seconds(10), [&w, daemon] { w.submit(daemon); });
     for (int i = 0; i < 5; ++i) {
       const Trouble& t = all[static_cast<std::size_t>(w.pick(static_cast<int>(all.size())))];
       w.at(from_seconds(w.uniform(20, 110)), [&w, &t] { t.strike(w); });
     }
-    w.at(from_seconds(300), [&w, daemon] { w.withdraw(daemon.ref); });
+    w.at(from_seconds(300), [&w, daemon] { w.cancel(daemon.job_id); });
     w.at(from_seconds(140), [&w] { w.checker.troubles_over(w.now()); });
     w.run(from_seconds(600));
     w.checker.judge(w.now());
@@ -222,9 +222,9 @@
   ASSERT_GT(before.size(), 6U);
   ASSERT_GE(w.leader(), 0);
   const std::string leader = "c" + std::to_string(w.leader());
-  for (const std::string& host : before) w.cut(leader, host, Cut::hold);
+  for (const std::string& host : before) w.cut(leader, host, LinkCut::hold);
   const auto leads = [&] { return "c" + std::to_string(w.leader()); };
-  for (int tick = 0; tick < 100 && (leads() == leader || w.leader() < 0); ++tick) w.run(millis(250));
+  for (int tick = 0; tick < 100 && (leads() == leader || w.leader() < 0); ++tick) w.run(from_millis(250));
   EXPECT_NE(leads(), leader);
   EXPECT_GE(w.leader(), 0);
   const auto after = w.hosts();
@@ -235,8 +235,8 @@
 
 TEST(Day, AThousandMachinesKeepTheRulesWhileControllersEnd) {
   Settings s = World::small_site();
-  s.report = from_seconds(4);
-  s.lease = from_seconds(20);
+  s.report_interval = from_seconds(4);
+  s.worker_lease = from_seconds(20);
   s.teams = {{"red", 3200, 9600, 0, 0}, {"blue", 0, 0, 0, 0}};
   World w(77, s, 80);
   for (int i = 0; i < 60; ++i) {
@@ -268,13 +268,13 @@
 TEST(Day, AJobThatFailsEverywhereDoesNotCostTheMachines) {
   World w(7);
   JobSpec bad = World::job(1, 4, 4, 10);
-  w.fails_everywhere(bad.ref);
+  w.fails_everywhere(bad.job_id);
   w.submit(bad);
   ordinary_load(w, 6);
   w.run(from_seconds(150));
   expect_kept(w);
   EXPECT_FALSE(w.hosts().empty());
-  w.withdraw(bad.ref);
+  w.cancel(bad.job_id);
   w.run(from_seconds(120));
   expect_kept(w);
   EXPECT_EQ(w.live(), 0U);
@@ -287,8 +287,8 @@
   w.submit(s);
   w.run(from_seconds(40));
   ASSERT_GT(w.checker.starts(), 0U);
-  w.withdraw(s.ref);
-  w.run(millis(400));
+  w.cancel(s.job_id);
+  w.run(from_millis(400));
   w.state_outage(true);
   w.run(from_seconds(60));
   expect_kept(w);
@@ -305,14 +305,14 @@
   World w(41, settings, 3);
   for (int i = 1; i < 30; i += 2) {
     JobSpec s = World::job(i, 6, 4, 400);
-    s.site = i < 15 ? "b" : "";
+    s.zone = i < 15 ? "b" : "";
     w.submit(s);
   }
   w.run(from_seconds(60));
   ASSERT_GE(w.hosts("b").size(), 7U);
-  w.cut_zone("b", Cut::hold);
+  w.cut_zone("b", LinkCut::hold);
   w.run(from_seconds(3));
-  for (int i = 1; i < 15; i += 2) w.withdraw(World::job(i, 1, 1, 1).ref);
+  for (int i = 1; i < 15; i += 2) w.cancel(World::job(i, 1, 1, 1).job_id);
   w.run(from_seconds(25));
   const std::size_t there = w.hosts("b").size();
   for (int i = 31; i < 50; i += 2) w.submit(World::job(i, 6, 4, 100));
@@ -346,26 +346,26 @@
   std::vector<JobSpec> gangs;
   for (int i = 1; i < 12; i += 2) {
     JobSpec g = World::job(i, 2, 30, 60);
-    g.shape = Shape::gang;
-    g.same_place = true;
-    g.standby = false;
-    g.snapshot_every = from_seconds(10);
-    g.snapshot = from_seconds(2);
+    g.type = JobType::gang;
+    g.single_zone = true;
+    g.spot_allowed = false;
+    g.checkpoint_interval = from_seconds(10);
+    g.checkpoint_time = from_seconds(2);
     gangs.push_back(g);
     w.submit(g);
   }
   w.run(from_seconds(45));
   JobSpec service = World::job(51, 4, 16, 0);
-  service.shape = Shape::daemon;
-  service.urgency = Urgency::prod;
-  service.standby = false;
-  service.flavors = {"large"};
+  service.type = JobType::service;
+  service.priority = Priority::prod;
+  service.spot_allowed = false;
+  service.machine_types = {"large"};
   w.submit(service);
   w.run(from_seconds(25));
-  EXPECT_EQ(w.told(service.ref), "running");
+  EXPECT_EQ(w.told(service.job_id), "running");
   expect_kept(w);
   w.run(from_seconds(120));
-  w.withdraw(service.ref);
+  w.cancel(service.job_id);
   w.run(from_seconds(400));
   expect_kept(w);
   EXPECT_EQ(w.live(), 0U);
@@ -424,10 +424,10 @@
   const Site site = racks_site();
   struct Day {
     const char* name;
-    std::vector<TroubleSpec> troubles;
+    std::vector<FaultSpec> troubles;
   };
   const auto at = [](const char* what, double s, double lasts, const char* whom, double share = 0) {
-    return TroubleSpec{what, from_seconds(s), from_seconds(lasts), {}, whom, share};
+    return FaultSpec{what, from_seconds(s), from_seconds(lasts), {}, whom, share};
   };
   const std::vector<Day> days = {
       {"rack", {at("domain_dies", 60, 0, "rack2")}},
@@ -442,7 +442,7 @@
   std::uint64_t seed = 900;
   for (const Day& day : days) {
     Site s = site;
-    s.troubles = day.troubles;
+    s.faults = day.troubles;
     const DayResult r = play_day(s, ++seed);
     std::string broken;
     for (const std::string& b : r.broken) broken += b + "\n";
@@ -459,22 +459,22 @@
   JobSpec spec = World::job(1, 4, 1, 10);
   spec.layout = Layout{Layout::Spread{"rack", 1, 0, true}, {}, {}};
   c.submitted(spec);
-  c.started({}, spec.ref, 0, "m-1", "small", "a", false);
+  c.started({}, spec.job_id, 0, "m-1", "small", "a", false);
   EXPECT_TRUE(c.broken().empty());
-  c.started({}, spec.ref, 1, "m-7", "small", "a", false);  // the same rack, by sixes
+  c.started({}, spec.job_id, 1, "m-7", "small", "a", false);  // the same rack, by sixes
   EXPECT_EQ(c.broken(), std::set<std::string>{"layout"});
   Checker together(site.settings, site.topology);
-  spec.layout = Layout{{}, Layout::Together{"switch", true}, {}};
+  spec.layout = Layout{{}, Layout::Colocation{"switch", true}, {}};
   together.submitted(spec);
-  together.started({}, spec.ref, 0, "m-1", "small", "a", false);
-  together.started({}, spec.ref, 1, "m-2", "small", "a", false);
+  together.started({}, spec.job_id, 0, "m-1", "small", "a", false);
+  together.started({}, spec.job_id, 1, "m-2", "small", "a", false);
   EXPECT_EQ(together.broken(), std::set<std::string>{"layout"});
   Checker devices(site.settings, site.topology);
   spec.layout = Layout{{}, {}, {{"signer", 1}}};
   devices.submitted(spec);
-  devices.started({}, spec.ref, 0, "m-7", "small", "a", false);
+  devices.started({}, spec.job_id, 0, "m-7", "small", "a", false);
   EXPECT_TRUE(devices.broken().empty());
-  devices.started({}, spec.ref, 1, "m-7", "small", "a", false);
+  devices.started({}, spec.job_id, 1, "m-7", "small", "a", false);
   EXPECT_EQ(devices.broken(), std::set<std::string>{"layout"});
 }
 
@@ -501,7 +501,7 @@
   w.run(from_seconds(8));
   for (int c = 0; c < 3; ++c) EXPECT_EQ(submit(c, 30 + c, "row"), 201) << "controller " << c;
   const auto in_force = [&] {
-    const Entry* e = w.state().find("epoch");
+    const KvEntry* e = w.kv_service().find("epoch");
     const Value::List* l = e == nullptr ? nullptr : e->value["topology"].list();
     return l == nullptr ? 0 : (*l)[0].count().value_or(0);
   };
@@ -535,7 +535,7 @@
   // left nobody to lead but for moments.
   const std::string third = "c" + std::to_string((first + 2) % 3);
   for (int i = 0; i < 60; ++i) {
-    for (const std::string& host : w.hosts()) w.cut(third, host, Cut::reset);
+    for (const std::string& host : w.hosts()) w.cut(third, host, LinkCut::reset);
     w.run(from_seconds(1));
   }
   EXPECT_EQ(w.leader(), odd);
