--- a/apps/wrenlab/main.cpp
+++ b/apps/wrenusher-testbed/main.cpp
@@ -1,4 +1,5 @@
-// wrenlab: a lab on loopback with real controllers, experiments in simulated time, and a demonstration.
+// wrenusher-testbed: a lab on loopback with real controllers, experiments in simulated time, and a
+// demonstration.
 
 #include <spdlog/spdlog.h>
 #include <unistd.h>
@@ -10,25 +11,28 @@
 #include <nlohmann/json.hpp>
 
 #include "scale_commands.hpp"
-#include "wrenusher/lab/answers.hpp"
-#include "wrenusher/lab/cell_processes.hpp"
-#include "wrenusher/lab/day.hpp"
-#include "wrenusher/lab/live_lab.hpp"
-#include "wrenusher/lab/verdict.hpp"
 #include "wrenusher/net/open_files.hpp"
+#include "wrenusher/testbed/answers.hpp"
+#include "wrenusher/testbed/cell_processes.hpp"
+#include "wrenusher/testbed/day.hpp"
+#include "wrenusher/testbed/live_testbed.hpp"
+#include "wrenusher/testbed/verdict.hpp"
 
 namespace {
 
-using namespace wrenusher::base;
-namespace lab = wrenusher::lab;
+using namespace wrenusher::time;
+using namespace wrenusher::value;
+using namespace wrenusher::runtime;
+namespace testbed = wrenusher::testbed;
 using wrenusher::net::UvRuntime;
 
 constexpr int kBadInput = 2;
 constexpr int kFailed = 1;
 constexpr int kPort = 7400;
 
-lab::Site site_of(const std::string& file) {
-  return file.empty() ? lab::parse_site(lab::small_site_yaml(), "built-in site") : lab::load_site(file);
+testbed::Site site_of(const std::string& file) {
+  return file.empty() ? testbed::parse_site(testbed::small_site_yaml(), "built-in site")
+                      : testbed::load_site(file);
 }
 
 /// Calls `f` once at the first SIGINT, SIGTERM or SIGHUP.
@@ -55,17 +59,17 @@
 
 // ---------------------------------------------------------------- up
 
-int up(const lab::TestbedOptions& options) {
-  wrenusher::net::raise_open_file_limit(lab::kTestbedSockets);
-  UvRuntime runtime(lab::kTestbedSockets, lab::kTestbedPool);
-  lab::LiveTestbed l(runtime, options);
+int up(const testbed::TestbedOptions& options) {
+  wrenusher::net::raise_open_file_limit(testbed::kTestbedSockets);
+  UvRuntime runtime(testbed::kTestbedSockets, testbed::kTestbedPool);
+  testbed::LiveTestbed l(runtime, options);
   Signals signals(runtime, [&] {
     std::cout << "stopping" << std::endl;
     l.stop([&] { runtime.stop(); });
   });
   struct Wait {
     UvRuntime* rt;
-    lab::LiveTestbed* l;
+    testbed::LiveTestbed* l;
     void operator()() const {
       if (!l->ready()) {
         rt->after(from_millis(100), *this);
@@ -77,7 +81,7 @@
                 << "  control  http://" << l->control() << "\n";
       for (int i = 0; i < l->options().controllers; ++i)
         std::cout << "  c" << i << "       http://" << l->client(i) << "  log " << l->log_of(i) << "\n";
-      std::cout << "try: wrenlab submit "
+      std::cout << "try: wrenusher-testbed submit "
                 << (l->options().site.classes.empty() ? "CLASS" : l->options().site.classes.front().name)
                 << (l->options().port == kPort ? "" : " --port " + std::to_string(l->options().port))
                 << "\nstop with Ctrl-C" << std::endl;
@@ -94,7 +98,7 @@
 /// middle.
 class Demo {
  public:
-  Demo(UvRuntime& runtime, lab::LiveTestbed& l) : runtime_(runtime), l_(l) {}
+  Demo(UvRuntime& runtime, testbed::LiveTestbed& l) : runtime_(runtime), l_(l) {}
 
   void start() {
     began_ = runtime_.now();
@@ -130,8 +134,8 @@
     for (int i = 0; i < 4; ++i) l_.submit("fixes");
     l_.submit("training");
     service_ = l_.submit("watch");
-    lab::SimulatedJob never =
-        lab::draw_job(l_.options().site, l_.options().site.classes.front(), 1, runtime_.random());
+    testbed::SimulatedJob never =
+        testbed::draw_job(l_.options().site, l_.options().site.classes.front(), 1, runtime_.random());
     never.spec.job_id = "req-1";
     never.spec.team = "nobody";
     l_.submit(never);
@@ -164,14 +168,14 @@
   }
 
   void watch() {
-    const lab::Verdict v = lab::judge(l_.users(), l_.machines(), l_.checker());
+    const testbed::Verdict v = testbed::judge(l_.users(), l_.machines(), l_.checker());
     if (v.lost > 0 && v.broken.empty() && runtime_.now() - began_ < kLong) {
       runtime_.after(from_millis(500), [this] { watch(); });
       return;
     }
     over_ = true;
     std::cout << '\n'
-              << lab::table(v) << l_.exit_count() << " controller ended, " << l_.terms()
+              << testbed::table(v) << l_.exit_count() << " controller ended, " << l_.terms()
               << " terms of leadership\n";
     finish(v.good ? 0 : kFailed);
   }
@@ -183,19 +187,19 @@
   }
 
   UvRuntime& runtime_;
-  lab::LiveTestbed& l_;
+  testbed::LiveTestbed& l_;
   Instant began_{};
   std::string service_;
   bool over_ = false;
   int result_ = kFailed;
 };
 
-int demo(lab::TestbedOptions options) {
+int demo(testbed::TestbedOptions options) {
   options.site = site_of("");
   options.data.clear();
-  wrenusher::net::raise_open_file_limit(lab::kTestbedSockets);
-  UvRuntime runtime(lab::kTestbedSockets, lab::kTestbedPool);
-  lab::LiveTestbed l(runtime, options);
+  wrenusher::net::raise_open_file_limit(testbed::kTestbedSockets);
+  UvRuntime runtime(testbed::kTestbedSockets, testbed::kTestbedPool);
+  testbed::LiveTestbed l(runtime, options);
   Demo d(runtime, l);
   bool interrupted = false;
   Signals signals(runtime, [&] {
@@ -212,15 +216,15 @@
 int ask(int port, const Request& request, const std::function<int(const Value&)>& show) {
   UvRuntime runtime(64);
   int result = kFailed;
-  const Endpoint at = lab::loopback(port + 1);
+  const Endpoint at = testbed::loopback(port + 1);
   runtime.call(at, request, from_seconds(10), [&](const CallResult& o) {
     const auto v = o.answered ? decode(o.response.body) : std::nullopt;
     if (!v) {
-      std::cerr << "wrenlab: no lab answers at " << at
-                << "; start one with 'wrenlab up', or name its --port\n";
+      std::cerr << "wrenusher-testbed: no lab answers at " << at
+                << "; start one with 'wrenusher-testbed up', or name its --port\n";
     } else if (o.response.status != 200) {
-      std::cerr << "wrenlab: " << ((*v)["error"].text() != nullptr ? *(*v)["error"].text() : "refused")
-                << '\n';
+      std::cerr << "wrenusher-testbed: "
+                << ((*v)["error"].text() != nullptr ? *(*v)["error"].text() : "refused") << '\n';
       result = kBadInput;
     } else {
       result = show(*v);
@@ -263,9 +267,9 @@
 
 // ---------------------------------------------------------------- experiments
 
-std::vector<lab::DayResult> play(const lab::Site& site, int seeds, int first) {
+std::vector<testbed::DayResult> play(const testbed::Site& site, int seeds, int first) {
   const bool bar = isatty(STDERR_FILENO) != 0;
-  std::vector<lab::DayResult> days;
+  std::vector<testbed::DayResult> days;
   for (int i = 0; i < seeds; ++i) {
     if (bar) {
       const int done = 30 * i / seeds;
@@ -273,59 +277,60 @@
                 << std::string(static_cast<std::size_t>(30 - done), ' ') << "] " << i << " of " << seeds
                 << std::flush;
     }
-    days.push_back(lab::play_day(site, static_cast<std::uint64_t>(first + i)));
+    days.push_back(testbed::play_day(site, static_cast<std::uint64_t>(first + i)));
   }
   if (bar) std::cerr << "\r\033[K";
   return days;
 }
 
 int day(const std::string& file, int seeds, int first, const std::string& json, const std::string& standby) {
-  lab::Site site = site_of(file);
+  testbed::Site site = site_of(file);
   site.settings.tunables.warm_standby = standby != "off";
-  const std::vector<lab::DayResult> days = play(site, seeds, first);
+  const std::vector<testbed::DayResult> days = play(site, seeds, first);
   if (standby == "both") {
     // The same days with and without what a standby holds ready.
-    lab::Site cold = site;
+    testbed::Site cold = site;
     cold.settings.tunables.warm_standby = false;
-    const std::vector<lab::DayResult> without = play(cold, seeds, first);
+    const std::vector<testbed::DayResult> without = play(cold, seeds, first);
     std::cout << "without a standby:\n"
-              << lab::day_table(cold, without) << "\nfrom without to with:\n"
-              << lab::comparison_table(lab::compare_days(without, days)) << "\nwith a standby:\n";
+              << testbed::day_table(cold, without) << "\nfrom without to with:\n"
+              << testbed::comparison_table(testbed::compare_days(without, days)) << "\nwith a standby:\n";
   }
   if (json == "-") {
-    std::cout << lab::day_json(site, days).dump(1) << '\n';
+    std::cout << testbed::day_json(site, days).dump(1) << '\n';
   } else if (!json.empty()) {
     std::ofstream out(json);
-    out << lab::day_json(site, days).dump(1) << '\n';
-    if (!out.flush()) throw lab::SiteError(json + ": cannot be written");
+    out << testbed::day_json(site, days).dump(1) << '\n';
+    if (!out.flush()) throw testbed::SiteError(json + ": cannot be written");
   }
-  if (json != "-") std::cout << lab::day_table(site, days);
+  if (json != "-") std::cout << testbed::day_table(site, days);
   const bool broken = std::any_of(days.begin(), days.end(), [](const auto& d) { return !d.broken.empty(); });
   return broken ? kFailed : 0;
 }
 
 int compare(const std::string& a, const std::string& b) {
-  const lab::Comparison c =
-      lab::compare_days(lab::read_days(lab::read_text(a), a), lab::read_days(lab::read_text(b), b));
-  if (c.pairs == 0) throw lab::SiteError(a + " and " + b + ": no two days have the same seed");
-  std::cout << lab::comparison_table(c);
+  const testbed::Comparison c = testbed::compare_days(testbed::read_days(testbed::read_text(a), a),
+                                                      testbed::read_days(testbed::read_text(b), b));
+  if (c.pairs == 0) throw testbed::SiteError(a + " and " + b + ": no two days have the same seed");
+  std::cout << testbed::comparison_table(c);
   return 0;
 }
 
 }  // namespace
 
 int main(int argc, char** argv) {
-  if (argc > 2 && std::string(argv[1]) == lab::kChildFlag) return lab::run_child(argv + 2);
-  if (argc == 4 && std::string(argv[1]) == lab::kCellFlag) {
+  if (argc > 2 && std::string(argv[1]) == testbed::kChildFlag) return testbed::run_child(argv + 2);
+  if (argc == 4 && std::string(argv[1]) == testbed::kCellFlag) {
     spdlog::set_level(spdlog::level::off);
-    return lab::run_cell(argv[2], argv[3]);
+    return testbed::run_cell(argv[2], argv[3]);
   }
   CLI::App app{
-      "wrenlab: a lab for wrenusher. Starts everything that the service talks to on this machine, or plays "
+      "wrenusher-testbed: a lab for wrenusher. Starts everything that the service talks to on this machine, "
+      "or plays "
       "days in simulated time."};
   app.require_subcommand(1);
-  app.set_version_flag("--version", std::string("wrenlab ") + WRENUSHER_VERSION);
-  lab::TestbedOptions options;
+  app.set_version_flag("--version", std::string("wrenusher-testbed ") + WRENUSHER_VERSION);
+  testbed::TestbedOptions options;
   std::error_code ignored;
   options.program =
       (std::filesystem::read_symlink("/proc/self/exe", ignored).parent_path() / "wrenusher").string();
@@ -373,7 +378,7 @@
   c_compare->add_option("A", file_a, "before")->required();
   c_compare->add_option("B", file_b, "after")->required();
 
-  const lab::ScaleCommands scale_commands(app, options.program, kPort);
+  const testbed::ScaleCommands scale_commands(app, options.program, kPort);
 
   auto* c_status =
       app.add_subcommand("status", "what a running lab is doing; exit code 1 once a rule is broken");
@@ -423,11 +428,11 @@
       words.insert(words.begin(), c->get_name());
       return act(options.port, words);
     }
-  } catch (const lab::StorageDamaged& e) {
-    std::cerr << "wrenlab: " << e.what() << '\n';
+  } catch (const testbed::StorageDamaged& e) {
+    std::cerr << "wrenusher-testbed: " << e.what() << '\n';
     return kFailed;
   } catch (const std::exception& e) {  // a site file, a port, a missing program: one line
-    std::cerr << "wrenlab: " << e.what() << '\n';
+    std::cerr << "wrenusher-testbed: " << e.what() << '\n';
     return kBadInput;
   }
   return 0;
--- a/apps/wrenlab/scale_commands.cpp
+++ b/apps/wrenusher-testbed/scale_commands.cpp
@@ -4,10 +4,10 @@
 #include <fstream>
 #include <iostream>
 
-#include "wrenusher/lab/cell_processes.hpp"
-#include "wrenusher/lab/scale_report.hpp"
+#include "wrenusher/testbed/cell_processes.hpp"
+#include "wrenusher/testbed/scale_report.hpp"
 
-namespace wrenusher::lab {
+namespace wrenusher::testbed {
 
 namespace {
 
@@ -48,7 +48,7 @@
   scale->add_option("--seconds", options_.seconds, "of the measurement (60)");
   scale->add_option("--settle", options_.settle_s, "seconds after the failures (30)");
   scale->add_flag("--no-failures", quiet_, "without the phase of failures");
-  scale->add_option("--slopes", slopes_file_, "what predictions are made from (lab/sites/slopes.json)");
+  scale->add_option("--slopes", slopes_file_, "what predictions are made from (testbed/sites/slopes.json)");
   auto* slopes = app.add_subcommand(
       "slopes",
       "measures what one more worker, start, question, ... costs each role, from several sizes each");
@@ -88,7 +88,7 @@
   if (std::filesystem::exists(slopes_file_)) {
     report.slopes = read_slopes(slopes_file_);
   } else {
-    std::cerr << "wrenlab: no predictions, since there is no " << slopes_file_ << '\n';
+    std::cerr << "wrenusher-testbed: no predictions, since there is no " << slopes_file_ << '\n';
   }
   const std::vector<CellLoad> cells = divide(options);
   check_fits(cells, this_machine());
@@ -116,4 +116,4 @@
   return failed ? kFailed : 0;
 }
 
-}  // namespace wrenusher::lab
+}  // namespace wrenusher::testbed
--- a/apps/wrenlab/scale_commands.hpp
+++ b/apps/wrenusher-testbed/scale_commands.hpp
@@ -1,13 +1,13 @@
 #pragma once
-// The commands of wrenlab that measure at size: `scale` and `slopes`.
+// The commands of wrenusher-testbed that measure at size: `scale` and `slopes`.
 
 #include <CLI/CLI.hpp>
 #include <optional>
 #include <string>
 
-#include "wrenusher/lab/slopes.hpp"
+#include "wrenusher/testbed/slopes.hpp"
 
-namespace wrenusher::lab {
+namespace wrenusher::testbed {
 
 class ScaleCommands {
  public:
@@ -28,8 +28,8 @@
   SlopeOptions slope_options_;
   bool full_ = false;
   bool quiet_ = false;
-  std::string slopes_file_ = "lab/sites/slopes.json";
+  std::string slopes_file_ = "testbed/sites/slopes.json";
   std::string json_;
 };
 
-}  // namespace wrenusher::lab
+}  // namespace wrenusher::testbed
--- a/apps/wrenusher/main.cpp
+++ b/apps/wrenusher/main.cpp
@@ -16,7 +16,7 @@
 
 /// For each line "host address type zone" which domain it belongs to, and what it carries.
 std::string match(const wrenusher::topology::Topology& t, const std::string& file) {
-  std::istringstream in(wrenusher::fields::read_text(file));
+  std::istringstream in(wrenusher::config_reader::read_text(file));
   std::string line;
   std::string out;
   for (int n = 1; std::getline(in, line); ++n) {
@@ -24,8 +24,8 @@
     std::string host, addr, type, zone;
     if (line.empty() || line[0] == '#') continue;
     if (!(words >> host >> addr >> type >> zone) || !wrenusher::topology::parse_ip(addr))
-      throw wrenusher::fields::ConfigError(file + ":" + std::to_string(n) +
-                                           ": must be a line of host, address, type and zone");
+      throw wrenusher::config_reader::ConfigError(file + ":" + std::to_string(n) +
+                                                  ": must be a line of host, address, type and zone");
     const auto place = t.find(host, addr, type, zone);
     out += host + ": " + t.path(place.leaf);
     for (const auto& [device, count] : place.devices) out += ", " + std::to_string(count) + " " + device;
@@ -64,9 +64,10 @@
     // Read whole before anything starts; later versions are taken or refused while it runs.
     const std::string& map = settings.tunables.topology;
     std::shared_ptr<const wrenusher::topology::Topology> topology;
-    if (!map.empty()) topology = wrenusher::topology::Topology::parse(wrenusher::fields::read_text(map), map);
+    if (!map.empty())
+      topology = wrenusher::topology::Topology::parse(wrenusher::config_reader::read_text(map), map);
     if (!hosts.empty() && (!check || !topology))
-      throw wrenusher::fields::ConfigError("--hosts: needs --check and tunables that name a topology");
+      throw wrenusher::config_reader::ConfigError("--hosts: needs --check and tunables that name a topology");
     if (check) {
       std::cout << "settings are valid\n";
       if (topology) std::cout << topology->describe();
@@ -84,11 +85,11 @@
     wrenusher::net::UvRuntime runtime(settings.max_sockets);
     wrenusher::controller::Controller controller(runtime, settings);
     runtime.listen(settings.client_listen, std::max(16, settings.max_sockets * 5 / 6),
-                   [&](const wrenusher::base::Request& r, const wrenusher::base::Responder& a) {
+                   [&](const wrenusher::runtime::Request& r, const wrenusher::runtime::Responder& a) {
                      controller.serve_client(r, a);
                    });
     runtime.listen(settings.peer_listen, 16,
-                   [&](const wrenusher::base::Request& r, const wrenusher::base::Responder& a) {
+                   [&](const wrenusher::runtime::Request& r, const wrenusher::runtime::Responder& a) {
                      controller.serve_peer(r, a);
                    });
     wrenusher::log::info("starts", "wrenusher {version} starts as {node} in zone {zone}",
--- a/bench/plan_bench.cpp
+++ b/bench/plan_bench.cpp
@@ -20,11 +20,13 @@
 #include <random>
 
 #include "still_runtime.hpp"
-#include "wrenusher/rounds/rounds.hpp"
+#include "wrenusher/scheduling_cycle/scheduling_cycle.hpp"
 
 namespace {
 
-using namespace wrenusher::base;
+using namespace wrenusher::time;
+using namespace wrenusher::value;
+using namespace wrenusher::runtime;
 using namespace wrenusher::protocol;
 namespace book = wrenusher::book;
 namespace estimates = wrenusher::estimates;
@@ -46,11 +48,12 @@
   StillRuntime rt;
   wrenusher::settings::Settings settings;
   estimates::Estimator estimator;
-  machines::Machines machines_there{rt, estimator};
-  book::Book jobs{rt, machines_there};
-  rounds::Rounds planner{rt, settings, jobs, machines_there, estimator};
-  std::vector<std::pair<book::Job*, std::uint32_t>> running;
-  std::map<std::string, std::pair<book::Job*, std::uint32_t>> running_jobs;  ///< by type, and its next task
+  machine_inventory::Machines machines_there{rt, estimator};
+  job_table::Book jobs{rt, machines_there};
+  scheduling_cycle::Rounds planner{rt, settings, jobs, machines_there, estimator};
+  std::vector<std::pair<job_table::Job*, std::uint32_t>> running;
+  std::map<std::string, std::pair<job_table::Job*, std::uint32_t>>
+      running_jobs;  ///< by type, and its next task
   std::size_t made = 0;
   bool layouts;
 
@@ -95,7 +98,7 @@
     r.site = pick(2) == 0 ? "a" : "b";
     r.standby = true;
     r.tenure = r.serial = 1;
-    machines::Machine& m = machines_there.at(r.host);
+    machine_inventory::Machine& m = machines_there.at(r.host);
     machines_there.seen(m, r, true);
     for (int k = 0; k < 4; ++k) m.images["image-" + std::to_string(pick(kImages))] = 1;
     if (i % kFree == 0) return;
@@ -105,17 +108,17 @@
       current = &add_job(Shape::sweep, kRunning, r.flavor == "small" ? to_amount(4) : to_amount(16));
       next = 0;
     }
-    book::Job& job = *current;
+    job_table::Job& job = *current;
     for (std::uint32_t n = 0; n < kOnEach; ++n) {
       const std::uint32_t t = next++;
-      jobs.claim(job, t, m, 1, book::Phase::loaded);
-      jobs.set_phase(job, job.claims.at(t), book::Phase::running);
+      jobs.claim(job, t, m, 1, job_table::Phase::loaded);
+      jobs.set_phase(job, job.claims.at(t), job_table::Phase::running);
       job.claims.at(t).running_since = rt.now() - from_seconds(pick(40));
       running.emplace_back(&job, t);
     }
   }
 
-  book::Job& add_job(Shape shape, std::uint32_t tasks, Amount cores = 0) {
+  job_table::Job& add_job(Shape shape, std::uint32_t tasks, Amount cores = 0) {
     records::JobRecord rec;
     JobSpec& spec = rec.spec;
     spec.ref = "req-" + std::to_string(10000000 + made++);
@@ -142,10 +145,10 @@
     for (int i = 0; i < 3; ++i) plan();
     for (auto& [ref, job] : jobs.jobs()) {
       for (auto& [task, c] : job.claims) {
-        if (c.phase == book::Phase::running) continue;
+        if (c.phase == job_table::Phase::running) continue;
         jobs.end_pull(job, c);
         machines_there.use_image(*c.at, job.spec());
-        jobs.set_phase(job, c, book::Phase::running);
+        jobs.set_phase(job, c, job_table::Phase::running);
         c.running_since = rt.now();
       }
     }
@@ -207,7 +210,7 @@
   rounds_after(state, [](Burst& b) {
     const auto [job, task] = b.running.back();
     b.running.pop_back();
-    b.jobs.set_phase(*job, job->claims.at(task), book::Phase::saving);
+    b.jobs.set_phase(*job, job->claims.at(task), job_table::Phase::saving);
   });
 }
 
@@ -219,7 +222,7 @@
   std::size_t rack = 0;
   rounds_after(state, [&rack, m = static_cast<std::size_t>(state.range(0))](Burst& b) {
     for (std::size_t i = 0; i < kRack; ++i) {
-      machines::Machine& x = *b.machines_there.find(Burst::name((rack * kRack + i) % m));
+      machine_inventory::Machine& x = *b.machines_there.find(Burst::name((rack * kRack + i) % m));
       x.quiet = !x.quiet;
       b.machines_there.touch(x);
     }
--- a/bench/standby_bench.cpp
+++ b/bench/standby_bench.cpp
@@ -19,15 +19,17 @@
 #include <random>
 
 #include "still_runtime.hpp"
-#include "wrenusher/ledger/takeover.hpp"
-#include "wrenusher/standby/standby.hpp"
+#include "wrenusher/leader/failover.hpp"
+#include "wrenusher/replica/standby_replica.hpp"
 
 namespace {
 
-using namespace wrenusher::base;
-using namespace wrenusher::mail;
+using namespace wrenusher::time;
+using namespace wrenusher::value;
+using namespace wrenusher::runtime;
+using namespace wrenusher::events;
 using namespace wrenusher::protocol;
-namespace book = wrenusher::book;
+namespace job_table = wrenusher::job_table;
 namespace estimates = wrenusher::estimates;
 namespace ledger = wrenusher::ledger;
 namespace machines = wrenusher::machines;
@@ -58,8 +60,8 @@
 }
 
 /// Live jobs and slots as the state service holds them.
-std::vector<store::Row> rows(std::size_t machines, std::size_t claims) {
-  std::vector<store::Row> out;
+std::vector<kv_client::Row> rows(std::size_t machines, std::size_t claims) {
+  std::vector<kv_client::Row> out;
   Value::List blocks;
   std::size_t bytes = 0;
   std::uint32_t slot = 0;
@@ -90,9 +92,9 @@
   return out;
 }
 
-records::Snapshot snapshot(const std::vector<store::Row>& all) {
+records::Snapshot snapshot(const std::vector<kv_client::Row>& all) {
   records::Snapshot s;
-  for (const store::Row& r : all) standby::apply_put(s, r);
+  for (const kv_client::Row& r : all) replica::apply_put(s, r);
   return s;
 }
 
@@ -101,11 +103,11 @@
   StillRuntime rt;
   wrenusher::settings::Settings settings;
   estimates::Estimator estimator;
-  store::Store service{rt, settings};
-  machines::Machines there{rt, estimator};
-  book::Book jobs{rt, there};
-  writer::Writer slots{rt, settings, service, jobs};
-  ledger::Takeover takeover{rt, service, jobs, slots};
+  kv_client::Store service{rt, settings};
+  machine_inventory::Machines there{rt, estimator};
+  job_table::Book jobs{rt, there};
+  commit_batcher::Writer slots{rt, settings, service, jobs};
+  leader::Takeover takeover{rt, service, jobs, slots};
   Rooms() {
     jobs.begin(2);
     slots.begin(9);
@@ -125,15 +127,15 @@
   std::size_t n = 0;
   for (auto _ : state) {
     const std::size_t i = n++ % keys.size();
-    standby::apply_put(s, {keys[i], *decode(bytes[i]), 1000000 + n, 0});
+    replica::apply_put(s, {keys[i], *decode(bytes[i]), 1000000 + n, 0});
   }
   state.counters["bytes"] = static_cast<double>(bytes[0].size());
 }
 
 void read_records(benchmark::State& state) {
   const auto all = rows(static_cast<std::size_t>(state.range(0)), static_cast<std::size_t>(state.range(1)));
-  std::vector<std::pair<store::Row, std::string>> wire;
-  for (const auto& r : all) wire.emplace_back(store::Row{r.key, {}, r.stamp, 0}, encode(r.value));
+  std::vector<std::pair<kv_client::Row, std::string>> wire;
+  for (const auto& r : all) wire.emplace_back(kv_client::Row{r.key, {}, r.stamp, 0}, encode(r.value));
   for (auto _ : state) {
     state.PauseTiming();
     auto rooms = std::make_unique<Rooms>();
@@ -141,7 +143,7 @@
     state.ResumeTiming();
     for (auto& [row, bytes] : wire) {
       row.value = *decode(bytes);
-      standby::apply_put(*s, row);
+      replica::apply_put(*s, row);
     }
     rooms->takeover.take(*s);
     state.PauseTiming();
@@ -173,7 +175,7 @@
   const records::Snapshot s = snapshot(all);
   std::size_t keys = 0;
   for (auto _ : state) {
-    keys = standby::conditions_of(s).size();
+    keys = replica::conditions_of(s).size();
     benchmark::DoNotOptimize(keys);
   }
   state.counters["keys"] = static_cast<double>(keys);
@@ -194,13 +196,13 @@
 
 struct Told {
   Instant now{from_seconds(1000)};
-  standby::Teller teller;
-  standby::Picture picture;
+  replica::Teller teller;
+  replica::Picture picture;
   std::uint64_t change = 0;
   std::size_t machines;
   explicit Told(std::size_t n) : machines(n) {
     teller.begin(3, 1, {}, {}, now);
-    for (std::size_t i = 0; i < n; ++i) teller.put(standby::to_row(hint(i, 0)), now);
+    for (std::size_t i = 0; i < n; ++i) teller.put(replica::to_row(hint(i, 0)), now);
     for (const char* peer : {"one", "two"}) teller.heard(peer, 5, {}, now);
     while (teller.open("one") + teller.open("two") > 0) beat();
   }
@@ -218,7 +220,7 @@
   void changed(std::size_t n) {
     ++change;
     for (std::size_t i = 0; i < n; ++i)
-      teller.put(standby::to_row(hint((change * n + i) * 7919 % machines, change)), now);
+      teller.put(replica::to_row(hint((change * n + i) * 7919 % machines, change)), now);
   }
 };
 
@@ -242,8 +244,8 @@
     messages.push_back(t.beat().front());
   }
   const std::size_t before = mallinfo2().uordblks;
-  standby::Picture p;
-  for (std::size_t i = 0; i < t.machines; ++i) p.put(standby::to_row(hint(i, 0)), t.now, 3, 1);
+  replica::Picture p;
+  for (std::size_t i = 0; i < t.machines; ++i) p.put(replica::to_row(hint(i, 0)), t.now, 3, 1);
   state.counters["bytes_a_machine"] =
       static_cast<double>(mallinfo2().uordblks - before) / static_cast<double>(t.machines);
   std::uint64_t n = 1;
--- a/bench/still_runtime.hpp
+++ b/bench/still_runtime.hpp
@@ -3,11 +3,13 @@
 
 #include <random>
 
-#include "wrenusher/base/runtime.hpp"
+#include "wrenusher/runtime/runtime.hpp"
 
 namespace wrenusher {
 
-using namespace base;
+using namespace time;
+using namespace value;
+using namespace runtime;
 
 class StillRuntime : public Runtime {
  public:
--- a/src/writer/writer.cpp
+++ b/src/commit_batcher/commit_batcher.cpp
@@ -1,11 +1,11 @@
-#include "wrenusher/writer/writer.hpp"
+#include "wrenusher/commit_batcher/commit_batcher.hpp"
 
 #include <algorithm>
 #include <utility>
 
 #include "wrenusher/log/log.hpp"
 
-namespace wrenusher::writer {
+namespace wrenusher::commit_batcher {
 
 namespace {
 
@@ -105,7 +105,7 @@
   bool left_progress = false;
   for (const auto& [key, job] : book_.unwritten()) {
     const std::uint32_t n = std::get<3>(key);
-    const bool assignments = std::get<0>(key) < book::kProgressRank;
+    const bool assignments = std::get<0>(key) < job_table::kProgressRank;
     if (book_.finished_jobs().contains(job->spec().job_id)) continue;  // the final state says it all
     if (assignments && job->needs_refresh) continue;
     if (batch.conditions.size() + kMaxShardsPerCommit + 1 > settings_.txn_ops * 4) break;
@@ -265,4 +265,4 @@
   return {};
 }
 
-}  // namespace wrenusher::writer
+}  // namespace wrenusher::commit_batcher
--- a/src/writer/include/wrenusher/writer/writer.hpp
+++ b/src/commit_batcher/include/wrenusher/commit_batcher/commit_batcher.hpp
@@ -1,28 +1,30 @@
 #pragma once
-// Package writer: packs what the book has to write into slots, orders it and commits it under the leader's
-// stamp. It owns the slots (values in the store that hold blocks of many jobs), which block stands in which,
-// and the one transaction under way. Invariant: a slot's count is the number of blocks whose last committed
-// state stands in it, and only a slot with none is written (`disagreement` compares). It may depend on base,
-// settings, store, records and book.
+// Package commit_batcher: packs what the book has to write into slots, orders it and commits it under the
+// leader's stamp. It owns the slots (values in the store that hold blocks of many jobs), which block stands
+// in which, and the one transaction under way. Invariant: a slot's count is the number of blocks whose last
+// committed state stands in it, and only a slot with none is written (`disagreement` compares). It may depend
+// on base, settings, store, records and book.
 
 #include <functional>
 #include <string>
 #include <unordered_map>
 #include <vector>
 
-#include "wrenusher/book/book.hpp"
+#include "wrenusher/job_table/job_table.hpp"
+#include "wrenusher/kv_client/kv_client.hpp"
 #include "wrenusher/settings/settings.hpp"
-#include "wrenusher/store/store.hpp"
 
-namespace wrenusher::writer {
+namespace wrenusher::commit_batcher {
 
-using namespace base;
+using namespace time;
+using namespace value;
+using namespace runtime;
 using namespace protocol;
 using namespace settings;
-using namespace store;
-using book::Block;
-using book::Job;
-using book::JobTable;
+using namespace kv_client;
+using job_table::Block;
+using job_table::Job;
+using job_table::JobTable;
 
 class CommitBatcher {
  public:
@@ -100,4 +102,4 @@
       shard_by_block_;  ///< job id -> slot of each block
 };
 
-}  // namespace wrenusher::writer
+}  // namespace wrenusher::commit_batcher
--- a/src/fields/fields.cpp
+++ b/src/config_reader/config_reader.cpp
@@ -1,4 +1,4 @@
-#include "wrenusher/fields/fields.hpp"
+#include "wrenusher/config_reader/config_reader.hpp"
 
 #include <cmath>
 #include <cstdio>
@@ -6,7 +6,7 @@
 #include <fstream>
 #include <sstream>
 
-namespace wrenusher::fields {
+namespace wrenusher::config_reader {
 
 std::optional<std::string> read_file(const std::string& path) {
   std::ifstream in(path, std::ios::binary);
@@ -158,4 +158,4 @@
   return *d;
 }
 
-}  // namespace wrenusher::fields
+}  // namespace wrenusher::config_reader
--- a/src/fields/include/wrenusher/fields/fields.hpp
+++ b/src/config_reader/include/wrenusher/config_reader/config_reader.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// Package fields: reads the YAML files that people write, so that every complaint names file, line and field.
-// It owns no state. It may depend on base alone.
+// Package config_reader: reads the YAML files that people write, so that every complaint names file, line and
+// field. It owns no state. It may depend on base alone.
 
 #include <yaml-cpp/yaml.h>
 
@@ -10,11 +10,11 @@
 #include <string>
 #include <vector>
 
-#include "wrenusher/base/time.hpp"
+#include "wrenusher/time/time.hpp"
 
-namespace wrenusher::fields {
+namespace wrenusher::config_reader {
 
-using namespace base;
+using namespace time;
 
 /// A mistake in a file; what() is one line: file, line, field, what is wrong.
 struct ConfigError : std::runtime_error {
@@ -66,4 +66,4 @@
   std::set<std::string> known_;
 };
 
-}  // namespace wrenusher::fields
+}  // namespace wrenusher::config_reader
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -12,7 +12,7 @@
 
 }  // namespace
 
-Controller::Controller(Runtime& runtime, Settings settings, survey::Reader reader)
+Controller::Controller(Runtime& runtime, Settings settings, topology_loader::Reader reader)
     : settings_(std::move(settings)),
       kv_client_(runtime, settings_),
       topology_loader_(runtime, settings_.tunables.topology, std::move(reader)),
--- a/src/controller/include/wrenusher/controller/controller.hpp
+++ b/src/controller/include/wrenusher/controller/controller.hpp
@@ -2,31 +2,33 @@
 // Package controller: one controller node. It owns the actors and the wiring of their messages, and is the
 // only package that sees them all. It may depend on every package but net.
 
-#include "wrenusher/desk/frontdesk.hpp"
-#include "wrenusher/fleet/fleet.hpp"
-#include "wrenusher/ledger/ledger.hpp"
+#include "wrenusher/job_api/job_api.hpp"
+#include "wrenusher/leader/leader_actor.hpp"
 #include "wrenusher/membership/leadership.hpp"
 #include "wrenusher/membership/peer.hpp"
 #include "wrenusher/provisioner/provisioner.hpp"
-#include "wrenusher/standby/standby.hpp"
-#include "wrenusher/survey/survey.hpp"
+#include "wrenusher/replica/standby_replica.hpp"
+#include "wrenusher/topology_loader/topology_loader.hpp"
+#include "wrenusher/worker_gateway/worker_gateway.hpp"
 
 namespace wrenusher::controller {
 
-using namespace base;
+using namespace time;
+using namespace value;
+using namespace runtime;
 using namespace settings;
-using namespace store;
+using namespace kv_client;
 using namespace membership;
-using namespace standby;
-using namespace desk;
-using namespace fleet;
-using namespace ledger;
+using namespace replica;
+using namespace job_api;
+using namespace worker_gateway;
+using namespace leader;
 using namespace provisioner;
 
 class Controller {
  public:
   /// `reader`: how the operators' topology is read, where the settings name one.
-  Controller(Runtime& runtime, Settings settings, survey::Reader reader = fields::read_file);
+  Controller(Runtime& runtime, Settings settings, topology_loader::Reader reader = config_reader::read_file);
   void start();
 
   /// A request on `client_listen`: a user's, a worker's or a health check.
@@ -44,7 +46,7 @@
  private:
   Settings settings_;
   KvClient kv_client_;
-  survey::TopologyLoader topology_loader_;
+  topology_loader::TopologyLoader topology_loader_;
   Leadership leadership_;
   Peer peer_;
   StandbyReplica standby_;
--- a/src/watch/watch.cpp
+++ b/src/domain_failure_detector/domain_failure_detector.cpp
@@ -1,10 +1,10 @@
-#include "wrenusher/watch/watch.hpp"
+#include "wrenusher/domain_failure_detector/domain_failure_detector.hpp"
 
 #include <algorithm>
 
 #include "wrenusher/log/log.hpp"
 
-namespace wrenusher::watch {
+namespace wrenusher::domain_failure_detector {
 
 namespace {
 
@@ -142,4 +142,4 @@
   }
 }
 
-}  // namespace wrenusher::watch
+}  // namespace wrenusher::domain_failure_detector
--- a/src/watch/include/wrenusher/watch/watch.hpp
+++ b/src/domain_failure_detector/include/wrenusher/domain_failure_detector/domain_failure_detector.hpp
@@ -1,7 +1,7 @@
 #pragma once
-// Package watch: recognises that a whole failure domain fell silent, as one event, and how far it is to be
-// trusted once it is heard again. It owns that judgement by domain and nothing else: who is heard is told to
-// it, and what follows from it is for others. It may depend on base and topology.
+// Package domain_failure_detector: recognises that a whole failure domain fell silent, as one event, and how
+// far it is to be trusted once it is heard again. It owns that judgement by domain and nothing else: who is
+// heard is told to it, and what follows from it is for others. It may depend on base and topology.
 
 #include <map>
 #include <memory>
@@ -9,12 +9,14 @@
 #include <string>
 #include <vector>
 
-#include "wrenusher/base/time.hpp"
+#include "wrenusher/time/time.hpp"
 #include "wrenusher/topology/topology.hpp"
 
-namespace wrenusher::watch {
+namespace wrenusher::domain_failure_detector {
 
-using namespace base;
+using namespace time;
+using namespace value;
+using namespace runtime;
 using topology::DomainId;
 
 /// A machine that reports here, or should.
@@ -64,4 +66,4 @@
   std::set<std::string> suspected_;
 };
 
-}  // namespace wrenusher::watch
+}  // namespace wrenusher::domain_failure_detector
--- a/src/estimates/include/wrenusher/estimates/estimator.hpp
+++ b/src/estimates/include/wrenusher/estimates/estimator.hpp
@@ -12,7 +12,9 @@
 
 namespace wrenusher::estimates {
 
-using namespace base;
+using namespace time;
+using namespace value;
+using namespace runtime;
 using namespace protocol;
 
 class Estimator {
--- a/src/mail/include/wrenusher/mail/mail.hpp
+++ b/src/events/include/wrenusher/events/events.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Package mail: the typed messages that actors send each other through sinks, and nothing else. It owns no
+// Package events: the typed messages that actors send each other through sinks, and nothing else. It owns no
 // state. It may depend on base, settings, protocol, topology and records; every actor may use it, so that
 // none needs another's header. A new message is a struct here, a sink at its sender and a line in the
 // controller's wiring.
@@ -16,9 +16,11 @@
 #include "wrenusher/records/records.hpp"
 #include "wrenusher/topology/topology.hpp"
 
-namespace wrenusher::mail {
+namespace wrenusher::events {
 
-using namespace base;
+using namespace time;
+using namespace value;
+using namespace runtime;
 using namespace protocol;
 
 // ---- membership
@@ -373,7 +375,7 @@
     bool spot = false;
     bool usable = false;
     std::uint32_t assignments = 0;
-    // As cores, see planner::in_cores.
+    // As cores, see placement::in_cores.
     Amount reserved = 0;            ///< of its claims
     Amount running = 0;             ///< of those that run
     Amount service_load = 0;        ///< of those that do not end
@@ -383,4 +385,4 @@
   std::vector<MachineLoad> machines;
 };
 
-}  // namespace wrenusher::mail
+}  // namespace wrenusher::events
--- a/src/desk/include/wrenusher/desk/frontdesk.hpp
+++ b/src/job_api/include/wrenusher/job_api/job_api.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Package desk: users' requests, on any node. Everything is decided by the state service, nothing by this
+// Package job_api: users' requests, on any node. Everything is decided by the state service, nothing by this
 // node's memory but final states; it owns the cache of those, the index of live jobs that each question has
 // brought up to date (JobIndex), and the answers that wait until they may be given (ReadConsistency). While
 // the index is not whole, records are read one by one and compared in groups. It may depend on base,
@@ -9,19 +9,21 @@
 #include <memory>
 #include <unordered_map>
 
-#include "wrenusher/desk/answer_order.hpp"
-#include "wrenusher/desk/job_index.hpp"
-#include "wrenusher/mail/mail.hpp"
+#include "wrenusher/events/events.hpp"
+#include "wrenusher/job_api/job_index.hpp"
+#include "wrenusher/job_api/read_consistency.hpp"
+#include "wrenusher/kv_client/kv_client.hpp"
 #include "wrenusher/settings/settings.hpp"
-#include "wrenusher/store/store.hpp"
 
-namespace wrenusher::desk {
+namespace wrenusher::job_api {
 
-using namespace base;
+using namespace time;
+using namespace value;
+using namespace runtime;
 using namespace settings;
 using namespace protocol;
-using namespace store;
-using namespace mail;
+using namespace kv_client;
+using namespace events;
 
 class JobApi {
  public:
@@ -119,4 +121,4 @@
   bool checking_ = false;
 };
 
-}  // namespace wrenusher::desk
+}  // namespace wrenusher::job_api
--- a/src/desk/include/wrenusher/desk/job_index.hpp
+++ b/src/job_api/include/wrenusher/job_api/job_index.hpp
@@ -10,14 +10,16 @@
 #include <unordered_map>
 #include <vector>
 
-#include "wrenusher/mail/mail.hpp"
+#include "wrenusher/events/events.hpp"
+#include "wrenusher/kv_client/kv_client.hpp"
 #include "wrenusher/records/records.hpp"
-#include "wrenusher/store/store.hpp"
 
-namespace wrenusher::desk {
+namespace wrenusher::job_api {
 
-using namespace base;
-using namespace store;
+using namespace time;
+using namespace value;
+using namespace runtime;
+using namespace kv_client;
 
 class JobIndex {
  public:
@@ -54,7 +56,7 @@
   /// answered with `absent`.
   std::function<void(const std::string& job_id, const std::string& state, std::uint64_t done)> on_ended;
   /// What each refresh has brought.
-  std::function<void(const mail::RecordsChanged&)> on_followed;
+  std::function<void(const events::RecordsChanged&)> on_followed;
 
  private:
   struct Job {
@@ -94,4 +96,4 @@
   Instant last_refresh_{};
 };
 
-}  // namespace wrenusher::desk
+}  // namespace wrenusher::job_api
--- a/src/desk/include/wrenusher/desk/answer_order.hpp
+++ b/src/job_api/include/wrenusher/job_api/read_consistency.hpp
@@ -9,14 +9,16 @@
 #include <string>
 #include <unordered_map>
 
-#include "wrenusher/base/time.hpp"
-#include "wrenusher/mail/mail.hpp"
-#include "wrenusher/store/store.hpp"
+#include "wrenusher/events/events.hpp"
+#include "wrenusher/kv_client/kv_client.hpp"
+#include "wrenusher/time/time.hpp"
 
-namespace wrenusher::desk {
+namespace wrenusher::job_api {
 
-using namespace base;
-using mail::JobStage;
+using namespace time;
+using namespace value;
+using namespace runtime;
+using events::JobStage;
 
 class ReadConsistency {
  public:
@@ -27,7 +29,7 @@
   /// long, in which it would have announced what is newer: heartbeats come twice a second.
   static constexpr Micros kMaxLiveAge = from_millis(550);
   /// Later than this the state service's answer is none, see Store.
-  static constexpr Micros kMaxReplyAge = store::KvClient::kMaxReplyAge;
+  static constexpr Micros kMaxReplyAge = kv_client::KvClient::kMaxReplyAge;
   /// For clocks, beyond each.
   static constexpr Micros kClockMargin = from_millis(50);
 
@@ -73,4 +75,4 @@
   std::deque<std::pair<Instant, std::string>> by_age_;
 };
 
-}  // namespace wrenusher::desk
+}  // namespace wrenusher::job_api
--- a/src/desk/frontdesk.cpp
+++ b/src/job_api/job_api.cpp
@@ -1,13 +1,13 @@
-#include "wrenusher/desk/frontdesk.hpp"
+#include "wrenusher/job_api/job_api.hpp"
 
 #include <algorithm>
 #include <tuple>
 
-#include "wrenusher/base/refusal.hpp"
 #include "wrenusher/log/log.hpp"
 #include "wrenusher/records/records.hpp"
+#include "wrenusher/runtime/error_response.hpp"
 
-namespace wrenusher::desk {
+namespace wrenusher::job_api {
 
 namespace {
 
@@ -574,4 +574,4 @@
       });
 }
 
-}  // namespace wrenusher::desk
+}  // namespace wrenusher::job_api
--- a/src/desk/job_index.cpp
+++ b/src/job_api/job_index.cpp
@@ -1,11 +1,11 @@
-#include "wrenusher/desk/job_index.hpp"
+#include "wrenusher/job_api/job_index.hpp"
 
 #include <algorithm>
 #include <utility>
 
 #include "wrenusher/log/log.hpp"
 
-namespace wrenusher::desk {
+namespace wrenusher::job_api {
 
 namespace {
 
@@ -150,7 +150,7 @@
 }
 
 void JobIndex::apply(const WatchReply& reply) {
-  mail::RecordsChanged followed;
+  events::RecordsChanged followed;
   for (const KeyValue& row : reply.puts) {
     put(row);
     followed.put(row.key, row.value);
@@ -195,4 +195,4 @@
   for (const Query& query : questions) query.done({});
 }
 
-}  // namespace wrenusher::desk
+}  // namespace wrenusher::job_api
--- a/src/desk/answer_order.cpp
+++ b/src/job_api/read_consistency.cpp
@@ -1,8 +1,8 @@
-#include "wrenusher/desk/answer_order.hpp"
+#include "wrenusher/job_api/read_consistency.hpp"
 
 #include <algorithm>
 
-namespace wrenusher::desk {
+namespace wrenusher::job_api {
 
 namespace {
 constexpr std::size_t kMaxTrackedJobs = 8000;
@@ -81,4 +81,4 @@
   return sent > job.newer_since[1] && (level != JobStage::absent || sent > job.newer_since[0]);
 }
 
-}  // namespace wrenusher::desk
+}  // namespace wrenusher::job_api
--- a/src/book/include/wrenusher/book/book.hpp
+++ b/src/job_table/include/wrenusher/job_table/job_table.hpp
@@ -1,7 +1,7 @@
 #pragma once
-// Package book: the book of live jobs and their claims. It owns which task of a job waits, is claimed (and on
-// which machine, in which state) or is done, what each team uses, and which stretches of which jobs differ
-// from the store, in the order in which they are to be written. Invariant: a task of a job that is not
+// Package job_table: the book of live jobs and their claims. It owns which task of a job waits, is claimed
+// (and on which machine, in which state) or is done, what each team uses, and which stretches of which jobs
+// differ from the store, in the order in which they are to be written. Invariant: a task of a job that is not
 // withdrawn is in exactly one of the three, and a stretch is due exactly when its version is above the
 // committed one (`disagreement` compares). Every change of a claim goes through here, so that machines and
 // teams never differ from the claims. It may depend on base, protocol, records and machines.
@@ -14,16 +14,18 @@
 #include <utility>
 #include <vector>
 
-#include "wrenusher/base/range_set.hpp"
-#include "wrenusher/machines/machines.hpp"
+#include "wrenusher/machine_inventory/machine_inventory.hpp"
 #include "wrenusher/records/records.hpp"
+#include "wrenusher/value/range_set.hpp"
 
-namespace wrenusher::book {
+namespace wrenusher::job_table {
 
-using namespace base;
+using namespace time;
+using namespace value;
+using namespace runtime;
 using namespace protocol;
-using machines::Machine;
-using machines::MachineInventory;
+using machine_inventory::Machine;
+using machine_inventory::MachineInventory;
 
 enum class TaskState {
   assigned,   ///< claimed in this term, not yet shown by a report
@@ -190,4 +192,4 @@
   std::set<std::string> finished_jobs_;
 };
 
-}  // namespace wrenusher::book
+}  // namespace wrenusher::job_table
--- a/src/book/book.cpp
+++ b/src/job_table/job_table.cpp
@@ -1,10 +1,10 @@
-#include "wrenusher/book/book.hpp"
+#include "wrenusher/job_table/job_table.hpp"
 
 #include <algorithm>
 
 #include "wrenusher/log/log.hpp"
 
-namespace wrenusher::book {
+namespace wrenusher::job_table {
 
 bool Job::is_assigned(std::uint32_t task, const Machine& machine, std::uint64_t attempt) const {
   const auto it = assignments.find(task);
@@ -355,4 +355,4 @@
   return machines_.disagreement(there);
 }
 
-}  // namespace wrenusher::book
+}  // namespace wrenusher::job_table
--- a/src/store/include/wrenusher/store/store.hpp
+++ b/src/kv_client/include/wrenusher/kv_client/kv_client.hpp
@@ -1,17 +1,19 @@
 #pragma once
-// Package store: the client of the state service. It owns this node's share of the pace and what waits for
-// it: it paces requests and changes, and tells apart "not executed" from "may have been executed". It may
+// Package kv_client: the client of the state service. It owns this node's share of the pace and what waits
+// for it: it paces requests and changes, and tells apart "not executed" from "may have been executed". It may
 // depend on base, settings and protocol.
 
 #include <deque>
 
-#include "wrenusher/base/runtime.hpp"
 #include "wrenusher/protocol/messages.hpp"
+#include "wrenusher/runtime/runtime.hpp"
 #include "wrenusher/settings/settings.hpp"
 
-namespace wrenusher::store {
+namespace wrenusher::kv_client {
 
-using namespace base;
+using namespace time;
+using namespace value;
+using namespace runtime;
 using namespace settings;
 using namespace protocol;
 
@@ -177,4 +179,4 @@
   Instant backoff_until_{};
 };
 
-}  // namespace wrenusher::store
+}  // namespace wrenusher::kv_client
--- a/src/store/store.cpp
+++ b/src/kv_client/kv_client.cpp
@@ -1,10 +1,10 @@
-#include "wrenusher/store/store.hpp"
+#include "wrenusher/kv_client/kv_client.hpp"
 
 #include <algorithm>
 
 #include "wrenusher/log/log.hpp"
 
-namespace wrenusher::store {
+namespace wrenusher::kv_client {
 
 namespace {
 
@@ -410,4 +410,4 @@
       [done] { done(WatchReply{}); });
 }
 
-}  // namespace wrenusher::store
+}  // namespace wrenusher::kv_client
--- a/src/ledger/takeover.cpp
+++ b/src/leader/failover.cpp
@@ -1,8 +1,8 @@
-#include "wrenusher/ledger/takeover.hpp"
+#include "wrenusher/leader/failover.hpp"
 
 #include "wrenusher/log/log.hpp"
 
-namespace wrenusher::ledger {
+namespace wrenusher::leader {
 
 namespace {
 
@@ -107,4 +107,4 @@
   restore_blocks(blocks);
 }
 
-}  // namespace wrenusher::ledger
+}  // namespace wrenusher::leader
--- a/src/ledger/takeover_times.cpp
+++ b/src/leader/failover_timer.cpp
@@ -1,10 +1,10 @@
-#include "wrenusher/ledger/takeover_times.hpp"
+#include "wrenusher/leader/failover_timer.hpp"
 
 #include <algorithm>
 
 #include "wrenusher/log/log.hpp"
 
-namespace wrenusher::ledger {
+namespace wrenusher::leader {
 
 namespace {
 
@@ -83,4 +83,4 @@
   return times_so_far_;
 }
 
-}  // namespace wrenusher::ledger
+}  // namespace wrenusher::leader
--- a/src/ledger/include/wrenusher/ledger/takeover.hpp
+++ b/src/leader/include/wrenusher/leader/failover.hpp
@@ -7,18 +7,20 @@
 #include <memory>
 #include <string>
 
-#include "wrenusher/book/book.hpp"
-#include "wrenusher/store/store.hpp"
-#include "wrenusher/writer/writer.hpp"
+#include "wrenusher/commit_batcher/commit_batcher.hpp"
+#include "wrenusher/job_table/job_table.hpp"
+#include "wrenusher/kv_client/kv_client.hpp"
 
-namespace wrenusher::ledger {
+namespace wrenusher::leader {
 
-using namespace base;
+using namespace time;
+using namespace value;
+using namespace runtime;
 using namespace protocol;
-using namespace store;
-using book::Job;
-using book::JobTable;
-using writer::CommitBatcher;
+using namespace kv_client;
+using commit_batcher::CommitBatcher;
+using job_table::Job;
+using job_table::JobTable;
 
 /// A job's root as it stands in the store; false, and a line in the log, where it cannot be read.
 bool add_stored_job(JobTable& jobs, const KeyValue& row);
@@ -64,4 +66,4 @@
   std::uint64_t generation_ = 0;
 };
 
-}  // namespace wrenusher::ledger
+}  // namespace wrenusher::leader
--- a/src/ledger/include/wrenusher/ledger/takeover_times.hpp
+++ b/src/leader/include/wrenusher/leader/failover_timer.hpp
@@ -7,12 +7,14 @@
 #include <string>
 #include <vector>
 
-#include "wrenusher/mail/mail.hpp"
+#include "wrenusher/events/events.hpp"
 
-namespace wrenusher::ledger {
+namespace wrenusher::leader {
 
-using namespace base;
-using namespace mail;
+using namespace time;
+using namespace value;
+using namespace runtime;
+using namespace events;
 
 class FailoverTimer {
  public:
@@ -36,4 +38,4 @@
   std::vector<Micros> report_times_;  ///< of the machines heard that were awaited
 };
 
-}  // namespace wrenusher::ledger
+}  // namespace wrenusher::leader
--- a/src/ledger/include/wrenusher/ledger/ledger.hpp
+++ b/src/leader/include/wrenusher/leader/leader_actor.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Package ledger: the leader's actor. It owns the term, the order in which things happen in it (takeover,
+// Package leader: the leader's actor. It owns the term, the order in which things happen in it (takeover,
 // news from the store, reports, rounds, commits, answers), and one of each room: book, machines, writer, held
 // answers, reports, rounds, accounts. What each room knows is that room's own; the ledger passes messages in
 // and results out. It may depend on every room, on store, mail and what they depend on.
@@ -10,25 +10,25 @@
 #include <string>
 #include <vector>
 
-#include "wrenusher/accounts/accounts.hpp"
-#include "wrenusher/book/book.hpp"
+#include "wrenusher/commit_batcher/commit_batcher.hpp"
 #include "wrenusher/estimates/estimator.hpp"
-#include "wrenusher/held/held.hpp"
-#include "wrenusher/ledger/takeover.hpp"
-#include "wrenusher/ledger/takeover_times.hpp"
-#include "wrenusher/machines/machines.hpp"
-#include "wrenusher/mail/mail.hpp"
-#include "wrenusher/reports/reports.hpp"
-#include "wrenusher/rounds/rounds.hpp"
-#include "wrenusher/store/store.hpp"
-#include "wrenusher/writer/writer.hpp"
+#include "wrenusher/events/events.hpp"
+#include "wrenusher/job_table/job_table.hpp"
+#include "wrenusher/kv_client/kv_client.hpp"
+#include "wrenusher/leader/failover.hpp"
+#include "wrenusher/leader/failover_timer.hpp"
+#include "wrenusher/machine_inventory/machine_inventory.hpp"
+#include "wrenusher/pending_replies/pending_replies.hpp"
+#include "wrenusher/reconciler/reconciler.hpp"
+#include "wrenusher/scheduling_cycle/scheduling_cycle.hpp"
+#include "wrenusher/usage_metrics/usage_metrics.hpp"
 
-namespace wrenusher::ledger {
+namespace wrenusher::leader {
 
 using namespace settings;
-using namespace mail;
-using machines::Machine;
-using machines::MachineInventory;
+using namespace events;
+using machine_inventory::Machine;
+using machine_inventory::MachineInventory;
 
 class LeaderActor {
  public:
@@ -97,13 +97,13 @@
   const Settings& settings_;
   KvClient& store_;
   estimates::Estimator estimator_;
-  accounts::StartLatencyMetrics start_latency_;
+  usage_metrics::StartLatencyMetrics start_latency_;
   MachineInventory machines_;
   JobTable jobs_;
   CommitBatcher batcher_;
-  held::PendingReplies pending_replies_;
-  reports::Reconciler reconciler_;
-  rounds::SchedulingCycle scheduler_;
+  pending_replies::PendingReplies pending_replies_;
+  reconciler::Reconciler reconciler_;
+  scheduling_cycle::SchedulingCycle scheduler_;
   Failover failover_;
   TermChanged term_;
   Instant lease_valid_until_{};
@@ -122,4 +122,4 @@
   std::set<std::string> published_jobs_;
 };
 
-}  // namespace wrenusher::ledger
+}  // namespace wrenusher::leader
--- a/src/ledger/ledger.cpp
+++ b/src/leader/leader_actor.cpp
@@ -1,11 +1,11 @@
-#include "wrenusher/ledger/ledger.hpp"
+#include "wrenusher/leader/leader_actor.hpp"
 
 #include <algorithm>
 #include <utility>
 
 #include "wrenusher/log/log.hpp"
 
-namespace wrenusher::ledger {
+namespace wrenusher::leader {
 
 namespace {
 
@@ -247,7 +247,7 @@
   pending_replies_.reply_empty(report.host);
   const bool heir = adopt_machine_hint(report);
   const std::uint64_t shown = reconciler_.shown_starts();
-  const reports::Reconciler::Result taken = reconciler_.apply(report, event.token_accepted, event.settled);
+  const reconciler::Reconciler::Result taken = reconciler_.apply(report, event.token_accepted, event.settled);
   // What the report did not show to be under way is not.
   if (heir) machines_.get_or_add(report.host).inherited_fetches.clear();
   if (event.token_accepted) failover_timer_.on_machine_reported(report.host, runtime_.now());
@@ -290,7 +290,7 @@
   if (!serving()) return;
   const Machine* machine = machines_.find(event.host);
   if (machine == nullptr) return;
-  const book::MachineAssignments there = jobs_.assignments_on(*machine);
+  const job_table::MachineAssignments there = jobs_.assignments_on(*machine);
   if (!there.empty())
     log::info("machine_gone", "machine {machine} is gone with {tasks} tasks",
               log::with("machine", event.host), log::with("tasks", there.size()));
@@ -343,7 +343,7 @@
   last_cycle_ = runtime_.now();
   if (!serving()) return;
   if (lease_valid() && scheduler_.due()) {
-    const rounds::SchedulingCycle::Result planned = scheduler_.plan();
+    const scheduling_cycle::SchedulingCycle::Result planned = scheduler_.plan();
     send_direct(planned.stops);
     if (planned.workload) workload(planned.workload);
   }
@@ -359,7 +359,7 @@
 void LeaderActor::reply_pending() {
   pending_replies_.reply_ready(
       [this](const std::string& host,
-             const held::PendingReply& pending) -> std::optional<std::vector<WorkerCommand>> {
+             const pending_replies::PendingReply& pending) -> std::optional<std::vector<WorkerCommand>> {
         const Machine& machine = machines_.get_or_add(host);
         const bool ready = pending.plans_before < scheduler_.plan_count() &&
                            !reconciler_.awaits_commit(machine, *pending.report);
@@ -372,4 +372,4 @@
   for (const DirectCommands& event : commands) direct_commands(event);
 }
 
-}  // namespace wrenusher::ledger
+}  // namespace wrenusher::leader
--- a/src/ledger/hints.cpp
+++ b/src/leader/leader_hints.cpp
@@ -4,9 +4,9 @@
 #include <deque>
 #include <tuple>
 
-#include "wrenusher/ledger/ledger.hpp"
+#include "wrenusher/leader/leader_actor.hpp"
 
-namespace wrenusher::ledger {
+namespace wrenusher::leader {
 
 namespace {
 
@@ -153,4 +153,4 @@
   failure_hints_.clear();
 }
 
-}  // namespace wrenusher::ledger
+}  // namespace wrenusher::leader
--- a/src/machines/include/wrenusher/machines/machines.hpp
+++ b/src/machine_inventory/include/wrenusher/machine_inventory/machine_inventory.hpp
@@ -1,10 +1,10 @@
 #pragma once
-// Package machines: the leader's view of the machines that workers report from or that claims stand on. It
-// owns their types, where they stand in the topology in force, what is booked and runs on them, the images
-// they hold and the fetches under way, and which of them changed since the planner last looked; it knows
-// nothing of jobs. Invariant: what is booked, running and being fetched on a machine is the sum over the
-// claims that stand on it (`disagreement` compares). It may depend on base, protocol, topology, planner and
-// estimates.
+// Package machine_inventory: the leader's view of the machines that workers report from or that claims stand
+// on. It owns their types, where they stand in the topology in force, what is booked and runs on them, the
+// images they hold and the fetches under way, and which of them changed since the planner last looked; it
+// knows nothing of jobs. Invariant: what is booked, running and being fetched on a machine is the sum over
+// the claims that stand on it (`disagreement` compares). It may depend on base, protocol, topology, planner
+// and estimates.
 
 #include <map>
 #include <memory>
@@ -16,12 +16,14 @@
 #include <vector>
 
 #include "wrenusher/estimates/estimator.hpp"
-#include "wrenusher/planner/planner.hpp"
+#include "wrenusher/placement/placement.hpp"
 #include "wrenusher/protocol/messages.hpp"
 
-namespace wrenusher::machines {
+namespace wrenusher::machine_inventory {
 
-using namespace base;
+using namespace time;
+using namespace value;
+using namespace runtime;
 using namespace protocol;
 
 /// The fetch of an image, as far as it can be told: machines do not report how far they are.
@@ -146,9 +148,9 @@
   void advance_fetches(Machine& machine);
 
   /// Its fetches, as of the last `progress_pulls`.
-  static std::vector<planner::PlannedFetch> fetches_of(const Machine& machine);
+  static std::vector<placement::PlannedFetch> fetches_of(const Machine& machine);
   /// The machine as the planner sees it, fetches as of the last `progress_pulls`.
-  planner::PlanMachine to_plan_machine(const Machine& machine, const MachineType& machine_type) const;
+  placement::PlanMachine to_plan_machine(const Machine& machine, const MachineType& machine_type) const;
 
   /// What the claims on one machine add up to.
   struct Recomputed {
@@ -174,4 +176,4 @@
   std::uint64_t image_uses_ = 0;  ///< of images, so far
 };
 
-}  // namespace wrenusher::machines
+}  // namespace wrenusher::machine_inventory
--- a/src/machines/machines.cpp
+++ b/src/machine_inventory/machine_inventory.cpp
@@ -1,9 +1,9 @@
-#include "wrenusher/machines/machines.hpp"
+#include "wrenusher/machine_inventory/machine_inventory.hpp"
 
 #include <algorithm>
 #include <utility>
 
-namespace wrenusher::machines {
+namespace wrenusher::machine_inventory {
 
 Machine& MachineInventory::get_or_add(const std::string& host) {
   if (Machine* known = find(host)) return *known;
@@ -199,16 +199,16 @@
   machine.image_gb.erase(spec.image);
 }
 
-std::vector<planner::PlannedFetch> MachineInventory::fetches_of(const Machine& machine) {
-  std::vector<planner::PlannedFetch> out;
+std::vector<placement::PlannedFetch> MachineInventory::fetches_of(const Machine& machine) {
+  std::vector<placement::PlannedFetch> out;
   out.reserve(machine.fetches.size());
   for (const auto& [bundle, p] : machine.fetches) out.push_back({bundle, p.remaining_gb, p.priority});
   return out;
 }
 
-planner::PlanMachine MachineInventory::to_plan_machine(const Machine& machine,
-                                                       const MachineType& machine_type) const {
-  planner::PlanMachine planned;
+placement::PlanMachine MachineInventory::to_plan_machine(const Machine& machine,
+                                                         const MachineType& machine_type) const {
+  placement::PlanMachine planned;
   planned.name = machine.name;
   planned.zone = machine.zone;
   planned.machine_type = &machine_type;
@@ -244,4 +244,4 @@
   return {};
 }
 
-}  // namespace wrenusher::machines
+}  // namespace wrenusher::machine_inventory
--- a/src/membership/cancellations.cpp
+++ b/src/membership/cancellation_log.cpp
@@ -1,4 +1,4 @@
-#include "wrenusher/membership/cancellations.hpp"
+#include "wrenusher/membership/cancellation_log.hpp"
 
 #include <algorithm>
 
--- a/src/membership/include/wrenusher/membership/cancellations.hpp
+++ b/src/membership/include/wrenusher/membership/cancellation_log.hpp
@@ -12,7 +12,7 @@
 #include <unordered_set>
 #include <vector>
 
-#include "wrenusher/membership/numbered_log.hpp"
+#include "wrenusher/membership/replicated_log.hpp"
 
 namespace wrenusher::membership {
 
--- a/src/membership/include/wrenusher/membership/leadership.hpp
+++ b/src/membership/include/wrenusher/membership/leadership.hpp
@@ -4,16 +4,18 @@
 // nobody else leads, and which topology is in force; Peer owns the heartbeats. It may depend on base,
 // settings, protocol, topology, store and mail.
 
-#include "wrenusher/mail/mail.hpp"
-#include "wrenusher/store/store.hpp"
+#include "wrenusher/events/events.hpp"
+#include "wrenusher/kv_client/kv_client.hpp"
 
 namespace wrenusher::membership {
 
-using namespace base;
+using namespace time;
+using namespace value;
+using namespace runtime;
 using namespace settings;
 using namespace protocol;
-using namespace store;
-using namespace mail;
+using namespace kv_client;
+using namespace events;
 
 /// An edition as a field of a record or beat; none is no field.
 void write_topology_version(Value::Map& out, const char* field, const topology::TopologyVersion& version);
--- a/src/membership/include/wrenusher/membership/peer.hpp
+++ b/src/membership/include/wrenusher/membership/peer.hpp
@@ -6,16 +6,18 @@
 #include <memory>
 #include <optional>
 
-#include "wrenusher/membership/cancellations.hpp"
+#include "wrenusher/membership/cancellation_log.hpp"
 #include "wrenusher/membership/leadership.hpp"
 
 namespace wrenusher::membership {
 
-using namespace base;
+using namespace time;
+using namespace value;
+using namespace runtime;
 using namespace settings;
 using namespace protocol;
-using namespace store;
-using namespace mail;
+using namespace kv_client;
+using namespace events;
 
 class Peer {
  public:
--- a/src/membership/include/wrenusher/membership/numbered_log.hpp
+++ b/src/membership/include/wrenusher/membership/replicated_log.hpp
@@ -12,7 +12,9 @@
 
 namespace wrenusher::membership {
 
-using namespace base;
+using namespace time;
+using namespace value;
+using namespace runtime;
 using namespace protocol;
 
 class ReplicatedLog {
--- a/src/membership/numbered_log.cpp
+++ b/src/membership/replicated_log.cpp
@@ -1,4 +1,4 @@
-#include "wrenusher/membership/numbered_log.hpp"
+#include "wrenusher/membership/replicated_log.hpp"
 
 #include <algorithm>
 #include <tuple>
--- a/src/net/include/wrenusher/net/net.hpp
+++ b/src/net/include/wrenusher/net/net.hpp
@@ -9,11 +9,12 @@
 #include <map>
 #include <memory>
 
-#include "wrenusher/base/runtime.hpp"
+#include "wrenusher/runtime/runtime.hpp"
 
 namespace wrenusher::net {
 
-using namespace base;
+using namespace time;
+using namespace runtime;
 
 /// Largest body of a request and of an answer to workers and users.
 inline constexpr std::size_t kMaxBody = 64 * 1024;
--- a/src/net/net.cpp
+++ b/src/net/net.cpp
@@ -7,7 +7,7 @@
 #include <array>
 #include <cstring>
 
-#include "wrenusher/base/refusal.hpp"
+#include "wrenusher/runtime/error_response.hpp"
 
 namespace wrenusher::net {
 
--- a/src/held/include/wrenusher/held/held.hpp
+++ b/src/pending_replies/include/wrenusher/pending_replies/pending_replies.hpp
@@ -1,7 +1,7 @@
 #pragma once
-// Package held: the answers to reports that wait for the commit of what the report brought, so that the
-// worker gets its next tasks with the same answer. It owns the answers and nothing else. Invariant: at most
-// one a machine, and each is given exactly once. It may depend on base and protocol.
+// Package pending_replies: the answers to reports that wait for the commit of what the report brought, so
+// that the worker gets its next tasks with the same answer. It owns the answers and nothing else. Invariant:
+// at most one a machine, and each is given exactly once. It may depend on base and protocol.
 
 #include <functional>
 #include <map>
@@ -11,9 +11,11 @@
 
 #include "wrenusher/protocol/messages.hpp"
 
-namespace wrenusher::held {
+namespace wrenusher::pending_replies {
 
-using namespace base;
+using namespace time;
+using namespace value;
+using namespace runtime;
 using namespace protocol;
 
 using Reply = std::function<void(std::vector<WorkerCommand>)>;
@@ -39,4 +41,4 @@
   std::map<std::string, PendingReply> waiting_;  ///< by machine
 };
 
-}  // namespace wrenusher::held
+}  // namespace wrenusher::pending_replies
--- a/src/held/held.cpp
+++ b/src/pending_replies/pending_replies.cpp
@@ -1,8 +1,8 @@
-#include "wrenusher/held/held.hpp"
+#include "wrenusher/pending_replies/pending_replies.hpp"
 
 #include <utility>
 
-namespace wrenusher::held {
+namespace wrenusher::pending_replies {
 
 void PendingReplies::reply_empty(const std::string& host) {
   const auto it = waiting_.find(host);
@@ -28,4 +28,4 @@
   }
 }
 
-}  // namespace wrenusher::held
+}  // namespace wrenusher::pending_replies
--- a/src/planner/include/wrenusher/planner/planner.hpp
+++ b/src/placement/include/wrenusher/placement/placement.hpp
@@ -1,7 +1,7 @@
 #pragma once
-// Package planner: decides what runs where, by the paper's rank, order and place (section IV.B). Here are its
-// pure functions; Board keeps what they look at in indexes. It knows neither claims nor clocks. It may depend
-// on base, settings, protocol and topology.
+// Package placement: decides what runs where, by the paper's rank, order and place (section IV.B). Here are
+// its pure functions; Board keeps what they look at in indexes. It knows neither claims nor clocks. It may
+// depend on base, settings, protocol and topology.
 
 #include <map>
 #include <optional>
@@ -13,9 +13,11 @@
 #include "wrenusher/settings/settings.hpp"
 #include "wrenusher/topology/topology.hpp"
 
-namespace wrenusher::planner {
+namespace wrenusher::placement {
 
-using namespace base;
+using namespace time;
+using namespace value;
+using namespace runtime;
 using namespace settings;
 using namespace protocol;
 using protocol::count_fitting;  // beside the one of whole jobs, below
@@ -231,4 +233,4 @@
 std::uint32_t zone_allowance(const JobSpec& spec, const std::map<std::string, std::uint32_t>& zones,
                              const std::string& zone);
 
-}  // namespace wrenusher::planner
+}  // namespace wrenusher::placement
--- a/src/planner/include/wrenusher/planner/board.hpp
+++ b/src/placement/include/wrenusher/placement/placement_index.hpp
@@ -8,9 +8,9 @@
 #include <roaring/roaring.hh>
 #include <unordered_map>
 
-#include "wrenusher/planner/planner.hpp"
+#include "wrenusher/placement/placement.hpp"
 
-namespace wrenusher::planner {
+namespace wrenusher::placement {
 
 struct Placement {
   std::uint32_t job = 0;      ///< slot
@@ -281,4 +281,4 @@
   PlanStatistics statistics_;
 };
 
-}  // namespace wrenusher::planner
+}  // namespace wrenusher::placement
--- a/src/planner/planner.cpp
+++ b/src/placement/placement.cpp
@@ -1,10 +1,10 @@
-#include "wrenusher/planner/planner.hpp"
+#include "wrenusher/placement/placement.hpp"
 
 #include <algorithm>
 #include <limits>
 #include <tuple>
 
-namespace wrenusher::planner {
+namespace wrenusher::placement {
 
 namespace {
 
@@ -356,4 +356,4 @@
   return out;
 }
 
-}  // namespace wrenusher::planner
+}  // namespace wrenusher::placement
--- a/src/planner/board.cpp
+++ b/src/placement/placement_index.cpp
@@ -1,11 +1,11 @@
-#include "wrenusher/planner/board.hpp"
+#include "wrenusher/placement/placement_index.hpp"
 
 #include <algorithm>
 #include <bit>
 #include <limits>
 #include <tuple>
 
-namespace wrenusher::planner {
+namespace wrenusher::placement {
 
 namespace {
 
@@ -626,4 +626,4 @@
   plan_count_ = plans;
 }
 
-}  // namespace wrenusher::planner
+}  // namespace wrenusher::placement
--- a/src/planner/board_plan.cpp
+++ b/src/placement/placement_plan.cpp
@@ -5,9 +5,9 @@
 #include <limits>
 #include <tuple>
 
-#include "wrenusher/planner/board.hpp"
+#include "wrenusher/placement/placement_index.hpp"
 
-namespace wrenusher::planner {
+namespace wrenusher::placement {
 
 /// The machines for up to `want` tasks of the job, the best first.
 std::vector<PlacementIndex::Candidate> PlacementIndex::candidates(Slot slot, std::uint32_t want) {
@@ -285,4 +285,4 @@
   return plan;
 }
 
-}  // namespace wrenusher::planner
+}  // namespace wrenusher::placement
--- a/src/protocol/include/wrenusher/protocol/messages.hpp
+++ b/src/protocol/include/wrenusher/protocol/messages.hpp
@@ -9,13 +9,15 @@
 #include <string>
 #include <vector>
 
-#include "wrenusher/base/time.hpp"
-#include "wrenusher/base/value.hpp"
 #include "wrenusher/settings/settings.hpp"
+#include "wrenusher/time/time.hpp"
+#include "wrenusher/value/value.hpp"
 
 namespace wrenusher::protocol {
 
-using namespace base;
+using namespace time;
+using namespace value;
+using namespace runtime;
 using namespace settings;
 
 enum class JobType { array, gang, service };
--- a/src/provisioner/include/wrenusher/provisioner/provisioner.hpp
+++ b/src/provisioner/include/wrenusher/provisioner/provisioner.hpp
@@ -7,18 +7,20 @@
 #include <functional>
 #include <set>
 
-#include "wrenusher/accounts/accounts.hpp"
-#include "wrenusher/mail/mail.hpp"
+#include "wrenusher/events/events.hpp"
+#include "wrenusher/kv_client/kv_client.hpp"
 #include "wrenusher/settings/settings.hpp"
-#include "wrenusher/store/store.hpp"
+#include "wrenusher/usage_metrics/usage_metrics.hpp"
 
 namespace wrenusher::provisioner {
 
-using namespace base;
+using namespace time;
+using namespace value;
+using namespace runtime;
 using namespace settings;
 using namespace protocol;
-using namespace store;
-using namespace mail;
+using namespace kv_client;
+using namespace events;
 
 class Provisioner {
  public:
@@ -145,7 +147,7 @@
   std::set<std::string> returned_;   ///< given back in this term
   std::set<std::string> inherited_;  ///< machines that the last leader had, not heard in this term yet
   std::size_t inherited_total_ = 0;
-  accounts::CostMetrics costs_;
+  usage_metrics::CostMetrics costs_;
   std::shared_ptr<const Workload> workload_;
 };
 
--- a/src/provisioner/provisioner.cpp
+++ b/src/provisioner/provisioner.cpp
@@ -5,7 +5,7 @@
 #include <utility>
 
 #include "wrenusher/log/log.hpp"
-#include "wrenusher/planner/planner.hpp"
+#include "wrenusher/placement/placement.hpp"
 
 namespace wrenusher::provisioner {
 
@@ -644,7 +644,7 @@
     // What ends on the machines that there are makes room for the tasks that can wait for it.
     const auto mine = [&](const std::string& machine_type) {
       return !demand.excluded_types.contains(machine_type) &&
-             planner::fits_machine_type(demand.spec, catalog_->at(machine_type));
+             placement::fits_machine_type(demand.spec, catalog_->at(machine_type));
     };
     double cores = 0;
     double ahead = 0;
@@ -657,7 +657,7 @@
     for (auto& [flavor, q] : queues) {
       if (!mine(flavor) || cores <= 0) continue;
       const double takes =
-          from_amount(planner::core_equivalents(demand.spec.resources, catalog_->at(flavor)));
+          from_amount(placement::core_equivalents(demand.spec.resources, catalog_->at(flavor)));
       if (demand.spec.type == JobType::service) {
         q.cores = std::max(0.0, q.cores - demand.tasks * takes * q.cores / cores);
         continue;
@@ -682,7 +682,7 @@
           !is_eligible(demand, bin.machine_class)) {
         return;
       }
-      const std::uint32_t n = planner::count_fitting(demand.spec.resources, bin.free, left);
+      const std::uint32_t n = placement::count_fitting(demand.spec.resources, bin.free, left);
       bin.free -= demand.spec.resources * n;
       left -= n;
     };
@@ -696,7 +696,7 @@
       std::uint32_t best_per = 0;
       MachineClass best_kind;
       for (const auto& [name, f] : *catalog_) {
-        const std::uint32_t per = planner::count_fitting(demand.spec.resources, f.capacity, left);
+        const std::uint32_t per = placement::count_fitting(demand.spec.resources, f.capacity, left);
         if (per == 0 || demand.excluded_types.contains(name)) continue;
         const double run = to_seconds(demand.estimate);
         const double hold = to_seconds(f.boot_time) + demand.spec.image_gb / f.fetch_gb_per_s + run;
--- a/src/reports/include/wrenusher/reports/reports.hpp
+++ b/src/reconciler/include/wrenusher/reconciler/reconciler.hpp
@@ -1,32 +1,34 @@
 #pragma once
-// Package reports: what a worker's newest word means for the book and the machines, and what the worker is to
-// do. It owns only the count of reports, by which it tells what the newest one did not show. This is where
+// Package reconciler: what a worker's newest word means for the book and the machines, and what the worker is
+// to do. It owns only the count of reports, by which it tells what the newest one did not show. This is where
 // claims end: nothing but a newer report, or the cloud's return of the machine, proves a task gone. It may
 // depend on base, protocol, mail, book, machines, estimates and accounts.
 
 #include <vector>
 
-#include "wrenusher/accounts/accounts.hpp"
-#include "wrenusher/book/book.hpp"
 #include "wrenusher/estimates/estimator.hpp"
-#include "wrenusher/mail/mail.hpp"
+#include "wrenusher/events/events.hpp"
+#include "wrenusher/job_table/job_table.hpp"
+#include "wrenusher/usage_metrics/usage_metrics.hpp"
 
-namespace wrenusher::reports {
+namespace wrenusher::reconciler {
 
-using namespace base;
+using namespace time;
+using namespace value;
+using namespace runtime;
 using namespace protocol;
-using namespace mail;
-using book::Job;
-using book::JobTable;
-using book::TaskAssignment;
-using book::TaskState;
-using machines::Machine;
-using machines::MachineInventory;
+using namespace events;
+using job_table::Job;
+using job_table::JobTable;
+using job_table::TaskAssignment;
+using job_table::TaskState;
+using machine_inventory::Machine;
+using machine_inventory::MachineInventory;
 
 class Reconciler {
  public:
   Reconciler(Runtime& runtime, JobTable& jobs, MachineInventory& machines, estimates::Estimator& estimator,
-             accounts::StartLatencyMetrics& waits)
+             usage_metrics::StartLatencyMetrics& waits)
       : runtime_(runtime), book_(jobs), machines_(machines), estimator_(estimator), waits_(waits) {}
 
   struct Result {
@@ -58,9 +60,9 @@
   JobTable& book_;
   MachineInventory& machines_;
   estimates::Estimator& estimator_;
-  accounts::StartLatencyMetrics& waits_;
+  usage_metrics::StartLatencyMetrics& waits_;
   std::uint64_t report_count_ = 0;
   std::uint64_t shown_starts_ = 0;
 };
 
-}  // namespace wrenusher::reports
+}  // namespace wrenusher::reconciler
--- a/src/reports/reports.cpp
+++ b/src/reconciler/reconciler.cpp
@@ -1,10 +1,10 @@
-#include "wrenusher/reports/reports.hpp"
+#include "wrenusher/reconciler/reconciler.hpp"
 
 #include <algorithm>
 
 #include "wrenusher/log/log.hpp"
 
-namespace wrenusher::reports {
+namespace wrenusher::reconciler {
 
 namespace {
 
@@ -206,7 +206,7 @@
     if (assignment.state == TaskState::running) {
       remaining = std::max(from_seconds(1), remaining - (runtime_.now() - assignment.running_since));
     } else if (const MachineType* machine_type = machines_.type_of(machine)) {
-      remaining += planner::fetch_time(machines_.to_plan_machine(machine, *machine_type), spec);
+      remaining += placement::fetch_time(machines_.to_plan_machine(machine, *machine_type), spec);
     }
     if (spec.type == JobType::array && remaining < left) continue;
     const Micros grace_period = spec.has_checkpoints() ? std::max(spec.checkpoint_time, left / 2) : Micros{0};
@@ -265,4 +265,4 @@
   });
 }
 
-}  // namespace wrenusher::reports
+}  // namespace wrenusher::reconciler
--- a/src/records/include/wrenusher/records/records.hpp
+++ b/src/records/include/wrenusher/records/records.hpp
@@ -18,12 +18,14 @@
 #include <string>
 #include <vector>
 
-#include "wrenusher/base/range_set.hpp"
 #include "wrenusher/protocol/messages.hpp"
+#include "wrenusher/value/range_set.hpp"
 
 namespace wrenusher::records {
 
-using namespace base;
+using namespace time;
+using namespace value;
+using namespace runtime;
 using namespace protocol;
 
 inline constexpr const char* kJobPrefix = "job/";
--- a/src/standby/teller.cpp
+++ b/src/replica/hint_publisher.cpp
@@ -1,8 +1,8 @@
-#include "wrenusher/standby/teller.hpp"
+#include "wrenusher/replica/hint_publisher.hpp"
 
 #include <algorithm>
 
-namespace wrenusher::standby {
+namespace wrenusher::replica {
 
 namespace {
 
@@ -144,4 +144,4 @@
   return n;
 }
 
-}  // namespace wrenusher::standby
+}  // namespace wrenusher::replica
--- a/src/standby/hints.cpp
+++ b/src/replica/hints.cpp
@@ -1,11 +1,11 @@
-#include "wrenusher/standby/hints.hpp"
+#include "wrenusher/replica/hints.hpp"
 
 #include <xxhash.h>
 
 #include <algorithm>
 #include <cmath>
 
-namespace wrenusher::standby {
+namespace wrenusher::replica {
 
 namespace {
 
@@ -283,4 +283,4 @@
   return out;
 }
 
-}  // namespace wrenusher::standby
+}  // namespace wrenusher::replica
--- a/src/standby/include/wrenusher/standby/teller.hpp
+++ b/src/replica/include/wrenusher/replica/hint_publisher.hpp
@@ -7,9 +7,9 @@
 #include <string>
 #include <vector>
 
-#include "wrenusher/standby/hints.hpp"
+#include "wrenusher/replica/hints.hpp"
 
-namespace wrenusher::standby {
+namespace wrenusher::replica {
 
 class HintPublisher {
  public:
@@ -62,4 +62,4 @@
   std::map<std::string, Subscriber> peers_;
 };
 
-}  // namespace wrenusher::standby
+}  // namespace wrenusher::replica
--- a/src/standby/include/wrenusher/standby/hints.hpp
+++ b/src/replica/include/wrenusher/replica/hints.hpp
@@ -6,13 +6,15 @@
 #include <optional>
 #include <string>
 
-#include "wrenusher/mail/mail.hpp"
+#include "wrenusher/events/events.hpp"
 
-namespace wrenusher::standby {
+namespace wrenusher::replica {
 
-using namespace base;
+using namespace time;
+using namespace value;
+using namespace runtime;
 using namespace protocol;
-using namespace mail;
+using namespace events;
 
 /// What a row is about. Those that serve urgent work first come first: they are told in this order.
 enum class HintKind : char { queue = 'a', booking = 'b', rental = 'c', job = 'd', machine = 'm' };
@@ -56,4 +58,4 @@
   std::map<std::string, Entry> rows_;
 };
 
-}  // namespace wrenusher::standby
+}  // namespace wrenusher::replica
--- a/src/standby/include/wrenusher/standby/copy.hpp
+++ b/src/replica/include/wrenusher/replica/record_replica.hpp
@@ -14,16 +14,18 @@
 #include <optional>
 #include <string>
 
-#include "wrenusher/mail/mail.hpp"
+#include "wrenusher/events/events.hpp"
+#include "wrenusher/kv_client/kv_client.hpp"
 #include "wrenusher/records/records.hpp"
 #include "wrenusher/settings/settings.hpp"
-#include "wrenusher/store/store.hpp"
 
-namespace wrenusher::standby {
+namespace wrenusher::replica {
 
-using namespace base;
+using namespace time;
+using namespace value;
+using namespace runtime;
 using namespace settings;
-using namespace store;
+using namespace kv_client;
 
 /// One put or deletion; false when the record cannot be read.
 bool apply_put(records::RecordSnapshot& snapshot, const KeyValue& row);
@@ -48,7 +50,7 @@
   /// The state service was asked then, and these live jobs are cancelled; all others that are were told
   /// before, by this copy or one of before it.
   std::function<void(Instant asked, std::vector<std::string> cancelled)> on_jobs;
-  std::function<void(const mail::RecordsChanged&)> on_followed;
+  std::function<void(const events::RecordsChanged&)> on_followed;
 
   std::size_t jobs() const { return data_.jobs.size(); }
   std::size_t shards() const { return data_.shards.size(); }
@@ -83,4 +85,4 @@
                                           Partition{"claims/", 0, {}, {}, false, {}, {}}};
 };
 
-}  // namespace wrenusher::standby
+}  // namespace wrenusher::replica
--- a/src/standby/include/wrenusher/standby/check.hpp
+++ b/src/replica/include/wrenusher/replica/replica_verifier.hpp
@@ -15,9 +15,9 @@
 #include <string>
 #include <vector>
 
-#include "wrenusher/standby/copy.hpp"
+#include "wrenusher/replica/record_replica.hpp"
 
-namespace wrenusher::standby {
+namespace wrenusher::replica {
 
 /// The keys that the check compares, each with the stamp that it should have.
 std::vector<Condition> verification_conditions(const records::RecordSnapshot& snapshot);
@@ -62,4 +62,4 @@
   std::uint64_t generation_ = 0;
 };
 
-}  // namespace wrenusher::standby
+}  // namespace wrenusher::replica
--- a/src/standby/include/wrenusher/standby/standby.hpp
+++ b/src/replica/include/wrenusher/replica/standby_replica.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Package standby: what a node that does not lead holds ready, so that a term begins with what the last one
+// Package replica: what a node that does not lead holds ready, so that a term begins with what the last one
 // had learnt. It owns a copy of the records (checked against the state service when this node has won) and
 // the leader's hints of what no record holds, which travel as bounded pieces in the peers' heartbeats. A hint
 // may order and estimate, never prove. It may depend on base, settings, protocol, store, records and mail.
@@ -9,13 +9,13 @@
 #include <string>
 #include <vector>
 
-#include "wrenusher/mail/mail.hpp"
+#include "wrenusher/events/events.hpp"
+#include "wrenusher/replica/hint_publisher.hpp"
+#include "wrenusher/replica/record_replica.hpp"
+#include "wrenusher/replica/replica_verifier.hpp"
 #include "wrenusher/settings/settings.hpp"
-#include "wrenusher/standby/check.hpp"
-#include "wrenusher/standby/copy.hpp"
-#include "wrenusher/standby/teller.hpp"
 
-namespace wrenusher::standby {
+namespace wrenusher::replica {
 
 class StandbyReplica {
  public:
@@ -69,4 +69,4 @@
   Instant warn_cold_at_{};
 };
 
-}  // namespace wrenusher::standby
+}  // namespace wrenusher::replica
--- a/src/standby/copy.cpp
+++ b/src/replica/record_replica.cpp
@@ -1,10 +1,10 @@
-#include "wrenusher/standby/copy.hpp"
+#include "wrenusher/replica/record_replica.hpp"
 
 #include <algorithm>
 
 #include "wrenusher/log/log.hpp"
 
-namespace wrenusher::standby {
+namespace wrenusher::replica {
 
 namespace {
 
@@ -187,7 +187,7 @@
   partition.applied_revision = reply.revision;
   partition.current_at = runtime_.now();
   if (&partition == &partitions_[0] && on_followed) {
-    mail::RecordsChanged followed;
+    events::RecordsChanged followed;
     for (const KeyValue& row : reply.puts) followed.put(row.key, row.value);
     for (const auto& [key, stamp] : reply.deletes) followed.erase(key);
     on_followed(followed);
@@ -225,4 +225,4 @@
   }
 }
 
-}  // namespace wrenusher::standby
+}  // namespace wrenusher::replica
--- a/src/standby/check.cpp
+++ b/src/replica/replica_verifier.cpp
@@ -1,6 +1,6 @@
-#include "wrenusher/standby/check.hpp"
+#include "wrenusher/replica/replica_verifier.hpp"
 
-namespace wrenusher::standby {
+namespace wrenusher::replica {
 
 namespace {
 
@@ -133,4 +133,4 @@
   }
 }
 
-}  // namespace wrenusher::standby
+}  // namespace wrenusher::replica
--- a/src/standby/standby.cpp
+++ b/src/replica/standby_replica.cpp
@@ -1,11 +1,11 @@
-#include "wrenusher/standby/standby.hpp"
+#include "wrenusher/replica/standby_replica.hpp"
 
 #include <algorithm>
 #include <utility>
 
 #include "wrenusher/log/log.hpp"
 
-namespace wrenusher::standby {
+namespace wrenusher::replica {
 
 namespace {
 
@@ -250,4 +250,4 @@
   if (term_.leading) publisher_.erase(hint_key(HintKind::machine, event.host), runtime_.now());
 }
 
-}  // namespace wrenusher::standby
+}  // namespace wrenusher::replica
--- a/src/base/include/wrenusher/base/refusal.hpp
+++ b/src/runtime/include/wrenusher/runtime/error_response.hpp
@@ -3,9 +3,9 @@
 
 #include <string>
 
-#include "wrenusher/base/runtime.hpp"
+#include "wrenusher/runtime/runtime.hpp"
 
-namespace wrenusher::base {
+namespace wrenusher::runtime {
 
 /// The body of a refusal is a map: `code` (stable, listed in docs/operations.md), `error` (one plain
 /// sentence), `field` (the field or name at fault, where there is one) and `retry_after_s` (where it is to be
@@ -19,4 +19,4 @@
 };
 Response error_response(const ErrorResponse& refusal);
 
-}  // namespace wrenusher::base
+}  // namespace wrenusher::runtime
--- a/src/base/include/wrenusher/base/runtime.hpp
+++ b/src/runtime/include/wrenusher/runtime/runtime.hpp
@@ -10,9 +10,9 @@
 #include <utility>
 #include <vector>
 
-#include "wrenusher/base/time.hpp"
+#include "wrenusher/time/time.hpp"
 
-namespace wrenusher::base {
+namespace wrenusher::runtime {
 
 /// "host:port" of a service, by IP number.
 using Endpoint = std::string;
@@ -49,17 +49,17 @@
   Runtime& operator=(const Runtime&) = delete;
   virtual ~Runtime() = default;
 
-  virtual Instant now() const = 0;
-  virtual WallTime wall_time() const = 0;
+  virtual time::Instant now() const = 0;
+  virtual time::WallTime wall_time() const = 0;
   virtual std::mt19937_64& random() = 0;
   /// Runs `f` after the present event, in the order of the calls: the mail between actors.
   virtual void post(std::function<void()> action) = 0;
-  virtual void after(Micros delay, std::function<void()> action) = 0;
-  virtual void call(const Endpoint& endpoint, Request request, Micros timeout, CallHandler done) = 0;
+  virtual void after(time::Micros delay, std::function<void()> action) = 0;
+  virtual void call(const Endpoint& endpoint, Request request, time::Micros timeout, CallHandler done) = 0;
 
   /// A random delay between 0 and `most`.
-  Micros jitter(Micros most) {
-    return Micros{std::uniform_int_distribution<std::int64_t>(0, most.count())(random())};
+  time::Micros jitter(time::Micros most) {
+    return time::Micros{std::uniform_int_distribution<std::int64_t>(0, most.count())(random())};
   }
 };
 
@@ -83,4 +83,4 @@
   std::vector<std::function<void(const Message&)>> receivers_;
 };
 
-}  // namespace wrenusher::base
+}  // namespace wrenusher::runtime
--- a/src/rounds/include/wrenusher/rounds/rounds.hpp
+++ b/src/scheduling_cycle/include/wrenusher/scheduling_cycle/scheduling_cycle.hpp
@@ -1,9 +1,10 @@
 #pragma once
-// Package rounds: the round that asks the planner and applies its plan. It owns the planner's board and keeps
-// it up with what changes in book and machines, when to plan, which machine types are kept for those who need
-// them, and what the cloud is known not to have; it makes claims in the book, and says whom to stop and what
-// is short. Invariant: the board shows what book and machines would show anew (`disagreement` compares). It
-// may depend on base, settings, protocol, topology, mail, planner, estimates, book and machines.
+// Package scheduling_cycle: the round that asks the planner and applies its plan. It owns the planner's board
+// and keeps it up with what changes in book and machines, when to plan, which machine types are kept for
+// those who need them, and what the cloud is known not to have; it makes claims in the book, and says whom to
+// stop and what is short. Invariant: the board shows what book and machines would show anew (`disagreement`
+// compares). It may depend on base, settings, protocol, topology, mail, planner, estimates, book and
+// machines.
 
 #include <map>
 #include <memory>
@@ -12,24 +13,26 @@
 #include <unordered_map>
 #include <vector>
 
-#include "wrenusher/book/book.hpp"
 #include "wrenusher/estimates/estimator.hpp"
-#include "wrenusher/mail/mail.hpp"
-#include "wrenusher/planner/board.hpp"
+#include "wrenusher/events/events.hpp"
+#include "wrenusher/job_table/job_table.hpp"
+#include "wrenusher/placement/placement_index.hpp"
 #include "wrenusher/settings/settings.hpp"
 
-namespace wrenusher::rounds {
+namespace wrenusher::scheduling_cycle {
 
-using namespace base;
+using namespace time;
+using namespace value;
+using namespace runtime;
 using namespace settings;
 using namespace protocol;
-using namespace mail;
-using book::Job;
-using book::JobTable;
-using book::TaskAssignment;
-using book::TaskState;
-using machines::Machine;
-using machines::MachineInventory;
+using namespace events;
+using job_table::Job;
+using job_table::JobTable;
+using job_table::TaskAssignment;
+using job_table::TaskState;
+using machine_inventory::Machine;
+using machine_inventory::MachineInventory;
 
 class SchedulingCycle {
  public:
@@ -60,13 +63,13 @@
   /// Task counts for display; null where it is too soon to tell again.
   std::shared_ptr<const Progress> progress();
   /// What the last plan looked at.
-  const planner::PlacementIndex::PlanStatistics& statistics() const { return index_.statistics(); }
+  const placement::PlacementIndex::PlanStatistics& statistics() const { return index_.statistics(); }
   /// Reckons anew what the board shows of machines that have not changed since, and says what differs; empty
   /// when nothing does.
   std::string disagreement() const;
 
  private:
-  using Slot = planner::PlacementIndex::Slot;
+  using Slot = placement::PlacementIndex::Slot;
   /// What is remembered of a live job from round to round.
   struct JobState {
     Slot slot = 0;
@@ -98,31 +101,31 @@
   void update_estimate(Job& job, JobState& state);
   void update_machines();
   void update_machine(Machine& machine);
-  std::vector<planner::EndingTask> ending_tasks(const Machine& machine) const;
+  std::vector<placement::EndingTask> ending_tasks(const Machine& machine) const;
   void update_reserved_types();
   void update_waiting();
   bool gang_may_start(Job& job);
   void place_on_index(Job& job, JobState& state);
   void remove_from_index(JobState& state);
-  bool fill_zones(const Job& job, planner::PlanJob& plan_job) const;
-  bool fill_layout(const Job& job, planner::PlanJob& plan_job) const;
+  bool fill_zones(const Job& job, placement::PlanJob& plan_job) const;
+  bool fill_layout(const Job& job, placement::PlanJob& plan_job) const;
   bool expects_image(const Job& job) const;
   bool near_image(Job& job);
-  planner::PlanningContext planning_context() const;
-  void apply(const planner::Plan& plan);
-  std::vector<planner::Shortage> urgent_shortages(const planner::Plan& plan) const;
-  void preempt_for(const std::vector<planner::Shortage>& shortages, std::vector<DirectCommands>& halts);
-  std::shared_ptr<const Workload> workload(const planner::Plan& plan);
+  placement::PlanningContext planning_context() const;
+  void apply(const placement::Plan& plan);
+  std::vector<placement::Shortage> urgent_shortages(const placement::Plan& plan) const;
+  void preempt_for(const std::vector<placement::Shortage>& shortages, std::vector<DirectCommands>& halts);
+  std::shared_ptr<const Workload> workload(const placement::Plan& plan);
   std::optional<std::set<std::pair<std::string, std::string>>> eligible_placements(
-      const planner::PlanJob& job) const;
-  void log_layout_waits(const planner::Plan& plan);
+      const placement::PlanJob& job) const;
+  void log_layout_waits(const placement::Plan& plan);
 
   Runtime& runtime_;
   const Settings& settings_;
   JobTable& book_;
   MachineInventory& machines_;
   const estimates::Estimator& estimator_;
-  planner::PlacementIndex index_;
+  placement::PlacementIndex index_;
   std::unordered_map<std::uint64_t, JobState> job_states_;      ///< by Job::id
   std::vector<LiveJob> jobs_by_age_;                            ///< in the order of acceptance
   std::vector<Job*> job_by_slot_;                               ///< by slot
@@ -149,4 +152,4 @@
   std::set<std::string> reserved_types_;
 };
 
-}  // namespace wrenusher::rounds
+}  // namespace wrenusher::scheduling_cycle
--- a/src/rounds/rounds.cpp
+++ b/src/scheduling_cycle/scheduling_cycle.cpp
@@ -1,10 +1,10 @@
-#include "wrenusher/rounds/rounds.hpp"
+#include "wrenusher/scheduling_cycle/scheduling_cycle.hpp"
 
 #include <algorithm>
 
 #include "wrenusher/log/log.hpp"
 
-namespace wrenusher::rounds {
+namespace wrenusher::scheduling_cycle {
 
 namespace {
 
@@ -27,8 +27,8 @@
 constexpr Micros kGangCompletionWindow = from_seconds(8);
 
 /// A job that would be late by the time a new machine has come takes what is there now.
-bool too_late(const planner::Slack& slack, Micros patience) {
-  return slack.status == planner::DeadlineStatus::pressed && slack.pressed_for < patience * 5 / 4;
+bool too_late(const placement::Slack& slack, Micros patience) {
+  return slack.status == placement::DeadlineStatus::pressed && slack.pressed_for < patience * 5 / 4;
 }
 
 }  // namespace
@@ -58,10 +58,10 @@
   update_machines();
   update_reserved_types();
   update_waiting();
-  const planner::Plan plan = index_.plan(planning_context());
+  const placement::Plan plan = index_.plan(planning_context());
   apply(plan);
   Result result;
-  const std::vector<planner::Shortage> pressing = urgent_shortages(plan);
+  const std::vector<placement::Shortage> pressing = urgent_shortages(plan);
   if (!pressing.empty() && runtime_.now() - last_preempt_ > kPreemptInterval)
     preempt_for(pressing, result.stops);
   result.workload = workload(plan);
@@ -69,8 +69,8 @@
   return result;
 }
 
-planner::PlanningContext SchedulingCycle::planning_context() const {
-  planner::PlanningContext context;
+placement::PlanningContext SchedulingCycle::planning_context() const {
+  placement::PlanningContext context;
   context.now = runtime_.wall_time();
   context.instant = runtime_.now();
   context.settings = &settings_;
@@ -116,7 +116,7 @@
 /// A job that is not known here yet.
 SchedulingCycle::LiveJob SchedulingCycle::track_job(Job& job) {
   JobState& state = job_states_[job.id];
-  state.fitting_types = planner::fitting_machine_types(job.spec(), *machines_.catalog());
+  state.fitting_types = placement::fitting_machine_types(job.spec(), *machines_.catalog());
   return {&job, &state};
 }
 
@@ -188,15 +188,15 @@
   if (full) full_machines_.emplace_back(machine.full_until, machine.name);
   index_.set_machine(
       machine.slot, machines_.to_plan_machine(machine, *machine_type), ending_tasks(machine),
-      machine_type->capacity.cores - planner::core_equivalents(machine.use.service_load, *machine_type),
+      machine_type->capacity.cores - placement::core_equivalents(machine.use.service_load, *machine_type),
       !full);
 }
 
 /// When the places on it will become free. Replicas never leave theirs; one that runs for longer than
 /// estimated is believed to go on for a while.
-std::vector<planner::EndingTask> SchedulingCycle::ending_tasks(const Machine& machine) const {
-  std::vector<planner::EndingTask> out;
-  const book::MachineAssignments& there = book_.assignments_on(machine);
+std::vector<placement::EndingTask> SchedulingCycle::ending_tasks(const Machine& machine) const {
+  std::vector<placement::EndingTask> out;
+  const job_table::MachineAssignments& there = book_.assignments_on(machine);
   out.reserve(there.size());
   for (const auto& [id, job] : there) {
     const JobSpec& spec = job->spec();
@@ -204,8 +204,8 @@
     if (spec.type == JobType::service || assignment.state == TaskState::recovered) continue;
     const auto state = job_states_.find(job->id);
     const Micros estimate = state == job_states_.end() ? estimator_.estimate(spec) : state->second.estimate;
-    planner::EndingTask ending{spec.resources, std::nullopt, estimate,
-                               assignment.counted_as_fetching ? &spec : nullptr};
+    placement::EndingTask ending{spec.resources, std::nullopt, estimate,
+                                 assignment.counted_as_fetching ? &spec : nullptr};
     if (assignment.stopping) {
       ending.min_remaining = assignment.grace_period;
     } else if (assignment.state == TaskState::running) {
@@ -239,7 +239,7 @@
 
 void SchedulingCycle::update_waiting() {
   const WallTime now = runtime_.wall_time();
-  planner::Guarantees guarantees(settings_);
+  placement::Guarantees guarantees(settings_);
   std::set<std::string> wanted;
   for (const LiveJob& live : jobs_by_age_) {
     Job& job = *live.job;
@@ -304,13 +304,13 @@
 
 void SchedulingCycle::place_on_index(Job& job, JobState& state) {
   const JobSpec& spec = job.spec();
-  planner::PlanJob plan_job;
+  placement::PlanJob plan_job;
   plan_job.spec = &spec;
   plan_job.waiting = job.waiting.size();
   plan_job.estimate = state.estimate;
   if (const Team* team = settings_.team(spec.team); team != nullptr && spec.type == JobType::array) {
     const Resources all{to_amount(team->cores_max), to_amount(team->gpus_max), 0};
-    const std::uint32_t at_once = planner::max_concurrent(spec.resources, all, plan_job.waiting);
+    const std::uint32_t at_once = placement::max_concurrent(spec.resources, all, plan_job.waiting);
     plan_job.waves = std::max(1U, (plan_job.waiting + at_once - 1) / at_once);
   }
   plan_job.accepted_at = job.record.accepted_at;
@@ -321,7 +321,7 @@
   if (state.patient) plan_job.excluded_types = plan_job.unrentable_types = state.reserved_types;
   if (state.patient && !state.on_index)
     state.pressed =
-        too_late(planner::slack(plan_job, runtime_.wall_time(), settings_.objectives), state.patience);
+        too_late(placement::slack(plan_job, runtime_.wall_time(), settings_.objectives), state.patience);
   if (state.pressed) plan_job.excluded_types.clear();
   state.unlocated = !fill_zones(job, plan_job) || !fill_layout(job, plan_job);
   if (state.unlocated) {
@@ -344,7 +344,7 @@
 
 /// Where the job's tasks are, if that matters. False where it is not known yet: a claimed machine has not
 /// reported in this term.
-bool SchedulingCycle::fill_zones(const Job& job, planner::PlanJob& plan_job) const {
+bool SchedulingCycle::fill_zones(const Job& job, placement::PlanJob& plan_job) const {
   if (!job.spec().single_zone && !job.spec().spread_zones) return true;
   bool known = true;
   for (const auto& [task, c] : job.assignments) {
@@ -356,10 +356,10 @@
 }
 
 /// Likewise by domain: every claim counts until its task is proven off its machine.
-bool SchedulingCycle::fill_layout(const Job& job, planner::PlanJob& plan_job) const {
+bool SchedulingCycle::fill_layout(const Job& job, placement::PlanJob& plan_job) const {
   const JobSpec& spec = job.spec();
   if (!spec.layout || (!spec.layout->spread && !spec.layout->colocation)) return true;
-  planner::PlanLayout layout;
+  placement::PlanLayout layout;
   const auto level = [&](const std::string& name) {
     return topology_ == nullptr ? -1 : topology_->level(name);
   };
@@ -420,9 +420,9 @@
     if ((m.schedulable() && machine_type != nullptr) != (m.slot != Machine::kNoSlot))
       return "machine " + name + " is on the planner's board or off it wrongly";
     if (m.slot == Machine::kNoSlot) continue;
-    const planner::PlanMachine* shown = index_.machine(m.slot);
+    const placement::PlanMachine* shown = index_.machine(m.slot);
     if (shown == nullptr) return "machine " + name + " is not on the planner's board";
-    planner::PlanMachine now = machines_.to_plan_machine(m, *machine_type);
+    placement::PlanMachine now = machines_.to_plan_machine(m, *machine_type);
     now.fetches = shown->fetches;  // these go on from plan to plan
     if (!(now == *shown) || shown->fetches.size() != m.fetches.size())
       return "machine " + name + " is shown wrongly on the planner's board";
@@ -434,12 +434,12 @@
 
 // ---------------------------------------------------------------- what comes of the plan
 
-void SchedulingCycle::apply(const planner::Plan& plan) {
+void SchedulingCycle::apply(const placement::Plan& plan) {
   std::map<Slot, std::uint64_t> attempts;
-  for (const planner::Placement& placement : plan.placements) {
+  for (const placement::Placement& placement : plan.placements) {
     Job& job = *job_by_slot_[placement.job];
-    const planner::PlanMachine& host = *index_.machine(placement.machine);
-    const planner::PlanJob& shown = index_.job(placement.job);
+    const placement::PlanMachine& host = *index_.machine(placement.machine);
+    const placement::PlanJob& shown = index_.job(placement.job);
     // What completes a gang has the attempt of the rest.
     const bool completes = job.spec().type == JobType::gang && !job.assignments.empty();
     const auto [it, first] = attempts.try_emplace(
@@ -451,20 +451,20 @@
     log::debug("tasks_placed",
                "job {job} (rank {rank:.1f} s): {tasks} tasks to {machine}, finish in {finish:.1f} s with "
                "{fetch:.1f} s of fetch",
-               log::with("job", job.spec().job_id), log::with("rank", to_seconds(planner::rank(shown))),
+               log::with("job", job.spec().job_id), log::with("rank", to_seconds(placement::rank(shown))),
                log::with("tasks", placement.tasks), log::with("machine", host.name),
-               log::with("finish", to_seconds(planner::finish_time(host, shown))),
-               log::with("fetch", to_seconds(planner::fetch_time(host, job.spec()))));
+               log::with("finish", to_seconds(placement::finish_time(host, shown))),
+               log::with("fetch", to_seconds(placement::fetch_time(host, job.spec()))));
   }
 }
 
 /// What is short and may have others stopped for it.
-std::vector<planner::Shortage> SchedulingCycle::urgent_shortages(const planner::Plan& plan) const {
-  std::vector<planner::Shortage> out;
+std::vector<placement::Shortage> SchedulingCycle::urgent_shortages(const placement::Plan& plan) const {
+  std::vector<placement::Shortage> out;
   const WallTime now = runtime_.wall_time();
-  for (const planner::Shortage& shortage : plan.shortages) {
+  for (const placement::Shortage& shortage : plan.shortages) {
     const auto slot = static_cast<Slot>(shortage.job);
-    const planner::PlanJob& job = index_.job(slot);
+    const placement::PlanJob& job = index_.job(slot);
     if (job.spec->type == JobType::service && job.spec->priority == Priority::prod) {
       // A service is missed from the first moment, and no new machine comes sooner than a task is stopped.
       out.push_back(shortage);
@@ -474,22 +474,22 @@
         now - job.accepted_at < job_states_.at(job_by_slot_[slot]->id).patience)
       continue;
     // Others are stopped only for what would otherwise come too late, and can still come in time.
-    const planner::Slack slack = index_.deadline_slack(slot, now);
-    if (slack.status == planner::DeadlineStatus::pressed && slack.pressed_for < kLatestStartMargin)
+    const placement::Slack slack = index_.deadline_slack(slot, now);
+    if (slack.status == placement::DeadlineStatus::pressed && slack.pressed_for < kLatestStartMargin)
       out.push_back(shortage);
   }
   return out;
 }
 
 /// Stops tasks of less urgent jobs for urgent ones that have waited for as long as new machines take to come.
-void SchedulingCycle::preempt_for(const std::vector<planner::Shortage>& shortages,
+void SchedulingCycle::preempt_for(const std::vector<placement::Shortage>& shortages,
                                   std::vector<DirectCommands>& halts) {
   last_preempt_ = runtime_.now();
-  std::vector<planner::RunningTask> running;
+  std::vector<placement::RunningTask> running;
   std::vector<TaskAssignment*> assignments;
-  planner::PreemptionView after;
-  std::vector<planner::Shortage> pressing = shortages;
-  for (planner::Shortage& shortage : pressing) {
+  placement::PreemptionView after;
+  std::vector<placement::Shortage> pressing = shortages;
+  for (placement::Shortage& shortage : pressing) {
     after.jobs.push_back(index_.job(static_cast<Slot>(shortage.job)));
     shortage.job = after.jobs.size() - 1;
   }
@@ -514,8 +514,8 @@
       assignments.push_back(&assignment);
     }
   }
-  book::CommandsByMachine commands;
-  for (const std::size_t i : planner::choose_preemptions(after, pressing, running)) {
+  job_table::CommandsByMachine commands;
+  for (const std::size_t i : placement::choose_preemptions(after, pressing, running)) {
     TaskAssignment& assignment = *assignments[i];
     const JobSpec& spec = *running[i].spec;
     if (assignment.stopping) continue;
@@ -542,24 +542,24 @@
 
 /// Where a machine would have to come to serve the job's layout, as far as type and zone tell.
 std::optional<std::set<std::pair<std::string, std::string>>> SchedulingCycle::eligible_placements(
-    const planner::PlanJob& job) const {
+    const placement::PlanJob& job) const {
   const JobSpec& spec = *job.spec;
   if (!spec.layout || topology_ == nullptr) return std::nullopt;
-  const std::optional<planner::PlanLayout>& layout = job.layout;
+  const std::optional<placement::PlanLayout>& layout = job.layout;
   std::set<std::pair<std::string, std::string>> out;
   const auto domains_allow = [&](const std::string& type, const std::string& zone) {
     if (!layout || (!layout->spread_required && !layout->colocation_required)) return true;
     if (layout->impossible) return false;
     topology::MachineLocation place;
     place.by_level.resize(topology_->levels().size());
-    planner::PlanMachine there;
+    placement::PlanMachine there;
     there.place = &place;
     const auto& all = topology_->domains();
     for (topology::DomainId id = 1; id < all.size(); ++id) {
       if (!all[id].children.empty() || !topology_->may_gain_machine(id, type, zone)) continue;
       for (std::size_t level = 0; level < place.by_level.size(); ++level)
         place.by_level[level] = topology_->ancestor_at(id, static_cast<int>(level));
-      if (planner::layout_allowance(*layout, there, spec.task_count, false) > 0) return true;
+      if (placement::layout_allowance(*layout, there, spec.task_count, false) > 0) return true;
     }
     return false;
   };
@@ -575,12 +575,12 @@
 }
 
 /// Says once why a job waits for its layout, and once more when the reason is another.
-void SchedulingCycle::log_layout_waits(const planner::Plan& plan) {
+void SchedulingCycle::log_layout_waits(const placement::Plan& plan) {
   if (runtime_.now() < next_wait_log_) return;
   next_wait_log_ = runtime_.now() + kWaitLogInterval;
-  for (const planner::Shortage& shortage : plan.shortages) {
+  for (const placement::Shortage& shortage : plan.shortages) {
     const auto slot = static_cast<Slot>(shortage.job);
-    const planner::PlanJob& plan_job = index_.job(slot);
+    const placement::PlanJob& plan_job = index_.job(slot);
     if (!plan_job.spec->layout) continue;
     JobState& state = job_states_.at(job_by_slot_[slot]->id);
     std::string why = "no machine that its layout allows has room";
@@ -598,12 +598,12 @@
   }
 }
 
-std::shared_ptr<const Workload> SchedulingCycle::workload(const planner::Plan& plan) {
+std::shared_ptr<const Workload> SchedulingCycle::workload(const placement::Plan& plan) {
   if (runtime_.now() < next_workload_) return nullptr;
   next_workload_ = runtime_.now() + kWorkloadInterval;
   auto workload = std::make_shared<Workload>();
-  for (const planner::Shortage& shortage : plan.shortages) {
-    const planner::PlanJob& job = index_.job(static_cast<Slot>(shortage.job));
+  for (const placement::Shortage& shortage : plan.shortages) {
+    const placement::PlanJob& job = index_.job(static_cast<Slot>(shortage.job));
     workload->demands.push_back(
         {*job.spec, shortage.tasks, shortage.expected_soon, job.estimate,
          index_.deadline_slack(static_cast<Slot>(shortage.job), runtime_.wall_time()).remaining,
@@ -614,9 +614,9 @@
     Workload::MachineLoad load{name, m.machine_type, m.zone, m.spot, m.usable(), m.use.assignments, 0, 0, 0};
     load.has_named_device = !m.place.devices.empty();
     if (const MachineType* machine_type = machines_.type_of(m)) {
-      load.reserved = planner::core_equivalents(m.use.reserved, *machine_type);
-      load.running = planner::core_equivalents(m.use.running, *machine_type);
-      load.service_load = planner::core_equivalents(m.use.service_load, *machine_type);
+      load.reserved = placement::core_equivalents(m.use.reserved, *machine_type);
+      load.running = placement::core_equivalents(m.use.running, *machine_type);
+      load.service_load = placement::core_equivalents(m.use.service_load, *machine_type);
     }
     workload->machines.push_back(std::move(load));
   }
@@ -634,4 +634,4 @@
   return out;
 }
 
-}  // namespace wrenusher::rounds
+}  // namespace wrenusher::scheduling_cycle
--- a/src/settings/include/wrenusher/settings/settings.hpp
+++ b/src/settings/include/wrenusher/settings/settings.hpp
@@ -6,11 +6,12 @@
 #include <string>
 #include <vector>
 
-#include "wrenusher/base/runtime.hpp"
+#include "wrenusher/runtime/runtime.hpp"
 
 namespace wrenusher::settings {
 
-using namespace base;
+using namespace time;
+using namespace runtime;
 
 struct Team {
   std::string name;
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -9,7 +9,7 @@
 #include <set>
 #include <sstream>
 
-#include "wrenusher/fields/fields.hpp"
+#include "wrenusher/config_reader/config_reader.hpp"
 
 namespace wrenusher::settings {
 
@@ -18,7 +18,7 @@
 using nlohmann::json;
 
 std::string read_file(const std::string& path) {
-  auto text = fields::read_file(path);
+  auto text = config_reader::read_file(path);
   if (!text) throw SettingsError(path + ": cannot be read");
   return *std::move(text);
 }
@@ -66,7 +66,7 @@
   Endpoint endpoint() const {
     const std::string s = text();
     const auto colon = s.rfind(':');
-    bool good = colon != std::string::npos && fields::parse_ipv4(s.substr(0, colon));
+    bool good = colon != std::string::npos && config_reader::parse_ipv4(s.substr(0, colon));
     if (good) {
       char* end = nullptr;
       const std::string port = s.substr(colon + 1);
--- a/src/base/include/wrenusher/base/time.hpp
+++ b/src/time/include/wrenusher/time/time.hpp
@@ -4,7 +4,7 @@
 #include <chrono>
 #include <cstdint>
 
-namespace wrenusher::base {
+namespace wrenusher::time {
 
 using Micros = std::chrono::duration<std::int64_t, std::micro>;
 
@@ -38,4 +38,4 @@
   return Micros{ms * 1000};
 }
 
-}  // namespace wrenusher::base
+}  // namespace wrenusher::time
--- a/src/topology/include/wrenusher/topology/topology.hpp
+++ b/src/topology/include/wrenusher/topology/topology.hpp
@@ -11,12 +11,14 @@
 #include <string>
 #include <vector>
 
-#include "wrenusher/fields/fields.hpp"
+#include "wrenusher/config_reader/config_reader.hpp"
 #include "wrenusher/protocol/messages.hpp"
 
 namespace wrenusher::topology {
 
-using namespace base;
+using namespace time;
+using namespace value;
+using namespace runtime;
 using namespace protocol;
 
 /// Counts from 1; 0 is the one domain of all machines that belong to none.
@@ -77,7 +79,7 @@
 
 class Topology {
  public:
-  /// Throws fields::ConfigError: one line with file, line and field.
+  /// Throws config_reader::ConfigError: one line with file, line and field.
   static std::shared_ptr<const Topology> parse(const std::string& yaml, const std::string& file);
 
   const TopologyVersion& version() const { return version_; }
@@ -114,9 +116,9 @@
     Pattern on;
     std::uint32_t count = 0;
   };
-  void read_domains(fields::ConfigNode& top);
-  void read_devices(fields::ConfigNode& top);
-  void check_tree(const std::map<std::string, fields::ConfigNode>& nodes);
+  void read_domains(config_reader::ConfigNode& top);
+  void read_devices(config_reader::ConfigNode& top);
+  void check_tree(const std::map<std::string, config_reader::ConfigNode>& nodes);
   void check_overlaps(const std::string& file) const;
   void index();
   std::optional<InvalidField> spread_never_holds(const JobSpec& spec) const;
--- a/src/topology/topology.cpp
+++ b/src/topology/topology.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-using fields::ConfigNode;
+using config_reader::ConfigNode;
 
 constexpr int kMaxVersion = 1000000000;
 constexpr std::size_t kMaxLevels = 16;
@@ -28,7 +28,7 @@
 std::pair<std::uint32_t, std::uint32_t> read_range(const ConfigNode& node) {
   const std::string text = node.text();
   const auto slash = text.find('/');
-  const auto ip = fields::parse_ipv4(text.substr(0, slash));
+  const auto ip = config_reader::parse_ipv4(text.substr(0, slash));
   int bits = 32;
   char more = 0;
   if (!ip || (slash != std::string::npos &&
@@ -61,7 +61,7 @@
 }  // namespace
 
 std::optional<std::uint32_t> parse_ip(const std::string& text) {
-  return fields::parse_ipv4(text.substr(0, text.find(':')));
+  return config_reader::parse_ipv4(text.substr(0, text.find(':')));
 }
 
 bool glob(const std::string& pattern, const std::string& name) {
@@ -256,10 +256,10 @@
   for (std::size_t i = 0; i < all.size(); ++i) {
     for (std::size_t k = 0; k < i; ++k) {
       if (all[i].first == all[k].first || !all[i].second->overlaps(*all[k].second)) continue;
-      throw fields::ConfigError(file + ":" + std::to_string(all[i].second->line) + ": domains." +
-                                domains_[all[i].first].name + ": '" + all[i].second->text + "' overlaps '" +
-                                all[k].second->text + "' of " + domains_[all[k].first].name + ", line " +
-                                std::to_string(all[k].second->line));
+      throw config_reader::ConfigError(
+          file + ":" + std::to_string(all[i].second->line) + ": domains." + domains_[all[i].first].name +
+          ": '" + all[i].second->text + "' overlaps '" + all[k].second->text + "' of " +
+          domains_[all[k].first].name + ", line " + std::to_string(all[k].second->line));
     }
   }
 }
--- a/src/survey/include/wrenusher/survey/survey.hpp
+++ b/src/topology_loader/include/wrenusher/topology_loader/topology_loader.hpp
@@ -1,18 +1,21 @@
 #pragma once
-// Package survey: reads the operators' topology, at the start and whenever its file changes. It owns what was
-// last read: a newer version is read, checked whole, and told; one that cannot be read or has a mistake is
-// refused with its reason, and what was read before stands. It may depend on base, topology and mail.
+// Package topology_loader: reads the operators' topology, at the start and whenever its file changes. It owns
+// what was last read: a newer version is read, checked whole, and told; one that cannot be read or has a
+// mistake is refused with its reason, and what was read before stands. It may depend on base, topology and
+// mail.
 
 #include <functional>
 #include <optional>
 
-#include "wrenusher/base/runtime.hpp"
-#include "wrenusher/mail/mail.hpp"
+#include "wrenusher/events/events.hpp"
+#include "wrenusher/runtime/runtime.hpp"
 
-namespace wrenusher::survey {
+namespace wrenusher::topology_loader {
 
-using namespace base;
-using namespace mail;
+using namespace time;
+using namespace value;
+using namespace runtime;
+using namespace events;
 
 /// The text of a file; nothing where it cannot be read.
 using Reader = std::function<std::optional<std::string>(const std::string& path)>;
@@ -38,4 +41,4 @@
   topology::TopologyVersion loaded_version_;
 };
 
-}  // namespace wrenusher::survey
+}  // namespace wrenusher::topology_loader
--- a/src/survey/survey.cpp
+++ b/src/topology_loader/topology_loader.cpp
@@ -1,8 +1,8 @@
-#include "wrenusher/survey/survey.hpp"
+#include "wrenusher/topology_loader/topology_loader.hpp"
 
 #include "wrenusher/log/log.hpp"
 
-namespace wrenusher::survey {
+namespace wrenusher::topology_loader {
 
 namespace {
 
@@ -33,7 +33,7 @@
   std::shared_ptr<const topology::Topology> topology;
   try {
     topology = topology::Topology::parse(text_, path_);
-  } catch (const fields::ConfigError& exception) {
+  } catch (const config_reader::ConfigError& exception) {
     log_rejected(exception.what());
     return;
   }
@@ -52,4 +52,4 @@
   topology_loaded(TopologyLoaded{std::move(topology)});
 }
 
-}  // namespace wrenusher::survey
+}  // namespace wrenusher::topology_loader
--- a/src/accounts/include/wrenusher/accounts/accounts.hpp
+++ b/src/usage_metrics/include/wrenusher/usage_metrics/usage_metrics.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// Package accounts: what operators are told every minute of where the time and the money went. It owns the
-// sums since the last account, decides nothing, and forgets them once told. It may depend on base and
+// Package usage_metrics: what operators are told every minute of where the time and the money went. It owns
+// the sums since the last account, decides nothing, and forgets them once told. It may depend on base and
 // protocol.
 
 #include <map>
@@ -9,9 +9,11 @@
 
 #include "wrenusher/protocol/messages.hpp"
 
-namespace wrenusher::accounts {
+namespace wrenusher::usage_metrics {
 
-using namespace base;
+using namespace time;
+using namespace value;
+using namespace runtime;
 using namespace protocol;
 
 inline constexpr Micros kLogInterval = from_seconds(60);
@@ -42,7 +44,7 @@
 /// What was spent on each kind of machine (type; spot or not), by what it was spent on.
 class CostMetrics {
  public:
-  /// A machine in the time since the last reckoning; amounts as cores, see planner::in_cores.
+  /// A machine in the time since the last reckoning; amounts as cores, see placement::in_cores.
   struct Use {
     bool up = false;
     Amount reserved = 0;
@@ -69,4 +71,4 @@
   Instant next_log_{};
 };
 
-}  // namespace wrenusher::accounts
+}  // namespace wrenusher::usage_metrics
--- a/src/accounts/accounts.cpp
+++ b/src/usage_metrics/usage_metrics.cpp
@@ -1,8 +1,8 @@
-#include "wrenusher/accounts/accounts.hpp"
+#include "wrenusher/usage_metrics/usage_metrics.hpp"
 
 #include "wrenusher/log/log.hpp"
 
-namespace wrenusher::accounts {
+namespace wrenusher::usage_metrics {
 
 void StartLatencyMetrics::started(const std::string& job_class, const Start& start) {
   Sum& sums = by_job_class_[job_class];
@@ -75,4 +75,4 @@
   by_class_.clear();
 }
 
-}  // namespace wrenusher::accounts
+}  // namespace wrenusher::usage_metrics
--- a/src/base/include/wrenusher/base/range_set.hpp
+++ b/src/value/include/wrenusher/value/range_set.hpp
@@ -5,9 +5,9 @@
 #include <map>
 #include <optional>
 
-#include "wrenusher/base/value.hpp"
+#include "wrenusher/value/value.hpp"
 
-namespace wrenusher::base {
+namespace wrenusher::value {
 
 class RangeSet {
  public:
@@ -32,4 +32,4 @@
   std::uint32_t size_ = 0;
 };
 
-}  // namespace wrenusher::base
+}  // namespace wrenusher::value
--- a/src/base/include/wrenusher/base/value.hpp
+++ b/src/value/include/wrenusher/value/value.hpp
@@ -10,7 +10,7 @@
 #include <variant>
 #include <vector>
 
-namespace wrenusher::base {
+namespace wrenusher::value {
 
 class Value {
  public:
@@ -74,4 +74,4 @@
 /// bytes, or holds what the protocol does not have (byte strings, tags, keys that are no text).
 std::optional<Value> decode(std::string_view bytes);
 
-}  // namespace wrenusher::base
+}  // namespace wrenusher::value
--- a/src/base/range_set.cpp
+++ b/src/value/range_set.cpp
@@ -1,8 +1,8 @@
-#include "wrenusher/base/range_set.hpp"
+#include "wrenusher/value/range_set.hpp"
 
 #include <algorithm>
 
-namespace wrenusher::base {
+namespace wrenusher::value {
 
 void RangeSet::add(std::uint32_t first, std::uint32_t last) {
   auto it = ranges_.upper_bound(first);
@@ -67,4 +67,4 @@
   return true;
 }
 
-}  // namespace wrenusher::base
+}  // namespace wrenusher::value
--- a/src/base/value.cpp
+++ b/src/value/value.cpp
@@ -1,10 +1,10 @@
-#include "wrenusher/base/value.hpp"
+#include "wrenusher/value/value.hpp"
 
 #include <cbor.h>
 
 #include <cmath>
 
-namespace wrenusher::base {
+namespace wrenusher::value {
 
 namespace {
 
@@ -321,4 +321,4 @@
   return b.take();
 }
 
-}  // namespace wrenusher::base
+}  // namespace wrenusher::value
--- a/src/fleet/heed.cpp
+++ b/src/worker_gateway/delivery_monitor.cpp
@@ -1,10 +1,10 @@
-#include "wrenusher/fleet/heed.hpp"
+#include "wrenusher/worker_gateway/delivery_monitor.hpp"
 
 #include <algorithm>
 #include <iterator>
 #include <utility>
 
-namespace wrenusher::fleet {
+namespace wrenusher::worker_gateway {
 
 namespace {
 
@@ -59,4 +59,4 @@
   }
 }
 
-}  // namespace wrenusher::fleet
+}  // namespace wrenusher::worker_gateway
--- a/src/fleet/include/wrenusher/fleet/heed.hpp
+++ b/src/worker_gateway/include/wrenusher/worker_gateway/delivery_monitor.hpp
@@ -7,9 +7,11 @@
 
 #include "wrenusher/protocol/messages.hpp"
 
-namespace wrenusher::fleet {
+namespace wrenusher::worker_gateway {
 
-using namespace base;
+using namespace time;
+using namespace value;
+using namespace runtime;
 using namespace protocol;
 
 /// So many reports in a row that show nothing of the answer before them: it hears nothing. An answer is lost
@@ -39,4 +41,4 @@
   int unobserved_replies_ = 0;
 };
 
-}  // namespace wrenusher::fleet
+}  // namespace wrenusher::worker_gateway
--- a/src/fleet/include/wrenusher/fleet/fleet.hpp
+++ b/src/worker_gateway/include/wrenusher/worker_gateway/worker_gateway.hpp
@@ -1,25 +1,27 @@
 #pragma once
-// Package fleet: workers, their reports, the way orders reach them, who answers them, and which have gone
-// silent. It owns, by machine, the newest report's place in order and when it came; what the report means is
-// for the ledger; which failure domains are lost, watch judges. It may depend on base, settings, protocol,
-// topology, mail and watch.
+// Package worker_gateway: workers, their reports, the way orders reach them, who answers them, and which have
+// gone silent. It owns, by machine, the newest report's place in order and when it came; what the report
+// means is for the ledger; which failure domains are lost, watch judges. It may depend on base, settings,
+// protocol, topology, mail and watch.
 
 #include <deque>
 #include <memory>
 #include <set>
 #include <unordered_map>
 
-#include "wrenusher/fleet/heed.hpp"
-#include "wrenusher/mail/mail.hpp"
+#include "wrenusher/domain_failure_detector/domain_failure_detector.hpp"
+#include "wrenusher/events/events.hpp"
 #include "wrenusher/settings/settings.hpp"
-#include "wrenusher/watch/watch.hpp"
+#include "wrenusher/worker_gateway/delivery_monitor.hpp"
 
-namespace wrenusher::fleet {
+namespace wrenusher::worker_gateway {
 
-using namespace base;
+using namespace time;
+using namespace value;
+using namespace runtime;
 using namespace settings;
 using namespace protocol;
-using namespace mail;
+using namespace events;
 
 class WorkerGateway {
  public:
@@ -120,7 +122,7 @@
   Instant next_challenge_{};
   bool replies_lost_ = false;  ///< most workers show nothing of this leader's answers
   std::shared_ptr<const topology::Topology> topology_;
-  watch::DomainFailureDetector domain_failures_;
+  domain_failure_detector::DomainFailureDetector domain_failures_;
   std::set<std::string> suspected_;  ///< as it was last told
   std::deque<Poll> polls_;           ///< still to be made, in order
   std::size_t polls_in_flight_ = 0;
@@ -144,4 +146,4 @@
   bool withholding_renewals_ = false;  ///< it was told that leases are
 };
 
-}  // namespace wrenusher::fleet
+}  // namespace wrenusher::worker_gateway
--- a/src/fleet/fleet.cpp
+++ b/src/worker_gateway/worker_gateway.cpp
@@ -1,11 +1,11 @@
-#include "wrenusher/fleet/fleet.hpp"
+#include "wrenusher/worker_gateway/worker_gateway.hpp"
 
 #include <algorithm>
 
-#include "wrenusher/base/refusal.hpp"
 #include "wrenusher/log/log.hpp"
+#include "wrenusher/runtime/error_response.hpp"
 
-namespace wrenusher::fleet {
+namespace wrenusher::worker_gateway {
 
 namespace {
 constexpr Micros kTickInterval = from_millis(250);
@@ -447,7 +447,7 @@
 
 void WorkerGateway::check_domains(Micros late) {
   if (!topology_) return;
-  std::vector<watch::DomainMember> members;
+  std::vector<domain_failure_detector::DomainMember> members;
   members.reserve(workers_.size());
   for (const auto& [name, h] : workers_) members.push_back({&name, &h.place, h.heard_at});
   domain_failures_.evaluate(runtime_.now(), late, members);
@@ -546,4 +546,4 @@
   runtime_.after(kTickInterval, [this] { tick(); });
 }
 
-}  // namespace wrenusher::fleet
+}  // namespace wrenusher::worker_gateway
--- a/lab/live/include/wrenusher/lab/live_lab.hpp
+++ b/testbed/live/include/wrenusher/testbed/live_testbed.hpp
@@ -5,12 +5,12 @@
 
 #include <stdexcept>
 
-#include "wrenusher/lab/cloud.hpp"
-#include "wrenusher/lab/live_wires.hpp"
-#include "wrenusher/lab/state_service.hpp"
-#include "wrenusher/lab/users.hpp"
+#include "wrenusher/testbed/cloud.hpp"
+#include "wrenusher/testbed/kv_service.hpp"
+#include "wrenusher/testbed/live_transport.hpp"
+#include "wrenusher/testbed/users.hpp"
 
-namespace wrenusher::lab {
+namespace wrenusher::testbed {
 
 struct TestbedOptions {
   Site site;
@@ -107,7 +107,7 @@
   void child_ended(Child& c);
   void serve_user(const Request& r, const Responder& answer);
   void serve_control(const Request& r, const Responder& answer);
-  void track_user(const Request& r, const base::CallResult& o, Instant asked);
+  void track_user(const Request& r, const runtime::CallResult& o, Instant asked);
   int controller(const std::string& name) const;
 
   net::UvRuntime& runtime_;
@@ -127,4 +127,4 @@
   std::function<void()> stopped_;
 };
 
-}  // namespace wrenusher::lab
+}  // namespace wrenusher::testbed
--- a/lab/live/include/wrenusher/lab/live_wires.hpp
+++ b/testbed/live/include/wrenusher/testbed/live_transport.hpp
@@ -3,10 +3,10 @@
 // controllers as children. It owns the ports, the children and their files; it may depend on the models and
 // on net.
 
-#include "wrenusher/lab/wires.hpp"
 #include "wrenusher/net/net.hpp"
+#include "wrenusher/testbed/transport.hpp"
 
-namespace wrenusher::lab {
+namespace wrenusher::testbed {
 
 /// Sockets of a process of the lab, which holds both ends of most connections.
 inline constexpr int kTestbedSockets = 60000;
@@ -58,4 +58,4 @@
 /// "127.0.0.1:port".
 Endpoint loopback(int port);
 
-}  // namespace wrenusher::lab
+}  // namespace wrenusher::testbed
--- a/lab/live/live_lab.cpp
+++ b/testbed/live/live_testbed.cpp
@@ -1,4 +1,4 @@
-#include "wrenusher/lab/live_lab.hpp"
+#include "wrenusher/testbed/live_testbed.hpp"
 
 #include <fcntl.h>
 #include <signal.h>
@@ -11,9 +11,9 @@
 #include <fstream>
 #include <nlohmann/json.hpp>
 
-#include "wrenusher/lab/answers.hpp"
+#include "wrenusher/testbed/answers.hpp"
 
-namespace wrenusher::lab {
+namespace wrenusher::testbed {
 
 namespace {
 
@@ -58,7 +58,7 @@
     if (error) throw TestbedError(path_ + ": cannot be made: " + error.message());
     return;
   }
-  path_ = (std::filesystem::temp_directory_path() / "wrenlab-XXXXXX").string();
+  path_ = (std::filesystem::temp_directory_path() / "wrenusher-testbed-XXXXXX").string();
   if (mkdtemp(path_.data()) == nullptr) throw TestbedError(path_ + ": no folder can be made there");
 }
 
@@ -301,7 +301,7 @@
 /// Operators' files, which may be changed while the lab runs. Written before any controller is started: one
 /// that starts while its tunables are written reads none, and keeps to the defaults.
 void LiveTestbed::write_operators_files() {
-  if (!options_.site.topology_text.empty() && !fields::read_file(topology_path()))
+  if (!options_.site.topology_text.empty() && !config_reader::read_file(topology_path()))
     write_topology(options_.site.topology_text);
   if (tunables_text().empty()) return;
   std::ofstream out(tunables_path());
@@ -402,7 +402,7 @@
   });
 }
 
-void LiveTestbed::track_user(const Request& r, const base::CallResult& o, Instant asked) {
+void LiveTestbed::track_user(const Request& r, const runtime::CallResult& o, Instant asked) {
   if (!o.answered || !r.target.starts_with("/submissions")) return;
   const auto v = decode(o.response.body);
   const std::string state = v && (*v)["status"].text() != nullptr ? *(*v)["status"].text() : "";
@@ -573,4 +573,4 @@
   }
 }
 
-}  // namespace wrenusher::lab
+}  // namespace wrenusher::testbed
--- a/lab/live/live_wires.cpp
+++ b/testbed/live/live_transport.cpp
@@ -1,9 +1,9 @@
-#include "wrenusher/lab/live_wires.hpp"
+#include "wrenusher/testbed/live_transport.hpp"
 
 #include <cctype>
 #include <stdexcept>
 
-namespace wrenusher::lab {
+namespace wrenusher::testbed {
 
 namespace {
 
@@ -103,4 +103,4 @@
   for (auto& f : held) runtime_.after(from_millis(1), std::move(f));
 }
 
-}  // namespace wrenusher::lab
+}  // namespace wrenusher::testbed
--- a/lab/models/checker.cpp
+++ b/testbed/models/checker.cpp
@@ -1,8 +1,8 @@
-#include "wrenusher/lab/checker.hpp"
+#include "wrenusher/testbed/checker.hpp"
 
 #include <algorithm>
 
-namespace wrenusher::lab {
+namespace wrenusher::testbed {
 
 namespace {
 
@@ -351,4 +351,4 @@
   }
 }
 
-}  // namespace wrenusher::lab
+}  // namespace wrenusher::testbed
--- a/lab/models/cloud.cpp
+++ b/testbed/models/cloud.cpp
@@ -1,12 +1,12 @@
-#include "wrenusher/lab/cloud.hpp"
+#include "wrenusher/testbed/cloud.hpp"
 
 #include <algorithm>
 #include <cmath>
 #include <cstdlib>
 
-#include "wrenusher/lab/answers.hpp"
+#include "wrenusher/testbed/answers.hpp"
 
-namespace wrenusher::lab {
+namespace wrenusher::testbed {
 
 namespace {
 
@@ -159,4 +159,4 @@
   return reply(200, Value::Map{{"hosts", std::move(rows)}, {"truncated", more}});
 }
 
-}  // namespace wrenusher::lab
+}  // namespace wrenusher::testbed
--- a/lab/models/include/wrenusher/lab/answers.hpp
+++ b/testbed/models/include/wrenusher/testbed/answers.hpp
@@ -3,17 +3,17 @@
 
 #include <string>
 
-#include "wrenusher/base/runtime.hpp"
-#include "wrenusher/base/value.hpp"
+#include "wrenusher/runtime/runtime.hpp"
+#include "wrenusher/value/value.hpp"
 
-namespace wrenusher::lab {
+namespace wrenusher::testbed {
 
-inline base::Response reply(int status, const base::Value& body) {
-  return {status, base::encode(body), 0};
+inline runtime::Response reply(int status, const value::Value& body) {
+  return {status, value::encode(body), 0};
 }
 
-inline base::Response malformed(const std::string& error) {
-  return reply(400, base::Value::Map{{"error", error}});
+inline runtime::Response malformed(const std::string& error) {
+  return reply(400, value::Value::Map{{"error", error}});
 }
 
 /// The value of a name in the query of a target; empty when it is not there.
@@ -26,4 +26,4 @@
   return {};
 }
 
-}  // namespace wrenusher::lab
+}  // namespace wrenusher::testbed
--- a/lab/models/include/wrenusher/lab/checker.hpp
+++ b/testbed/models/include/wrenusher/testbed/checker.hpp
@@ -8,14 +8,16 @@
 #include <string>
 #include <vector>
 
-#include "wrenusher/base/runtime.hpp"
 #include "wrenusher/protocol/messages.hpp"
+#include "wrenusher/runtime/runtime.hpp"
 #include "wrenusher/settings/settings.hpp"
 #include "wrenusher/topology/topology.hpp"
 
-namespace wrenusher::lab {
+namespace wrenusher::testbed {
 
-using namespace base;
+using namespace time;
+using namespace value;
+using namespace runtime;
 using settings::Settings;
 using settings::Team;
 using namespace protocol;
@@ -159,4 +161,4 @@
   std::size_t starts_ = 0;
 };
 
-}  // namespace wrenusher::lab
+}  // namespace wrenusher::testbed
--- a/lab/models/include/wrenusher/lab/cloud.hpp
+++ b/testbed/models/include/wrenusher/testbed/cloud.hpp
@@ -4,10 +4,10 @@
 
 #include <deque>
 
-#include "wrenusher/lab/machines.hpp"
-#include "wrenusher/lab/pace.hpp"
+#include "wrenusher/testbed/machines.hpp"
+#include "wrenusher/testbed/pace.hpp"
 
-namespace wrenusher::lab {
+namespace wrenusher::testbed {
 
 class Cloud {
  public:
@@ -47,4 +47,4 @@
   std::uint64_t rented_ = 0;
 };
 
-}  // namespace wrenusher::lab
+}  // namespace wrenusher::testbed
--- a/lab/models/include/wrenusher/lab/keep.hpp
+++ b/testbed/models/include/wrenusher/testbed/durable_storage.hpp
@@ -10,12 +10,13 @@
 #include <string>
 #include <vector>
 
-#include "wrenusher/base/time.hpp"
-#include "wrenusher/base/value.hpp"
+#include "wrenusher/time/time.hpp"
+#include "wrenusher/value/value.hpp"
 
-namespace wrenusher::lab {
+namespace wrenusher::testbed {
 
-using namespace base;
+using namespace time;
+using namespace value;
 
 struct KvEntry {
   Value value;
@@ -90,4 +91,4 @@
 /// disk allows.
 std::unique_ptr<DurableStorage> open_sqlite(const std::string& folder, std::uint32_t most_pages = 0);
 
-}  // namespace wrenusher::lab
+}  // namespace wrenusher::testbed
--- a/lab/models/include/wrenusher/lab/state_service.hpp
+++ b/testbed/models/include/wrenusher/testbed/kv_service.hpp
@@ -4,12 +4,12 @@
 
 #include <memory>
 
-#include "wrenusher/lab/keep.hpp"
-#include "wrenusher/lab/pace.hpp"
-#include "wrenusher/lab/wires.hpp"
 #include "wrenusher/settings/settings.hpp"
+#include "wrenusher/testbed/durable_storage.hpp"
+#include "wrenusher/testbed/pace.hpp"
+#include "wrenusher/testbed/transport.hpp"
 
-namespace wrenusher::lab {
+namespace wrenusher::testbed {
 
 struct KvLimits {
   double rps = 0;  ///< requests a second
@@ -99,4 +99,4 @@
   std::string storage_error_;
 };
 
-}  // namespace wrenusher::lab
+}  // namespace wrenusher::testbed
--- a/lab/models/include/wrenusher/lab/machines.hpp
+++ b/testbed/models/include/wrenusher/testbed/machines.hpp
@@ -4,11 +4,11 @@
 
 #include <memory>
 
-#include "wrenusher/lab/checker.hpp"
-#include "wrenusher/lab/site.hpp"
-#include "wrenusher/lab/wires.hpp"
+#include "wrenusher/testbed/checker.hpp"
+#include "wrenusher/testbed/site.hpp"
+#include "wrenusher/testbed/transport.hpp"
 
-namespace wrenusher::lab {
+namespace wrenusher::testbed {
 
 /// What users uploaded of a job, and how it turns out.
 struct SimulatedJob {
@@ -129,4 +129,4 @@
   Instant stepped_{};
 };
 
-}  // namespace wrenusher::lab
+}  // namespace wrenusher::testbed
--- a/lab/models/include/wrenusher/lab/site.hpp
+++ b/testbed/models/include/wrenusher/testbed/site.hpp
@@ -7,14 +7,16 @@
 #include <string>
 #include <vector>
 
-#include "wrenusher/fields/fields.hpp"
+#include "wrenusher/config_reader/config_reader.hpp"
 #include "wrenusher/protocol/messages.hpp"
 #include "wrenusher/settings/settings.hpp"
 #include "wrenusher/topology/topology.hpp"
 
-namespace wrenusher::lab {
+namespace wrenusher::testbed {
 
-using namespace base;
+using namespace time;
+using namespace value;
+using namespace runtime;
 using namespace protocol;
 using settings::Settings;
 
@@ -86,13 +88,13 @@
 };
 
 /// A mistake in a site file; what() is one line: file, line, field, what is wrong.
-using SiteError = fields::ConfigError;
-using fields::parse_duration;
-using fields::read_text;
+using SiteError = config_reader::ConfigError;
+using config_reader::parse_duration;
+using config_reader::read_text;
 
 Site parse_site(const std::string& yaml, const std::string& file);
 Site load_site(const std::string& path);
 /// What is used where no file is named: two types of machine, two zones, two teams, four classes of jobs.
 const char* small_site_yaml();
 
-}  // namespace wrenusher::lab
+}  // namespace wrenusher::testbed
--- a/lab/models/include/wrenusher/lab/wires.hpp
+++ b/testbed/models/include/wrenusher/testbed/transport.hpp
@@ -13,11 +13,12 @@
 #include <string>
 #include <vector>
 
-#include "wrenusher/base/runtime.hpp"
+#include "wrenusher/runtime/runtime.hpp"
 
-namespace wrenusher::lab {
+namespace wrenusher::testbed {
 
-using namespace base;
+using namespace time;
+using namespace runtime;
 
 /// What a broken link does with what is sent over it.
 enum class LinkCut {
@@ -81,4 +82,4 @@
   int pick(int n) { return std::uniform_int_distribution<int>(0, n - 1)(random()); }
 };
 
-}  // namespace wrenusher::lab
+}  // namespace wrenusher::testbed
--- a/lab/models/include/wrenusher/lab/users.hpp
+++ b/testbed/models/include/wrenusher/testbed/users.hpp
@@ -2,10 +2,10 @@
 // The users and their load balancer: jobs submitted until they are taken, polled until they are over, some
 // cancelled; each user believes what it was told.
 
-#include "wrenusher/lab/checker.hpp"
-#include "wrenusher/lab/machines.hpp"
+#include "wrenusher/testbed/checker.hpp"
+#include "wrenusher/testbed/machines.hpp"
 
-namespace wrenusher::lab {
+namespace wrenusher::testbed {
 
 /// Chooses a healthy node for each connection, as PROTOCOL says.
 class Balancer {
@@ -18,7 +18,7 @@
   void send_to(std::size_t node, const Request& r, Micros timeout, CallHandler done);
   std::size_t nodes() const { return nodes_.size(); }
   /// Tells of each request that went through the balancer what came of it, and after how long.
-  std::function<void(const Request&, const base::CallResult&, Micros took)> on_outcome;
+  std::function<void(const Request&, const runtime::CallResult&, Micros took)> on_outcome;
 
  private:
   struct ConfigNode {
@@ -94,4 +94,4 @@
 /// A job of a class of the site, drawn anew.
 SimulatedJob draw_job(const Site& site, const JobClass& c, int number, std::mt19937_64& random);
 
-}  // namespace wrenusher::lab
+}  // namespace wrenusher::testbed
--- a/lab/models/include/wrenusher/lab/verdict.hpp
+++ b/testbed/models/include/wrenusher/testbed/verdict.hpp
@@ -1,9 +1,9 @@
 #pragma once
 // What a run came to, in the end: every job's fate, and whether anything is wrong.
 
-#include "wrenusher/lab/users.hpp"
+#include "wrenusher/testbed/users.hpp"
 
-namespace wrenusher::lab {
+namespace wrenusher::testbed {
 
 struct Verdict {
   struct Row {
@@ -25,4 +25,4 @@
 /// A table for people.
 std::string table(const Verdict& v);
 
-}  // namespace wrenusher::lab
+}  // namespace wrenusher::testbed
--- a/lab/models/state_service.cpp
+++ b/testbed/models/kv_service.cpp
@@ -1,11 +1,11 @@
-#include "wrenusher/lab/state_service.hpp"
+#include "wrenusher/testbed/kv_service.hpp"
 
 #include <algorithm>
 #include <cstdlib>
 
-#include "wrenusher/lab/answers.hpp"
+#include "wrenusher/testbed/answers.hpp"
 
-namespace wrenusher::lab {
+namespace wrenusher::testbed {
 
 namespace {
 
@@ -360,4 +360,4 @@
   }
 }
 
-}  // namespace wrenusher::lab
+}  // namespace wrenusher::testbed
--- a/lab/models/links.cpp
+++ b/testbed/models/links.cpp
@@ -1,6 +1,6 @@
-#include "wrenusher/lab/wires.hpp"
+#include "wrenusher/testbed/transport.hpp"
 
-namespace wrenusher::lab {
+namespace wrenusher::testbed {
 
 namespace {
 
@@ -44,4 +44,4 @@
   return it == requests_.end() ? LinkCut::none : it->second;
 }
 
-}  // namespace wrenusher::lab
+}  // namespace wrenusher::testbed
--- a/lab/models/machine_state.hpp
+++ b/testbed/models/machine_state.hpp
@@ -1,9 +1,9 @@
 #pragma once
 // What the model of the machines keeps of each task, machine and gang; for machines.cpp alone.
 
-#include "wrenusher/lab/machines.hpp"
+#include "wrenusher/testbed/machines.hpp"
 
-namespace wrenusher::lab {
+namespace wrenusher::testbed {
 
 struct Machines::Task {
   std::string job_id;
@@ -59,4 +59,4 @@
   bool failed = false;                ///< the save
 };
 
-}  // namespace wrenusher::lab
+}  // namespace wrenusher::testbed
--- a/lab/models/machines.cpp
+++ b/testbed/models/machines.cpp
@@ -1,12 +1,12 @@
-#include "wrenusher/lab/machines.hpp"
+#include "wrenusher/testbed/machines.hpp"
 
 #include <algorithm>
 #include <cstdlib>
 
 #include "machine_state.hpp"
-#include "wrenusher/lab/answers.hpp"
+#include "wrenusher/testbed/answers.hpp"
 
-namespace wrenusher::lab {
+namespace wrenusher::testbed {
 
 namespace {
 
@@ -667,4 +667,4 @@
   m->next_report = now + from_seconds(1);
 }
 
-}  // namespace wrenusher::lab
+}  // namespace wrenusher::testbed
--- a/lab/models/site.cpp
+++ b/testbed/models/site.cpp
@@ -1,12 +1,12 @@
-#include "wrenusher/lab/site.hpp"
+#include "wrenusher/testbed/site.hpp"
 
 #include <cmath>
 
-namespace wrenusher::lab {
+namespace wrenusher::testbed {
 
 namespace {
 
-using fields::ConfigNode;
+using config_reader::ConfigNode;
 
 /// A number, or {median: , p95: }.
 Distribution read_spread(ConfigNode n, double least, double most) {
@@ -311,4 +311,4 @@
 )";
 }
 
-}  // namespace wrenusher::lab
+}  // namespace wrenusher::testbed
--- a/lab/models/sqlite_keep.cpp
+++ b/testbed/models/sqlite_storage.cpp
@@ -5,9 +5,9 @@
 #include <cerrno>
 #include <cstring>
 
-#include "wrenusher/lab/keep.hpp"
+#include "wrenusher/testbed/durable_storage.hpp"
 
-namespace wrenusher::lab {
+namespace wrenusher::testbed {
 
 namespace {
 
@@ -320,4 +320,4 @@
   return std::make_unique<SqliteStorage>(folder, most_pages);
 }
 
-}  // namespace wrenusher::lab
+}  // namespace wrenusher::testbed
--- a/lab/models/users.cpp
+++ b/testbed/models/users.cpp
@@ -1,9 +1,9 @@
-#include "wrenusher/lab/users.hpp"
+#include "wrenusher/testbed/users.hpp"
 
 #include <algorithm>
 #include <cmath>
 
-namespace wrenusher::lab {
+namespace wrenusher::testbed {
 
 namespace {
 
@@ -14,7 +14,7 @@
 constexpr Micros kSubmitWait = from_seconds(5);
 constexpr Micros kRetry = from_seconds(1);
 
-std::string state_of(const base::CallResult& o) {
+std::string state_of(const runtime::CallResult& o) {
   const auto v = o.answered ? decode(o.response.body) : std::nullopt;
   return v && (*v)["status"].text() != nullptr ? *(*v)["status"].text() : "";
 }
@@ -36,7 +36,7 @@
 
 void Balancer::probe(std::size_t i) {
   transport_.send("user", nodes_[i].address, {"GET", "/ready", {}}, from_seconds(1),
-                  [this, i](const base::CallResult& o) {
+                  [this, i](const runtime::CallResult& o) {
                     judge(nodes_[i], o.answered && o.response.status == 200);
                     transport_.at(kProbeEvery, [this, i] { probe(i); });
                   });
@@ -81,7 +81,7 @@
     return;
   }
   attempt(r, timeout, kMaxTries, {},
-          [this, r, asked = transport_.now(), done = std::move(done)](const base::CallResult& o) {
+          [this, r, asked = transport_.now(), done = std::move(done)](const runtime::CallResult& o) {
             on_outcome(r, o, transport_.now() - asked);
             done(o);
           });
@@ -98,7 +98,7 @@
   tried.insert(i);
   transport_.send("user", nodes_[i].address, r, timeout,
                   [this, i, r, timeout, left, tried = std::move(tried),
-                   done = std::move(done)](const base::CallResult& o) {
+                   done = std::move(done)](const runtime::CallResult& o) {
                     ConfigNode& n = nodes_[i];
                     --n.open;
                     const bool refused = !o.answered && !o.may_have_arrived;
@@ -142,7 +142,7 @@
 
 void Users::ask_again(const JobSpec& spec) {
   balancer_.send({"POST", "/submissions", encode(write_spec(spec))}, kSubmitWait,
-                 [this, spec](const base::CallResult& o) {
+                 [this, spec](const runtime::CallResult& o) {
                    const int status = o.answered ? o.response.status : 0;
                    checker_.answered_submit(transport_.now(), spec.job_id, status);
                    Outcome& job = jobs_[spec.job_id];
@@ -162,7 +162,7 @@
 
 void Users::poll(const std::string& job_id, int left_after_end) {
   balancer_.send({"GET", "/submissions/" + job_id, {}}, kPollWait,
-                 [this, job_id, left_after_end, asked = transport_.now()](const base::CallResult& o) {
+                 [this, job_id, left_after_end, asked = transport_.now()](const runtime::CallResult& o) {
                    int left = left_after_end;
                    if (o.answered) {
                      const std::string state = state_of(o);
@@ -189,7 +189,7 @@
 void Users::cancel(const std::string& job_id) {
   checker_.asked_cancel(job_id);
   balancer_.send({"POST", "/submissions/" + job_id + "/withdraw", {}}, kPollWait,
-                 [this, job_id, asked = transport_.now()](const base::CallResult& o) {
+                 [this, job_id, asked = transport_.now()](const runtime::CallResult& o) {
                    const int status = o.answered ? o.response.status : 0;
                    checker_.answered_cancel(transport_.now(), job_id, status, state_of(o), asked);
                    if (status == 200) look(job_id);
@@ -207,7 +207,7 @@
     for (int i = 0; i < 3; ++i) {
       transport_.at(soon(), [this, n, job_id] {
         balancer_.send_to(n, {"GET", "/submissions/" + job_id, {}}, kPollWait,
-                          [this, job_id, asked = transport_.now()](const base::CallResult& o) {
+                          [this, job_id, asked = transport_.now()](const runtime::CallResult& o) {
                             if (o.answered)
                               checker_.answered_poll(transport_.now(), job_id, o.response.status, state_of(o),
                                                      asked);
@@ -216,7 +216,7 @@
     }
     transport_.at(soon(), [this, n, spec] {
       balancer_.send_to(n, {"POST", "/submissions", encode(write_spec(spec))}, kSubmitWait,
-                        [this, job_id = spec.job_id](const base::CallResult& o) {
+                        [this, job_id = spec.job_id](const runtime::CallResult& o) {
                           checker_.answered_submit(transport_.now(), job_id,
                                                    o.answered ? o.response.status : 0);
                         });
@@ -246,7 +246,7 @@
   Value::Map body = *write_spec(spec).map();
   if (!fits_nothing) std::erase_if(body, [](const auto& field) { return field.first == "owner"; });
   balancer_.send({"POST", "/submissions", encode(Value(std::move(body)))}, kSubmitWait,
-                 [this, job_id = spec.job_id](const base::CallResult& o) {
+                 [this, job_id = spec.job_id](const runtime::CallResult& o) {
                    checker_.answered_submit(transport_.now(), job_id, o.answered ? o.response.status : 0);
                  });
 }
@@ -264,7 +264,7 @@
         cancel(ref);
       } else if (job.accepted != Instant{}) {
         balancer_.send({"POST", "/submissions", encode(write_spec(machines_.job(ref)->spec))}, kSubmitWait,
-                       [this, job_id = ref](const base::CallResult& o) {
+                       [this, job_id = ref](const runtime::CallResult& o) {
                          checker_.answered_submit(transport_.now(), job_id,
                                                   o.answered ? o.response.status : 0);
                        });
@@ -308,4 +308,4 @@
   return j;
 }
 
-}  // namespace wrenusher::lab
+}  // namespace wrenusher::testbed
--- a/lab/models/verdict.cpp
+++ b/testbed/models/verdict.cpp
@@ -1,8 +1,8 @@
-#include "wrenusher/lab/verdict.hpp"
+#include "wrenusher/testbed/verdict.hpp"
 
 #include <cstdio>
 
-namespace wrenusher::lab {
+namespace wrenusher::testbed {
 
 Verdict judge(const Users& users, const Machines& machines, const Checker& checker) {
   Verdict v;
@@ -39,4 +39,4 @@
   return out + line;
 }
 
-}  // namespace wrenusher::lab
+}  // namespace wrenusher::testbed
--- a/lab/scale/cell_processes.cpp
+++ b/testbed/scale/cell_processes.cpp
@@ -1,4 +1,4 @@
-#include "wrenusher/lab/cell_processes.hpp"
+#include "wrenusher/testbed/cell_processes.hpp"
 
 #include <unistd.h>
 #include <uv.h>
@@ -7,10 +7,10 @@
 #include <fstream>
 #include <iostream>
 
-#include "wrenusher/lab/cell_run.hpp"
 #include "wrenusher/net/open_files.hpp"
+#include "wrenusher/testbed/cell_run.hpp"
 
-namespace wrenusher::lab {
+namespace wrenusher::testbed {
 
 namespace {
 
@@ -130,4 +130,4 @@
   return CellProcesses(loads, at_a_time).run();
 }
 
-}  // namespace wrenusher::lab
+}  // namespace wrenusher::testbed
--- a/lab/scale/cell_result.cpp
+++ b/testbed/scale/cell_result.cpp
@@ -1,8 +1,8 @@
-#include "wrenusher/lab/cell_result.hpp"
+#include "wrenusher/testbed/cell_result.hpp"
 
 #include <algorithm>
 
-namespace wrenusher::lab {
+namespace wrenusher::testbed {
 
 LatencySummary waits_of(std::vector<double> seconds) {
   LatencySummary w;
@@ -19,4 +19,4 @@
   return w;
 }
 
-}  // namespace wrenusher::lab
+}  // namespace wrenusher::testbed
--- a/lab/scale/cell_run.cpp
+++ b/testbed/scale/cell_run.cpp
@@ -1,4 +1,4 @@
-#include "wrenusher/lab/cell_run.hpp"
+#include "wrenusher/testbed/cell_run.hpp"
 
 #include <unistd.h>
 
@@ -6,7 +6,7 @@
 #include <cmath>
 #include <cstdio>
 
-namespace wrenusher::lab {
+namespace wrenusher::testbed {
 
 namespace {
 
@@ -114,7 +114,7 @@
     : runtime_(runtime), load_(std::move(load)), testbed_(runtime, lab_options(load_)) {
   result_.load = load_;
   testbed_.users().ask_more_often(load_.questions_factor);
-  testbed_.balancer().on_outcome = [this](const Request& r, const base::CallResult& o, Micros took) {
+  testbed_.balancer().on_outcome = [this](const Request& r, const runtime::CallResult& o, Micros took) {
     count_user(r, o, took);
   };
   testbed_.machines().on_start = [this](const std::string& job_id, std::uint32_t task) {
@@ -205,7 +205,7 @@
   });
 }
 
-void CellRun::count_user(const Request& r, const base::CallResult& o, Micros took) {
+void CellRun::count_user(const Request& r, const runtime::CallResult& o, Micros took) {
   const bool submission = r.method == "POST" && r.target == "/submissions";
   const bool good = o.answered && (o.response.status == 200 || o.response.status == 201);
   ++asked_;
@@ -388,4 +388,4 @@
   testbed_.stop([this] { done_(result_); });
 }
 
-}  // namespace wrenusher::lab
+}  // namespace wrenusher::testbed
--- a/lab/scale/include/wrenusher/lab/cell_processes.hpp
+++ b/testbed/scale/include/wrenusher/testbed/cell_processes.hpp
@@ -5,9 +5,9 @@
 #include <string>
 #include <vector>
 
-#include "wrenusher/lab/cell_result.hpp"
+#include "wrenusher/testbed/cell_result.hpp"
 
-namespace wrenusher::lab {
+namespace wrenusher::testbed {
 
 /// The first argument with which this program is called to run one cell: a file with the load and one for the
 /// result follow.
@@ -19,4 +19,4 @@
 /// standard error.
 std::vector<CellResult> run_cells(const std::vector<CellLoad>& loads, int at_a_time);
 
-}  // namespace wrenusher::lab
+}  // namespace wrenusher::testbed
--- a/lab/scale/include/wrenusher/lab/cell_result.hpp
+++ b/testbed/scale/include/wrenusher/testbed/cell_result.hpp
@@ -7,9 +7,9 @@
 #include <string>
 #include <vector>
 
-#include "wrenusher/lab/scale_options.hpp"
+#include "wrenusher/testbed/scale_options.hpp"
 
-namespace wrenusher::lab {
+namespace wrenusher::testbed {
 
 /// Waits in seconds; all 0 where `count` is.
 struct LatencySummary {
@@ -80,4 +80,4 @@
                                    lab_lag_p99, machine_busy, broken, failed_machines, restarted_machines,
                                    terms, failure_starts)
 
-}  // namespace wrenusher::lab
+}  // namespace wrenusher::testbed
--- a/lab/scale/include/wrenusher/lab/cell_run.hpp
+++ b/testbed/scale/include/wrenusher/testbed/cell_run.hpp
@@ -6,11 +6,11 @@
 #include <memory>
 #include <set>
 
-#include "wrenusher/lab/cell_result.hpp"
-#include "wrenusher/lab/live_lab.hpp"
-#include "wrenusher/lab/process_usage.hpp"
+#include "wrenusher/testbed/cell_result.hpp"
+#include "wrenusher/testbed/live_testbed.hpp"
+#include "wrenusher/testbed/process_usage.hpp"
 
-namespace wrenusher::lab {
+namespace wrenusher::testbed {
 
 /// The site that a load is played on: one zone, one machine type, classes for the ordinary and the urgent
 /// work and for the tasks that outlast the run.
@@ -49,7 +49,7 @@
   void change_topology();
   void wait_for_topology(int version, Instant written);
   void watch_lag();
-  void count_user(const Request& r, const base::CallResult& o, Micros took);
+  void count_user(const Request& r, const runtime::CallResult& o, Micros took);
   void count_start(const std::string& job_id, std::uint32_t task);
   Counts counts();
   void begin_measurement();
@@ -86,4 +86,4 @@
   std::vector<double> lags_;
 };
 
-}  // namespace wrenusher::lab
+}  // namespace wrenusher::testbed
--- a/lab/scale/include/wrenusher/lab/linear_fit.hpp
+++ b/testbed/scale/include/wrenusher/testbed/linear_fit.hpp
@@ -5,7 +5,7 @@
 #include <nlohmann/json.hpp>
 #include <vector>
 
-namespace wrenusher::lab {
+namespace wrenusher::testbed {
 
 struct Point {
   double x = 0;
@@ -29,4 +29,4 @@
 /// Least squares; points in any order. Fewer than two different x give a slope of 0.
 LinearFit fit_line(std::vector<Point> points);
 
-}  // namespace wrenusher::lab
+}  // namespace wrenusher::testbed
--- a/lab/scale/include/wrenusher/lab/process_usage.hpp
+++ b/testbed/scale/include/wrenusher/testbed/process_usage.hpp
@@ -3,7 +3,7 @@
 
 #include <optional>
 
-namespace wrenusher::lab {
+namespace wrenusher::testbed {
 
 struct ProcessUsage {
   double processor_s = 0;  ///< user and system time so far
@@ -21,4 +21,4 @@
 };
 MachineTime machine_time();
 
-}  // namespace wrenusher::lab
+}  // namespace wrenusher::testbed
--- a/lab/scale/include/wrenusher/lab/scale_options.hpp
+++ b/testbed/scale/include/wrenusher/testbed/scale_options.hpp
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-namespace wrenusher::lab {
+namespace wrenusher::testbed {
 
 /// An option that cannot be taken; what() is one line: option, reason, what to do.
 struct ScaleError : std::runtime_error {
@@ -89,4 +89,4 @@
 /// Throws ScaleError where a run would take more than half of the memory, too many processes or ports.
 void check_fits(const std::vector<CellLoad>& cells, const MachineSize& machine);
 
-}  // namespace wrenusher::lab
+}  // namespace wrenusher::testbed
--- a/lab/scale/include/wrenusher/lab/scale_report.hpp
+++ b/testbed/scale/include/wrenusher/testbed/scale_report.hpp
@@ -6,9 +6,9 @@
 #include <string>
 #include <vector>
 
-#include "wrenusher/lab/slopes.hpp"
+#include "wrenusher/testbed/slopes.hpp"
 
-namespace wrenusher::lab {
+namespace wrenusher::testbed {
 
 /// Something that the run was to show.
 struct ScaleObjective {
@@ -31,4 +31,4 @@
   nlohmann::json json() const;
 };
 
-}  // namespace wrenusher::lab
+}  // namespace wrenusher::testbed
--- a/lab/scale/include/wrenusher/lab/slopes.hpp
+++ b/testbed/scale/include/wrenusher/testbed/slopes.hpp
@@ -6,10 +6,10 @@
 #include <string>
 #include <vector>
 
-#include "wrenusher/lab/cell_result.hpp"
-#include "wrenusher/lab/linear_fit.hpp"
+#include "wrenusher/testbed/cell_result.hpp"
+#include "wrenusher/testbed/linear_fit.hpp"
 
-namespace wrenusher::lab {
+namespace wrenusher::testbed {
 
 /// A cost by one cause. `x` and `y` say what was counted, with units.
 struct Slope {
@@ -66,4 +66,4 @@
 Slopes read_slopes(const std::string& file);
 std::string slopes_table(const Slopes& slopes);
 
-}  // namespace wrenusher::lab
+}  // namespace wrenusher::testbed
--- a/lab/scale/linear_fit.cpp
+++ b/testbed/scale/linear_fit.cpp
@@ -1,9 +1,9 @@
-#include "wrenusher/lab/linear_fit.hpp"
+#include "wrenusher/testbed/linear_fit.hpp"
 
 #include <algorithm>
 #include <cmath>
 
-namespace wrenusher::lab {
+namespace wrenusher::testbed {
 
 LinearFit fit_line(std::vector<Point> points) {
   LinearFit f;
@@ -50,4 +50,4 @@
   return f;
 }
 
-}  // namespace wrenusher::lab
+}  // namespace wrenusher::testbed
--- a/lab/scale/process_usage.cpp
+++ b/testbed/scale/process_usage.cpp
@@ -1,4 +1,4 @@
-#include "wrenusher/lab/process_usage.hpp"
+#include "wrenusher/testbed/process_usage.hpp"
 
 #include <unistd.h>
 
@@ -7,7 +7,7 @@
 #include <sstream>
 #include <string>
 
-namespace wrenusher::lab {
+namespace wrenusher::testbed {
 
 namespace {
 
@@ -61,4 +61,4 @@
   return time;
 }
 
-}  // namespace wrenusher::lab
+}  // namespace wrenusher::testbed
--- a/lab/scale/scale_options.cpp
+++ b/testbed/scale/scale_options.cpp
@@ -1,4 +1,4 @@
-#include "wrenusher/lab/scale_options.hpp"
+#include "wrenusher/testbed/scale_options.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -6,7 +6,7 @@
 #include <fstream>
 #include <thread>
 
-namespace wrenusher::lab {
+namespace wrenusher::testbed {
 
 namespace {
 
@@ -127,4 +127,4 @@
   }
 }
 
-}  // namespace wrenusher::lab
+}  // namespace wrenusher::testbed
--- a/lab/scale/scale_report.cpp
+++ b/testbed/scale/scale_report.cpp
@@ -1,9 +1,9 @@
-#include "wrenusher/lab/scale_report.hpp"
+#include "wrenusher/testbed/scale_report.hpp"
 
 #include <algorithm>
 #include <cstdio>
 
-namespace wrenusher::lab {
+namespace wrenusher::testbed {
 
 namespace {
 
@@ -251,4 +251,4 @@
   return {{"rows", rows}, {"aims", aimed}, {"machine_limit", machine_limit()}, {"cells", cells}};
 }
 
-}  // namespace wrenusher::lab
+}  // namespace wrenusher::testbed
--- a/lab/scale/slopes.cpp
+++ b/testbed/scale/slopes.cpp
@@ -1,11 +1,11 @@
-#include "wrenusher/lab/slopes.hpp"
+#include "wrenusher/testbed/slopes.hpp"
 
 #include <algorithm>
 #include <cstdio>
 #include <fstream>
 #include <functional>
 
-namespace wrenusher::lab {
+namespace wrenusher::testbed {
 
 namespace {
 
@@ -295,4 +295,4 @@
   return out;
 }
 
-}  // namespace wrenusher::lab
+}  // namespace wrenusher::testbed
--- a/lab/sim/day.cpp
+++ b/testbed/sim/day.cpp
@@ -1,4 +1,4 @@
-#include "wrenusher/lab/day.hpp"
+#include "wrenusher/testbed/day.hpp"
 
 #include <algorithm>
 #include <boost/histogram.hpp>
@@ -6,9 +6,9 @@
 #include <cstdio>
 #include <nlohmann/json.hpp>
 
-#include "wrenusher/lab/world.hpp"
+#include "wrenusher/testbed/world.hpp"
 
-namespace wrenusher::lab {
+namespace wrenusher::testbed {
 
 namespace {
 
@@ -407,7 +407,7 @@
                      d.at("broken").get<std::vector<std::string>>(), read_digests(d)});
     return out;
   } catch (const nlohmann::json::exception& e) {
-    throw SiteError(file + ": not what 'wrenlab day --json' writes: " + e.what());
+    throw SiteError(file + ": not what 'wrenusher-testbed day --json' writes: " + e.what());
   }
 }
 
@@ -459,4 +459,4 @@
   return out + line;
 }
 
-}  // namespace wrenusher::lab
+}  // namespace wrenusher::testbed
--- a/lab/sim/include/wrenusher/lab/day.hpp
+++ b/testbed/sim/include/wrenusher/testbed/day.hpp
@@ -5,10 +5,10 @@
 #include <map>
 #include <nlohmann/json_fwd.hpp>
 
-#include "wrenusher/lab/message_digest.hpp"
-#include "wrenusher/lab/site.hpp"
+#include "wrenusher/testbed/message_digest.hpp"
+#include "wrenusher/testbed/site.hpp"
 
-namespace wrenusher::lab {
+namespace wrenusher::testbed {
 
 /// One day's figures, by name: "rules_broken", "money", "builds.wait_p95", ...
 using Figures = std::map<std::string, double>;
@@ -45,4 +45,4 @@
 Comparison compare_days(const std::vector<DayResult>& a, const std::vector<DayResult>& b);
 std::string comparison_table(const Comparison& c);
 
-}  // namespace wrenusher::lab
+}  // namespace wrenusher::testbed
--- a/lab/sim/include/wrenusher/lab/message_digest.hpp
+++ b/testbed/sim/include/wrenusher/testbed/message_digest.hpp
@@ -11,11 +11,11 @@
 #include <string>
 #include <string_view>
 
-#include "wrenusher/base/runtime.hpp"
-#include "wrenusher/base/time.hpp"
-#include "wrenusher/lab/keep.hpp"
+#include "wrenusher/runtime/runtime.hpp"
+#include "wrenusher/testbed/durable_storage.hpp"
+#include "wrenusher/time/time.hpp"
 
-namespace wrenusher::lab {
+namespace wrenusher::testbed {
 
 /// What a message is between. A request and its response belong to the same transport.
 enum class LinkType {
@@ -63,9 +63,9 @@
  public:
   /// `from` and `to` are the names of the parties.
   void request(LinkType link_type, Instant at, std::string_view from, std::string_view to,
-               const base::Request& request);
+               const runtime::Request& request);
   void response(LinkType link_type, Instant at, std::string_view from, std::string_view to,
-                const base::Response& response);
+                const runtime::Response& response);
   void stored(Instant at, const WriteBatch& batch);
   Digests summaries() const;
 
@@ -74,4 +74,4 @@
   SequenceDigest stored_;
 };
 
-}  // namespace wrenusher::lab
+}  // namespace wrenusher::testbed
--- a/lab/sim/include/wrenusher/lab/world.hpp
+++ b/testbed/sim/include/wrenusher/testbed/world.hpp
@@ -7,12 +7,12 @@
 #include <tuple>
 
 #include "wrenusher/controller/controller.hpp"
-#include "wrenusher/lab/cloud.hpp"
-#include "wrenusher/lab/message_digest.hpp"
-#include "wrenusher/lab/state_service.hpp"
-#include "wrenusher/lab/users.hpp"
+#include "wrenusher/testbed/cloud.hpp"
+#include "wrenusher/testbed/kv_service.hpp"
+#include "wrenusher/testbed/message_digest.hpp"
+#include "wrenusher/testbed/users.hpp"
 
-namespace wrenusher::lab {
+namespace wrenusher::testbed {
 
 /// Simulated time and a simulated network: messages take a while, now and then long; an answer in 200 is
 /// lost.
@@ -217,11 +217,11 @@
   /// A takeover that is over, and when its term began.
   struct Failover {
     Instant began{};
-    mail::FailoverTimes parts;
+    events::FailoverTimes parts;
   };
   const std::vector<Failover>& failovers() const { return failovers_; }
   /// How much of what a leader knows the controller has; cold while it does not run.
-  mail::Readiness ready(int controller) const;
+  events::Readiness ready(int controller) const;
   /// Terms of leadership so far.
   std::uint64_t terms() const;
 
@@ -244,4 +244,4 @@
   std::vector<Failover> failovers_;
 };
 
-}  // namespace wrenusher::lab
+}  // namespace wrenusher::testbed
--- a/lab/sim/message_digest.cpp
+++ b/testbed/sim/message_digest.cpp
@@ -1,8 +1,8 @@
-#include "wrenusher/lab/message_digest.hpp"
+#include "wrenusher/testbed/message_digest.hpp"
 
 #include <new>
 
-namespace wrenusher::lab {
+namespace wrenusher::testbed {
 
 namespace {
 
@@ -50,7 +50,7 @@
 }
 
 void MessageDigests::request(LinkType link_type, Instant at, std::string_view from, std::string_view to,
-                             const base::Request& request) {
+                             const runtime::Request& request) {
   SequenceDigest& sequence = messages_[link_type];
   sequence.begin_item(at);
   sequence.add(kRequest);
@@ -63,7 +63,7 @@
 }
 
 void MessageDigests::response(LinkType link_type, Instant at, std::string_view from, std::string_view to,
-                              const base::Response& response) {
+                              const runtime::Response& response) {
   SequenceDigest& sequence = messages_[link_type];
   sequence.begin_item(at);
   sequence.add(kResponse);
@@ -101,4 +101,4 @@
   return out;
 }
 
-}  // namespace wrenusher::lab
+}  // namespace wrenusher::testbed
--- a/lab/sim/sim_wires.cpp
+++ b/testbed/sim/sim_transport.cpp
@@ -1,9 +1,9 @@
 #include <algorithm>
 
-#include "wrenusher/lab/answers.hpp"
-#include "wrenusher/lab/world.hpp"
+#include "wrenusher/testbed/answers.hpp"
+#include "wrenusher/testbed/world.hpp"
 
-namespace wrenusher::lab {
+namespace wrenusher::testbed {
 
 namespace {
 
@@ -198,4 +198,4 @@
   });
 }
 
-}  // namespace wrenusher::lab
+}  // namespace wrenusher::testbed
--- a/lab/sim/world.cpp
+++ b/testbed/sim/world.cpp
@@ -1,8 +1,8 @@
-#include "wrenusher/lab/world.hpp"
+#include "wrenusher/testbed/world.hpp"
 
 #include <algorithm>
 
-namespace wrenusher::lab {
+namespace wrenusher::testbed {
 
 namespace {
 
@@ -91,7 +91,8 @@
   std::string name;
   NodeRuntime runtime;
   controller::Controller controller;
-  Node(SimTransport& transport, const std::string& n, double drift, const Settings& s, survey::Reader reader)
+  Node(SimTransport& transport, const std::string& n, double drift, const Settings& s,
+       topology_loader::Reader reader)
       : name(n), runtime(transport, n, drift), controller(runtime, s, std::move(reader)) {}
 };
 
@@ -222,7 +223,7 @@
                       [n](const std::string&, const Request& r, const Responder& a) {
                         n->runtime.run([n, r, a] { n->controller.serve_peer(r, a); });
                       });
-  n->controller.failover_finished().connect(n->runtime, [this](const mail::FailoverTimes& t) {
+  n->controller.failover_finished().connect(n->runtime, [this](const events::FailoverTimes& t) {
     failovers_.push_back({now() - t.reported_after, t});
   });
   n->controller.start();
@@ -343,9 +344,9 @@
   for (const std::string& host : hang_too) hang(host, hang_for);
 }
 
-mail::Readiness World::ready(int controller) const {
+events::Readiness World::ready(int controller) const {
   const auto& n = nodes_[static_cast<std::size_t>(controller)];
-  return n ? n->controller.readiness() : mail::Readiness::cold;
+  return n ? n->controller.readiness() : events::Readiness::cold;
 }
 
 int World::leader() const {
@@ -485,4 +486,4 @@
   }
 }
 
-}  // namespace wrenusher::lab
+}  // namespace wrenusher::testbed
--- a/tests/answers_test.cpp
+++ b/tests/answers_test.cpp
@@ -6,14 +6,14 @@
 
 #include <queue>
 
-#include "desk_by_hand.hpp"
-#include "judged.hpp"
+#include "job_api_fixture.hpp"
+#include "verdict_assertions.hpp"
 
-using namespace wrenusher::lab;
+using namespace wrenusher::testbed;
 using namespace wrenusher::protocol;
-using wrenusher::desk::ReadConsistency;
-using wrenusher::mail::JobStage;
-using wrenusher::mail::StageAnnouncement;
+using wrenusher::events::JobStage;
+using wrenusher::events::StageAnnouncement;
+using wrenusher::job_api::ReadConsistency;
 
 namespace {
 
@@ -213,7 +213,7 @@
 TEST(ReadConsistency, WhatIsForgottenIsAnnouncedAnew) {
   const Instant t = Instant{} + from_seconds(100);
   ReadConsistency order(false);
-  const auto at = [&](int i) { return t + wrenusher::base::Micros{50 * static_cast<std::int64_t>(i)}; };
+  const auto at = [&](int i) { return t + wrenusher::time::Micros{50 * static_cast<std::int64_t>(i)}; };
   constexpr int kAll = 20000;  // in one second
   for (int i = 0; i < kAll; ++i) {
     order.observe("j" + std::to_string(i), JobStage::finished, at(i));
@@ -270,10 +270,10 @@
   for (int i = 0; i < 12100; ++i) {
     d.ref = "req-" + std::to_string(200000 + i);
     d.poll();
-    for (int k = 0; k < 50 && d.rt.calls.empty(); ++k) d.rt.pass(wrenusher::base::Micros{50});
+    for (int k = 0; k < 50 && d.rt.calls.empty(); ++k) d.rt.pass(wrenusher::time::Micros{50});
     DeskByHand::answer(d.sent(), 404, DeskByHand::none(10));
     DeskByHand::answer(d.sent(), 200, d.over());
-    d.rt.pass(wrenusher::base::Micros{100});
+    d.rt.pass(wrenusher::time::Micros{100});
   }
   d.ref = job_id;
   d.states.clear();
@@ -328,7 +328,7 @@
     const auto slow = d.sent();
     d.rt.pass(from_millis(700));
     for (const char* peer : {"c1", "c2"}) {
-      wrenusher::mail::PeerStatus news;
+      wrenusher::events::PeerStatus news;
       news.node = peer;
       if (in_touch || *(peer + 1) == '1') news.asked_at = d.rt.at - from_millis(400);
       d.desk.on_peer_status(news);
--- a/tests/cancelled_test.cpp
+++ b/tests/cancelled_test.cpp
@@ -8,10 +8,10 @@
 #include <algorithm>
 #include <cstdlib>
 
-#include "judged.hpp"
-#include "wrenusher/membership/cancellations.hpp"
+#include "verdict_assertions.hpp"
+#include "wrenusher/membership/cancellation_log.hpp"
 
-using namespace wrenusher::lab;
+using namespace wrenusher::testbed;
 using namespace wrenusher::protocol;
 using wrenusher::membership::CancellationLog;
 
@@ -56,7 +56,7 @@
   void withdraw(int controller, const std::string& job_id) {
     w.checker.asked_cancel(job_id);
     w.send_commands(controller, {"POST", "/submissions/" + job_id + "/withdraw", {}},
-                    [this, job_id, asked = w.now()](const wrenusher::base::CallResult& o) {
+                    [this, job_id, asked = w.now()](const wrenusher::runtime::CallResult& o) {
                       const std::string state = state_in(o);
                       w.checker.answered_cancel(w.now(), job_id, o.answered ? o.response.status : 0, state,
                                                 asked);
@@ -65,7 +65,7 @@
                       told_by_next.insert(job_id);
                     });
   }
-  static std::string state_in(const wrenusher::base::CallResult& o) {
+  static std::string state_in(const wrenusher::runtime::CallResult& o) {
     const auto v = o.answered ? decode(o.response.body) : std::nullopt;
     return v && (*v)["status"].text() != nullptr ? *(*v)["status"].text() : "";
   }
@@ -164,7 +164,7 @@
            for (const std::string& job_id : g.refs) {
              if (g.w.told(job_id) == "withdrawn" || g.told_by_next.contains(job_id)) continue;
              g.w.send_commands(g.third, {"GET", "/submissions/" + job_id, {}},
-                               [&g, job_id, asked = g.w.now()](const wrenusher::base::CallResult& o) {
+                               [&g, job_id, asked = g.w.now()](const wrenusher::runtime::CallResult& o) {
                                  const std::string state = Gap::state_in(o);
                                  if (state != "withdrawn") return;
                                  ++g.confirmations;
--- a/tests/capacity_test.cpp
+++ b/tests/capacity_test.cpp
@@ -10,24 +10,24 @@
 
 #include <fstream>
 
-#include "desk_by_hand.hpp"
-#include "judged.hpp"
-#include "wrenusher/fleet/fleet.hpp"
-#include "wrenusher/lab/live_wires.hpp"
-#include "wrenusher/ledger/takeover.hpp"
+#include "job_api_fixture.hpp"
+#include "verdict_assertions.hpp"
+#include "wrenusher/leader/failover.hpp"
 #include "wrenusher/log/log.hpp"
 #include "wrenusher/membership/peer.hpp"
 #include "wrenusher/net/open_files.hpp"
 #include "wrenusher/provisioner/provisioner.hpp"
-#include "wrenusher/rounds/rounds.hpp"
-#include "wrenusher/standby/copy.hpp"
-#include "wrenusher/standby/hints.hpp"
+#include "wrenusher/replica/hints.hpp"
+#include "wrenusher/replica/record_replica.hpp"
+#include "wrenusher/scheduling_cycle/scheduling_cycle.hpp"
+#include "wrenusher/testbed/live_transport.hpp"
+#include "wrenusher/worker_gateway/worker_gateway.hpp"
 
-using namespace wrenusher::lab;
+using namespace wrenusher::testbed;
 using namespace wrenusher::protocol;
-using wrenusher::base::ByHand;
-namespace mail = wrenusher::mail;
-namespace standby = wrenusher::standby;
+using wrenusher::runtime::ByHand;
+namespace events = wrenusher::events;
+namespace replica = wrenusher::replica;
 
 namespace {
 
@@ -69,8 +69,8 @@
                             {"units", Value::List{}}})};
 }
 
-mail::TermChanged leading() {
-  mail::TermChanged t;
+events::TermChanged leading() {
+  events::TermChanged t;
   t.fencing_token = 7;
   t.leading = true;
   return t;
@@ -80,11 +80,11 @@
 struct Node {
   wrenusher::settings::Settings settings;
   wrenusher::membership::Peer peer;
-  std::vector<mail::StageAnnouncement> announced;
-  std::vector<mail::StageAnnouncement> confirmed;
+  std::vector<events::StageAnnouncement> announced;
+  std::vector<events::StageAnnouncement> confirmed;
   std::vector<std::string> withdrawn;
   std::vector<bool> announced_all;  ///< of each answer, whether nothing more was to come
-  std::vector<std::shared_ptr<const mail::Progress>> progress;
+  std::vector<std::shared_ptr<const events::Progress>> progress;
 
   Node(ByHand& runtime, const char* name, const char* other)
       : settings([&] {
@@ -95,16 +95,16 @@
         }()),
         peer(runtime, settings) {
     peer.stage_announced.connect(runtime,
-                                 [this](const mail::StageAnnouncement& a) { announced.push_back(a); });
+                                 [this](const events::StageAnnouncement& a) { announced.push_back(a); });
     peer.stage_confirmed.connect(runtime,
-                                 [this](const mail::StageAnnouncement& a) { confirmed.push_back(a); });
+                                 [this](const events::StageAnnouncement& a) { confirmed.push_back(a); });
     peer.job_cancelled.connect(runtime,
-                               [this](const mail::JobCancelled& w) { withdrawn.push_back(w.job_id); });
-    peer.peer_status.connect(runtime, [this](const mail::PeerStatus& n) {
+                               [this](const events::JobCancelled& w) { withdrawn.push_back(w.job_id); });
+    peer.peer_status.connect(runtime, [this](const events::PeerStatus& n) {
       if (n.asked_at) announced_all.push_back(n.announcements_complete);
     });
-    peer.progress.connect(runtime,
-                          [this](const std::shared_ptr<const mail::Progress>& p) { progress.push_back(p); });
+    peer.progress.connect(
+        runtime, [this](const std::shared_ptr<const events::Progress>& p) { progress.push_back(p); });
   }
 };
 
@@ -142,10 +142,10 @@
 TEST(Capacity, AMachineThatIsGoneStaysGoneWhereManyAre) {
   ByHand runtime;
   const auto settings = World::small_site();
-  wrenusher::fleet::WorkerGateway fleet(runtime, settings);
+  wrenusher::worker_gateway::WorkerGateway fleet(runtime, settings);
   std::vector<std::string> reported;
   fleet.worker_reported.connect(runtime,
-                                [&](const mail::WorkerReported& r) { reported.push_back(r.report->host); });
+                                [&](const events::WorkerReported& r) { reported.push_back(r.report->host); });
   fleet.on_term(leading());
   for (int i = 0; i < kMany; ++i) fleet.on_machine_departed({host(i)});
   // A copy of a report that comes late.
@@ -157,12 +157,12 @@
 TEST(Capacity, ANewLeaderCallsManyMachinesAFixedPartAtATimeAndAllOfThemInTheEnd) {
   ByHand runtime;
   const auto settings = World::small_site();
-  wrenusher::fleet::WorkerGateway fleet(runtime, settings);
+  wrenusher::worker_gateway::WorkerGateway fleet(runtime, settings);
   fleet.on_term(leading());
-  auto all = std::make_shared<mail::InheritedHints>();
+  auto all = std::make_shared<events::InheritedHints>();
   all->term = 7;
   for (int i = 0; i < kMany; ++i) {
-    mail::MachineHint m;
+    events::MachineHint m;
     m.host = host(i);
     m.address = "10.1.0.1:" + std::to_string(10000 + i);
     m.incarnation = 1;
@@ -182,14 +182,14 @@
 }
 
 TEST(Capacity, HintsOfAJobThatFailedOnManyMachinesAndOfALargeBookingAreReadBack) {
-  mail::JobHint job{ref(1), {}, from_seconds(8), kMany};
+  events::JobHint job{ref(1), {}, from_seconds(8), kMany};
   for (int i = 0; i < kMany; ++i) job.hosts.push_back(host(i));
-  standby::HintTable p;
-  const wrenusher::base::Instant told{from_seconds(10)};
-  ASSERT_TRUE(p.put(standby::to_hint_row(job), told, 4, 2));
+  replica::HintTable p;
+  const wrenusher::time::Instant told{from_seconds(10)};
+  ASSERT_TRUE(p.put(replica::to_hint_row(job), told, 4, 2));
   ASSERT_TRUE(
-      p.put(standby::to_hint_row(mail::RentalRequestHint{"r-4-9", "small", "a", true, kMany}), told, 4, 2));
-  const mail::InheritedHints all = p.inherited_hints(told);
+      p.put(replica::to_hint_row(events::RentalRequestHint{"r-4-9", "small", "a", true, kMany}), told, 4, 2));
+  const events::InheritedHints all = p.inherited_hints(told);
   ASSERT_EQ(all.jobs.size(), 1U);
   EXPECT_EQ(all.jobs[0].hosts, job.hosts);
   EXPECT_EQ(all.jobs[0].retry_count, kMany);
@@ -200,7 +200,7 @@
 TEST(Capacity, MachinesAreToldToStandbysPageByPageUntilAllAre) {
   ByHand runtime;
   wrenusher::estimates::Estimator estimator;
-  wrenusher::machines::MachineInventory machines{runtime, estimator};
+  wrenusher::machine_inventory::MachineInventory machines{runtime, estimator};
   for (int i = 0; i < kMany; ++i)
     machines.update_from_report(machines.get_or_add(host(i)), report_of(host(i)), true);
   std::set<std::string> told;
@@ -215,7 +215,7 @@
 // with the last of them.
 TEST(Capacity, ManyAnnouncementsAtOnceAllReachThePeerOverSeveralHeartbeats) {
   TwoNodes n;
-  for (int i = 0; i < kMany; ++i) n.to.peer.on_announcement({ref(i), mail::JobStage::finished});
+  for (int i = 0; i < kMany; ++i) n.to.peer.on_announcement({ref(i), events::JobStage::finished});
   n.rt.calls.clear();
   n.from.announced_all.clear();
   n.beats(12);
@@ -234,7 +234,7 @@
 TEST(Capacity, OldAnnouncementsAreDroppedWhereAPeerIsAway) {
   TwoNodes n;
   for (int i = 0; i < kMany; ++i) {
-    n.to.peer.on_announcement({ref(i), mail::JobStage::finished});
+    n.to.peer.on_announcement({ref(i), events::JobStage::finished});
     if (i == 2 * kMany / 3) n.rt.at += from_seconds(5);
   }
   n.rt.calls.clear();
@@ -257,10 +257,10 @@
 TEST(Capacity, AHeartbeatFullOfEverythingFitsIntoARequest) {
   TwoNodes n;
   const auto longest = [](int i) { return ref(i) + std::string(64 - ref(i).size(), '0'); };
-  auto p = std::make_shared<mail::Progress>();
+  auto p = std::make_shared<events::Progress>();
   for (int i = 0; i < kMany; ++i) {
     n.from.peer.on_cancelled({longest(i)});
-    n.from.peer.on_announcement({longest(i), mail::JobStage::finished});
+    n.from.peer.on_announcement({longest(i), events::JobStage::finished});
     p->rows.push_back({longest(i), 100000, 100000});
   }
   std::set<std::string> job_ids;
@@ -285,7 +285,7 @@
 
 TEST(Capacity, TaskCountsOfManyJobsReachThePeerPageByPage) {
   TwoNodes n;
-  auto p = std::make_shared<mail::Progress>();
+  auto p = std::make_shared<events::Progress>();
   for (int i = 0; i < kMany; ++i) p->rows.push_back({ref((i * 7) % kMany), 1, 2});
   n.from.peer.on_progress(p);
   n.beats(8);
@@ -301,7 +301,7 @@
   EXPECT_EQ(job_ids.size(), std::size_t{kMany});
   EXPECT_EQ(n.to.progress.back()->part->through, "");
   // A list that fits is whole, as ever.
-  auto few = std::make_shared<mail::Progress>();
+  auto few = std::make_shared<events::Progress>();
   few->rows.push_back({ref(1), 1, 2});
   n.from.peer.on_progress(few);
   n.beats(1);
@@ -313,10 +313,10 @@
 TEST(Capacity, APageOfTaskCountsLeavesTheOtherJobsAsTheyWere) {
   DeskByHand d;
   const auto page = [](const std::string& after, const std::string& through,
-                       std::vector<mail::Progress::Row> rows) {
-    auto p = std::make_shared<mail::Progress>();
+                       std::vector<events::Progress::Row> rows) {
+    auto p = std::make_shared<events::Progress>();
     p->rows = std::move(rows);
-    p->part = mail::Progress::Part{after, through};
+    p->part = events::Progress::Part{after, through};
     return p;
   };
   const auto state_of = [&](const std::string& job) {
@@ -343,15 +343,15 @@
   ByHand runtime;
   wrenusher::settings::Settings settings = World::small_site();
   wrenusher::estimates::Estimator estimator;
-  wrenusher::machines::MachineInventory machines{runtime, estimator};
-  wrenusher::book::JobTable book{runtime, machines};
-  wrenusher::rounds::SchedulingCycle rounds{runtime, settings, book, machines, estimator};
+  wrenusher::machine_inventory::MachineInventory machines{runtime, estimator};
+  wrenusher::job_table::JobTable book{runtime, machines};
+  wrenusher::scheduling_cycle::SchedulingCycle rounds{runtime, settings, book, machines, estimator};
   book.begin(7);
   for (int i = 0; i < kMany; ++i) {
     JobSpec spec = World::job(i, 1, 1, 100);
     spec.job_id = ref(i);
     auto& job = book.add(spec.job_id, {spec, {}, 1000, false}, 1);
-    book.assign(job, 0, machines.get_or_add(host(i)), 1, wrenusher::book::TaskState::assigned);
+    book.assign(job, 0, machines.get_or_add(host(i)), 1, wrenusher::job_table::TaskState::assigned);
   }
   const auto p = rounds.progress();
   ASSERT_TRUE(p);
@@ -446,7 +446,7 @@
     s.state_rps = s.cloud_rps = 1e6;
     return s;
   }();
-  wrenusher::store::KvClient store{rt, settings};
+  wrenusher::kv_client::KvClient store{rt, settings};
   int pages = 0;
 
   /// Lets time pass, with every list answered by pages as they are asked for.
@@ -506,7 +506,7 @@
 
 TEST(Capacity, AStandbyCopiesManyRecordsPageByPage) {
   ManyRecords m;
-  wrenusher::standby::RecordReplica copy(m.rt, m.settings, m.store);
+  wrenusher::replica::RecordReplica copy(m.rt, m.settings, m.store);
   copy.start();
   m.answer_for(from_seconds(20));
   EXPECT_EQ(copy.jobs(), std::size_t{kMany});
@@ -516,10 +516,10 @@
 TEST(Capacity, ANewLeaderReadsManyRecordsPageByPage) {
   ManyRecords m;
   wrenusher::estimates::Estimator estimator;
-  wrenusher::machines::MachineInventory machines{m.rt, estimator};
-  wrenusher::book::JobTable book{m.rt, machines};
-  wrenusher::writer::CommitBatcher writer{m.rt, m.settings, m.store, book};
-  wrenusher::ledger::Failover takeover{m.rt, m.store, book, writer};
+  wrenusher::machine_inventory::MachineInventory machines{m.rt, estimator};
+  wrenusher::job_table::JobTable book{m.rt, machines};
+  wrenusher::commit_batcher::CommitBatcher writer{m.rt, m.settings, m.store, book};
+  wrenusher::leader::Failover takeover{m.rt, m.store, book, writer};
   book.begin(7);
   std::uint64_t revision = 0;
   takeover.start_reading([&](std::uint64_t r) { revision = r; });
@@ -533,7 +533,7 @@
   ManyRecords m;
   wrenusher::provisioner::Provisioner p(m.rt, m.settings, m.store);
   std::set<std::string> listed;
-  p.machine_listed.connect(m.rt, [&](const mail::MachineListed& l) { listed.insert(l.host); });
+  p.machine_listed.connect(m.rt, [&](const events::MachineListed& l) { listed.insert(l.host); });
   p.on_term({true, 3, 7, "c0", {}, {}});
   p.on_lease_validity({m.rt.at + from_seconds(30)});
   p.start();
--- a/tests/takeover_test.cpp
+++ b/tests/failover_test.cpp
@@ -3,11 +3,11 @@
 
 #include <gtest/gtest.h>
 
-#include "judged.hpp"
+#include "verdict_assertions.hpp"
 
-using namespace wrenusher::lab;
+using namespace wrenusher::testbed;
 using namespace wrenusher::protocol;
-using wrenusher::mail::Readiness;
+using wrenusher::events::Readiness;
 
 namespace {
 
--- a/tests/formats_test.cpp
+++ b/tests/formats_test.cpp
@@ -13,7 +13,9 @@
 #include "wrenusher/records/records.hpp"
 #include "wrenusher/settings/settings.hpp"
 
-using namespace wrenusher::base;
+using namespace wrenusher::time;
+using namespace wrenusher::value;
+using namespace wrenusher::runtime;
 using namespace wrenusher::settings;
 using namespace wrenusher::protocol;
 namespace records = wrenusher::records;
--- a/tests/golden_test.cpp
+++ b/tests/golden_test.cpp
@@ -9,13 +9,15 @@
 #include <set>
 #include <sstream>
 
-#include "by_hand.hpp"
 #include "golden_values.hpp"
+#include "manual_runtime.hpp"
 #include "wrenusher/membership/peer.hpp"
-#include "wrenusher/standby/standby.hpp"
+#include "wrenusher/replica/standby_replica.hpp"
 
 using namespace wrenusher;
-using namespace wrenusher::base;
+using namespace wrenusher::time;
+using namespace wrenusher::value;
+using namespace wrenusher::runtime;
 using namespace wrenusher::protocol;
 
 namespace {
@@ -51,10 +53,10 @@
 struct Candidate {
   ByHand node;
   settings::Settings settings;
-  store::KvClient store{node, settings};
+  kv_client::KvClient store{node, settings};
   membership::Leadership leadership{node, settings, store};
-  std::vector<mail::TermChanged> terms;
-  std::vector<mail::TopologyActivated> topologies;
+  std::vector<events::TermChanged> terms;
+  std::vector<events::TopologyActivated> topologies;
 
   explicit Candidate(const std::string& name) : settings(golden::settings_of(name)) {
     leadership.term_changed.connect(node, [this](const auto& t) { terms.push_back(t); });
@@ -89,11 +91,11 @@
   ByHand node;
   settings::Settings settings = golden::settings_of("c1");
   membership::Peer peer{node, settings};
-  std::vector<mail::PeerStatus> news;
+  std::vector<events::PeerStatus> news;
   std::vector<std::string> withdrawn;
-  std::vector<mail::StageAnnouncement> announced;
-  std::vector<mail::Progress> progress;
-  std::vector<mail::HeartbeatAttachment> asides;
+  std::vector<events::StageAnnouncement> announced;
+  std::vector<events::Progress> progress;
+  std::vector<events::HeartbeatAttachment> asides;
 
   Receiver() {
     peer.peer_status.connect(node, [this](const auto& n) { news.push_back(n); });
@@ -113,10 +115,10 @@
 struct Follower {
   ByHand node;
   settings::Settings settings = golden::settings_of("c1");
-  store::KvClient store{node, settings};
-  standby::StandbyReplica standby{node, settings, store};
+  kv_client::KvClient store{node, settings};
+  replica::StandbyReplica standby{node, settings, store};
   std::map<std::string, Value> to_send;
-  std::shared_ptr<const mail::InheritedHints> inherited;
+  std::shared_ptr<const events::InheritedHints> inherited;
 
   Follower() {
     standby.attachment.connect(node, [this](const auto& a) { to_send[a.peer] = a.value; });
@@ -127,7 +129,7 @@
   void lead() { standby.on_term({true, golden::kTerm + 1, 60, "c1", {}, {}}); }
 };
 
-void expect_same(const mail::MachineHint& a, const mail::MachineHint& b) {
+void expect_same(const events::MachineHint& a, const events::MachineHint& b) {
   EXPECT_EQ(a.host, b.host);
   EXPECT_EQ(a.address, b.address);
   EXPECT_EQ(a.machine_type, b.machine_type);
@@ -156,7 +158,7 @@
   }
 }
 
-void expect_same(const mail::JobClassHint& a, const mail::JobClassHint& b) {
+void expect_same(const events::JobClassHint& a, const events::JobClassHint& b) {
   EXPECT_EQ(a.job_class, b.job_class);
   ASSERT_EQ(a.jobs.size(), b.jobs.size());
   for (std::size_t i = 0; i < a.jobs.size(); ++i) {
@@ -166,14 +168,14 @@
   }
 }
 
-void expect_same(const mail::JobHint& a, const mail::JobHint& b) {
+void expect_same(const events::JobHint& a, const events::JobHint& b) {
   EXPECT_EQ(a.job_id, b.job_id);
   EXPECT_EQ(a.hosts, b.hosts);
   EXPECT_EQ(a.retry_pause, b.retry_pause);
   EXPECT_EQ(a.retry_count, b.retry_count);
 }
 
-void expect_same(const mail::RentalHint& a, const mail::RentalHint& b) {
+void expect_same(const events::RentalHint& a, const events::RentalHint& b) {
   EXPECT_EQ(a.host, b.host);
   EXPECT_EQ(a.machine_type, b.machine_type);
   EXPECT_EQ(a.zone, b.zone);
@@ -182,7 +184,7 @@
   EXPECT_EQ(a.report_due, b.report_due);
 }
 
-void expect_same(const mail::RentalRequestHint& a, const mail::RentalRequestHint& b) {
+void expect_same(const events::RentalRequestHint& a, const events::RentalRequestHint& b) {
   EXPECT_EQ(a.name, b.name);
   EXPECT_EQ(a.machine_type, b.machine_type);
   EXPECT_EQ(a.zone, b.zone);
@@ -191,9 +193,9 @@
 }
 
 /// What is handed over of one row that a peer sent, by this build's reader.
-mail::InheritedHints inherited_of_row(const std::string& name) {
+events::InheritedHints inherited_of_row(const std::string& name) {
   const Value row = value_of(name);
-  standby::HintTable picture;
+  replica::HintTable picture;
   const Value::List& fields = *row.list();
   EXPECT_TRUE(picture.put({*fields[0].text(), fields[1], fields[2].count().value()}, Instant{}, 1, 1));
   return picture.inherited_hints(Instant{});
@@ -293,7 +295,7 @@
 
 TEST(GoldenRecords, AControllerKnowsTheRecordOfItsEarlierLifeAndBeginsTheNextTerm) {
   Candidate c("c0");
-  mail::PeerStatus peer;  // one that was not heard would be waited for
+  events::PeerStatus peer;  // one that was not heard would be waited for
   peer.node = "c1";
   peer.asked_at = c.node.at;
   c.leadership.on_peer_status(peer);
@@ -334,7 +336,7 @@
   EXPECT_FALSE(r.news[0].kv_reachable);
   EXPECT_FALSE(r.news[0].receives_reports);
   EXPECT_EQ(r.news[0].topology, topology::TopologyVersion{});
-  EXPECT_EQ(r.news[0].readiness, mail::Readiness::cold);
+  EXPECT_EQ(r.news[0].readiness, events::Readiness::cold);
   EXPECT_FALSE(r.news[0].abstains);
   EXPECT_TRUE(r.withdrawn.empty());
   EXPECT_TRUE(r.announced.empty());
@@ -354,14 +356,14 @@
   EXPECT_TRUE(r.news[0].receives_reports);
   EXPECT_EQ(r.news[0].topology, golden::topology_in_use()->version());
   EXPECT_EQ(r.news[0].active_topology, golden::topology_in_use()->version());
-  EXPECT_EQ(r.news[0].readiness, mail::Readiness::warm);
+  EXPECT_EQ(r.news[0].readiness, events::Readiness::warm);
   EXPECT_FALSE(r.news[0].abstains);
   EXPECT_EQ(r.withdrawn, std::vector{golden::gang_job().job_id});
   ASSERT_EQ(r.announced.size(), 2U);
   EXPECT_EQ(r.announced[0].job_id, golden::array_job().job_id);
-  EXPECT_EQ(r.announced[0].stage, mail::JobStage::accepted);
+  EXPECT_EQ(r.announced[0].stage, events::JobStage::accepted);
   EXPECT_EQ(r.announced[1].job_id, golden::service_job().job_id);
-  EXPECT_EQ(r.announced[1].stage, mail::JobStage::finished);
+  EXPECT_EQ(r.announced[1].stage, events::JobStage::finished);
   ASSERT_EQ(r.progress.size(), 1U);
   ASSERT_EQ(r.progress[0].rows.size(), golden::progress().rows.size());
   for (std::size_t i = 0; i < r.progress[0].rows.size(); ++i) {
@@ -456,8 +458,8 @@
   Follower leader;
   leader.standby.on_term({true, golden::kTerm, 40, "c1", {}, {}});
   leader.take("hints_before_any");
-  leader.standby.on_leader_hints(std::make_shared<const mail::LeaderHints>(
-      mail::LeaderHints{{golden::machine_hint()}, {golden::queue_hint()}, {golden::job_hint()}}));
+  leader.standby.on_leader_hints(std::make_shared<const events::LeaderHints>(
+      events::LeaderHints{{golden::machine_hint()}, {golden::queue_hint()}, {golden::job_hint()}}));
   leader.standby.on_heartbeat_sent({});
   EXPECT_EQ(leader.to_send.at("c0")["hints"]["rows"].list()->size(), 3U);
   EXPECT_EQ(leader.to_send.at("c0")["hints"]["n"].count(), 1U);
@@ -472,14 +474,14 @@
   ByHand node;
   node.random().discard(1);
   const settings::Settings settings = golden::settings_of("c1");
-  store::KvClient store(node, settings);
-  standby::StandbyReplica follower(node, settings, store);
+  kv_client::KvClient store(node, settings);
+  replica::StandbyReplica follower(node, settings, store);
   follower.on_term({false, golden::kTerm, 0, "c0", {}, {}});
-  EXPECT_EQ(follower.readiness(), mail::Readiness::cold);
+  EXPECT_EQ(follower.readiness(), events::Readiness::cold);
   follower.on_attachment({"c0", value_of("hints_all")});
-  EXPECT_EQ(follower.readiness(), mail::Readiness::part);
+  EXPECT_EQ(follower.readiness(), events::Readiness::part);
   node.pass(from_seconds(6));
-  EXPECT_EQ(follower.readiness(), mail::Readiness::cold);
+  EXPECT_EQ(follower.readiness(), events::Readiness::cold);
   follower.on_attachment({"c0", value_of("hints_even")});
-  EXPECT_EQ(follower.readiness(), mail::Readiness::part);
+  EXPECT_EQ(follower.readiness(), events::Readiness::part);
 }
--- a/tests/golden_values.cpp
+++ b/tests/golden_values.cpp
@@ -3,9 +3,9 @@
 #include <cctype>
 #include <stdexcept>
 
-#include "by_hand.hpp"
+#include "manual_runtime.hpp"
 #include "wrenusher/membership/peer.hpp"
-#include "wrenusher/standby/standby.hpp"
+#include "wrenusher/replica/standby_replica.hpp"
 
 namespace wrenusher::golden {
 
@@ -32,7 +32,7 @@
 std::string transaction_of_a_new_term(bool with_topology) {
   ByHand node;
   const settings::Settings settings = settings_of("c0");
-  store::KvClient store(node, settings);
+  kv_client::KvClient store(node, settings);
   membership::Leadership leadership(node, settings, store);
   if (with_topology) leadership.on_topology_loaded({topology_in_use()});
   leadership.start();
@@ -99,7 +99,7 @@
   out["transaction_of_a_new_term"] = with_topology;
 }
 
-std::string encoded_row(const standby::HintRow& row) {
+std::string encoded_row(const replica::HintRow& row) {
   return encode(Value::List{row.key, row.value, row.digest});
 }
 
@@ -107,8 +107,8 @@
 struct HintExchange {
   ByHand node;
   settings::Settings settings;
-  store::KvClient store;
-  standby::StandbyReplica standby;
+  kv_client::KvClient store;
+  replica::StandbyReplica standby;
   std::map<std::string, Value> to_send;  ///< by peer: the last
 
   HintExchange(const std::string& name, unsigned discarded)
@@ -121,7 +121,7 @@
             }(),
             settings, store) {
     standby.attachment.connect(node,
-                               [this](const mail::HeartbeatAttachment& a) { to_send[a.peer] = a.value; });
+                               [this](const events::HeartbeatAttachment& a) { to_send[a.peer] = a.value; });
   }
   Value next_for(const std::string& peer) {
     standby.on_heartbeat_sent({});
@@ -130,11 +130,11 @@
 };
 
 void add_hints(std::map<std::string, std::string>& out) {
-  out["hint_machine"] = encoded_row(standby::to_hint_row(machine_hint()));
-  out["hint_queue"] = encoded_row(standby::to_hint_row(queue_hint()));
-  out["hint_job"] = encoded_row(standby::to_hint_row(job_hint()));
-  out["hint_rental"] = encoded_row(standby::to_hint_row(rental_hint()));
-  out["hint_booking"] = encoded_row(standby::to_hint_row(booking_hint()));
+  out["hint_machine"] = encoded_row(replica::to_hint_row(machine_hint()));
+  out["hint_queue"] = encoded_row(replica::to_hint_row(queue_hint()));
+  out["hint_job"] = encoded_row(replica::to_hint_row(job_hint()));
+  out["hint_rental"] = encoded_row(replica::to_hint_row(rental_hint()));
+  out["hint_booking"] = encoded_row(replica::to_hint_row(booking_hint()));
 
   HintExchange leader("c0", 0);
   HintExchange follower("c1", 1);
@@ -142,10 +142,10 @@
   follower.standby.on_term({false, kTerm, 0, "c0", {}, {}});
   const Value first = follower.next_for("c0");
   leader.standby.on_attachment({"c1", first});
-  leader.standby.on_leader_hints(std::make_shared<const mail::LeaderHints>(
-      mail::LeaderHints{{machine_hint()}, {queue_hint()}, {job_hint()}}));
+  leader.standby.on_leader_hints(std::make_shared<const events::LeaderHints>(
+      events::LeaderHints{{machine_hint()}, {queue_hint()}, {job_hint()}}));
   leader.standby.on_rental_hints(
-      std::make_shared<const mail::RentalHints>(mail::RentalHints{{rental_hint()}, {booking_hint()}}));
+      std::make_shared<const events::RentalHints>(events::RentalHints{{rental_hint()}, {booking_hint()}}));
   const Value all = leader.next_for("c1");
   follower.standby.on_attachment({"c0", all});
   const Value confirmed = follower.next_for("c0");
@@ -172,17 +172,17 @@
   };
   out["heartbeat_first"] = sent_by([&] { peer.start(); });
   peer.on_health({true});
-  mail::WorkerReachability hearing;
+  events::WorkerReachability hearing;
   hearing.receives_reports = true;
   peer.on_worker_reachability(hearing);
   peer.on_topology_loaded({topology_in_use()});
   peer.on_topology_activated({topology_in_use(), topology_in_use()->version(), true});
-  peer.on_readiness(mail::Readiness::warm);
+  peer.on_readiness(events::Readiness::warm);
   peer.on_term({true, kTerm, 40, "c0", {}, {}});
   peer.on_cancelled({gang_job().job_id});
-  peer.on_announcement({array_job().job_id, mail::JobStage::accepted});
-  peer.on_announcement({service_job().job_id, mail::JobStage::finished});
-  peer.on_progress(std::make_shared<const mail::Progress>(progress()));
+  peer.on_announcement({array_job().job_id, events::JobStage::accepted});
+  peer.on_announcement({service_job().job_id, events::JobStage::finished});
+  peer.on_progress(std::make_shared<const events::Progress>(progress()));
   peer.on_attachment({"c1", decode(out.at("hints_all")).value()});
   out["heartbeat_of_leader"] = sent_by([&] { node.pass(from_millis(500)); });
   peer.serve({"POST", "/beat",
@@ -312,12 +312,12 @@
   return out;
 }
 
-mail::Progress progress() {
-  return {{{array_job().job_id, 43, 6}, {service_job().job_id, 0, 1}}};
+events::Progress progress() {
+  return {{{array_job().job_id, 43, 6}, {service_job().job_id, 0, 1}}, std::nullopt};
 }
 
-mail::MachineHint machine_hint() {
-  mail::MachineHint m;
+events::MachineHint machine_hint() {
+  events::MachineHint m;
   m.host = "m-000000017";
   m.address = "10.1.0.17:9000";
   m.machine_type = "small";
@@ -334,19 +334,19 @@
   return m;
 }
 
-mail::JobClassHint queue_hint() {
+events::JobClassHint queue_hint() {
   return {"train", {{"req-000412", 0.75, 43}, {"req-9", -2, 4}}};
 }
 
-mail::JobHint job_hint() {
+events::JobHint job_hint() {
   return {"req-9", {"m-4", "m-5"}, from_seconds(3.5), 2};
 }
 
-mail::RentalHint rental_hint() {
+events::RentalHint rental_hint() {
   return {"m-000000018", "large", "a", false, from_seconds(4), from_seconds(26)};
 }
 
-mail::RentalRequestHint booking_hint() {
+events::RentalRequestHint booking_hint() {
   return {"c0-6-3", "small", "b", true, 20};
 }
 
--- a/tests/golden_values.hpp
+++ b/tests/golden_values.hpp
@@ -6,14 +6,16 @@
 #include <map>
 #include <string>
 
-#include "wrenusher/mail/mail.hpp"
+#include "wrenusher/events/events.hpp"
 #include "wrenusher/records/records.hpp"
 #include "wrenusher/settings/settings.hpp"
 #include "wrenusher/topology/topology.hpp"
 
 namespace wrenusher::golden {
 
-using namespace base;
+using namespace time;
+using namespace value;
+using namespace runtime;
 using namespace protocol;
 
 /// Settings of one of the three controllers c0, c1 and c2.
@@ -32,14 +34,14 @@
 
 // Heartbeats
 inline constexpr std::uint64_t kTerm = 6;
-mail::Progress progress();
+events::Progress progress();
 
 // Hints
-mail::MachineHint machine_hint();
-mail::JobClassHint queue_hint();
-mail::JobHint job_hint();
-mail::RentalHint rental_hint();
-mail::RentalRequestHint booking_hint();
+events::MachineHint machine_hint();
+events::JobClassHint queue_hint();
+events::JobHint job_hint();
+events::RentalHint rental_hint();
+events::RentalRequestHint booking_hint();
 
 /// All of them by name, encoded by this build: the name of the file that holds the production version's
 /// bytes.
--- a/tests/desk_by_hand.hpp
+++ b/tests/job_api_fixture.hpp
@@ -3,13 +3,13 @@
 
 #include <gtest/gtest.h>
 
-#include "by_hand.hpp"
-#include "wrenusher/desk/frontdesk.hpp"
-#include "wrenusher/lab/world.hpp"
+#include "manual_runtime.hpp"
+#include "wrenusher/job_api/job_api.hpp"
+#include "wrenusher/testbed/world.hpp"
 
-namespace wrenusher::lab {
+namespace wrenusher::testbed {
 
-using base::ByHand;
+using runtime::ByHand;
 
 /// A node's answers to users, with the state service answered by hand.
 struct DeskByHand {
@@ -19,21 +19,22 @@
     return s;
   }();
   ByHand rt;
-  wrenusher::store::KvClient store{rt, settings};
-  std::unique_ptr<wrenusher::desk::JobApi> made;
-  wrenusher::desk::JobApi& desk;
+  wrenusher::kv_client::KvClient store{rt, settings};
+  std::unique_ptr<wrenusher::job_api::JobApi> made;
+  wrenusher::job_api::JobApi& desk;
   std::vector<std::string> states;  ///< as told, in order
-  std::vector<mail::StageAnnouncement> announced;
+  std::vector<events::StageAnnouncement> announced;
   std::string ref = "req-000001";
 
   explicit DeskByHand(int peers = 0)
       : made([&] {
           for (int i = 1; i <= peers; ++i)
             settings.peers.push_back({"c" + std::to_string(i), "a", "10.0.0." + std::to_string(i) + ":8081"});
-          return std::make_unique<wrenusher::desk::JobApi>(rt, settings, store);
+          return std::make_unique<wrenusher::job_api::JobApi>(rt, settings, store);
         }()),
         desk(*made) {
-    desk.stage_announcement.connect(rt, [this](const mail::StageAnnouncement& a) { announced.push_back(a); });
+    desk.stage_announcement.connect(rt,
+                                    [this](const events::StageAnnouncement& a) { announced.push_back(a); });
     const MachineType f{"small", {to_amount(16), 0, to_amount(64)}, 30, 1, 1, 0.3, from_seconds(8), {"a"}};
     desk.on_catalog_updated({std::make_shared<Catalog>(Catalog{{"small", f}})});
   }
@@ -75,4 +76,4 @@
   static Value none(std::uint64_t revision) { return Value::Map{{"ledger_rev", revision}}; }
 };
 
-}  // namespace wrenusher::lab
+}  // namespace wrenusher::testbed
