--- a/tests/job_index_test.cpp
+++ b/tests/job_index_test.cpp
@@ -1,21 +1,23 @@
 // The index of live jobs: one request answers all questions that wait, and no answer is older than its
 // request, whatever becomes of requests, answers and the state service's memory of changes.
 
-#include "wrenusher/desk/job_index.hpp"
+#include "wrenusher/job_api/job_index.hpp"
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
-#include "by_hand.hpp"
-#include "wrenusher/lab/world.hpp"
+#include "manual_runtime.hpp"
+#include "wrenusher/testbed/world.hpp"
 
 namespace {
 
-using namespace wrenusher::base;
-using wrenusher::desk::JobIndex;
-using wrenusher::lab::World;
+using namespace wrenusher::time;
+using namespace wrenusher::value;
+using namespace wrenusher::runtime;
+using wrenusher::job_api::JobIndex;
+using wrenusher::kv_client::KvClient;
 using wrenusher::settings::Settings;
-using wrenusher::store::KvClient;
+using wrenusher::testbed::World;
 namespace records = wrenusher::records;
 using Standing = JobIndex::Presence;
 
@@ -235,7 +237,7 @@
                 [&](const JobIndex::Lookup& a) { answered += a.presence == Standing::absent; });
     if (i % 8 == 0) {
       scarce.list("x/", "", 1, KvClient::RequestClass::user,
-                  [&, since = d.rt.at](const wrenusher::store::ReadReply&) {
+                  [&, since = d.rt.at](const wrenusher::kv_client::ReadReply&) {
                     ++others;
                     longest = std::max(longest, std::chrono::duration_cast<Micros>(d.rt.at - since));
                   });
--- a/tests/store_test.cpp
+++ b/tests/kv_client_test.cpp
@@ -1,22 +1,24 @@
 // Whose turn it is at the state service: reads, changes, scheduling and what is only spare share one pace.
 
-#include "wrenusher/store/store.hpp"
+#include "wrenusher/kv_client/kv_client.hpp"
 
 #include <gtest/gtest.h>
 
-#include "by_hand.hpp"
-#include "wrenusher/lab/world.hpp"
+#include "manual_runtime.hpp"
+#include "wrenusher/testbed/world.hpp"
 
 namespace {
 
-using namespace wrenusher::base;
-using wrenusher::lab::World;
+using namespace wrenusher::time;
+using namespace wrenusher::value;
+using namespace wrenusher::runtime;
+using wrenusher::kv_client::CommitReply;
+using wrenusher::kv_client::KvClient;
+using wrenusher::kv_client::Mutation;
+using wrenusher::kv_client::ReadReply;
+using wrenusher::kv_client::WatchReply;
 using wrenusher::settings::Settings;
-using wrenusher::store::CommitReply;
-using wrenusher::store::KvClient;
-using wrenusher::store::Mutation;
-using wrenusher::store::ReadReply;
-using wrenusher::store::WatchReply;
+using wrenusher::testbed::World;
 
 /// A node alone with a state service that answers 200 to everything, at once.
 struct StoreByHand {
--- a/tests/state_service_test.cpp
+++ b/tests/kv_service_test.cpp
@@ -1,6 +1,6 @@
 // The lab's state service: PROTOCOL's contract, and that what was answered outlives the process.
 
-#include "wrenusher/lab/state_service.hpp"
+#include "wrenusher/testbed/kv_service.hpp"
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -11,9 +11,9 @@
 #include <filesystem>
 #include <fstream>
 
-#include "wrenusher/lab/world.hpp"
+#include "wrenusher/testbed/world.hpp"
 
-using namespace wrenusher::lab;
+using namespace wrenusher::testbed;
 namespace fs = std::filesystem;
 
 namespace {
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -8,14 +8,14 @@
 
 #include <cstdlib>
 
-#include "by_hand.hpp"
-#include "judged.hpp"
-#include "wrenusher/reports/reports.hpp"
+#include "manual_runtime.hpp"
+#include "verdict_assertions.hpp"
+#include "wrenusher/reconciler/reconciler.hpp"
 
-using namespace wrenusher::lab;
+using namespace wrenusher::testbed;
 using namespace wrenusher::protocol;
-using wrenusher::base::ByHand;
-using wrenusher::book::TaskState;
+using wrenusher::job_table::TaskState;
+using wrenusher::runtime::ByHand;
 
 namespace {
 
@@ -250,20 +250,20 @@
 struct Counted {
   ByHand rt;
   wrenusher::estimates::Estimator estimator;
-  wrenusher::machines::MachineInventory machines{rt, estimator};
-  wrenusher::book::JobTable book{rt, machines};
-  wrenusher::accounts::StartLatencyMetrics waits;
-  wrenusher::reports::Reconciler reports{rt, book, machines, estimator, waits};
+  wrenusher::machine_inventory::MachineInventory machines{rt, estimator};
+  wrenusher::job_table::JobTable book{rt, machines};
+  wrenusher::usage_metrics::StartLatencyMetrics waits;
+  wrenusher::reconciler::Reconciler reports{rt, book, machines, estimator, waits};
   JobSpec spec = job(0, 2, 100);
 
   Counted() { begin(7); }
   /// The records of one job, as a leader of this term finds them.
-  wrenusher::book::Job& begin(std::uint64_t fencing_token) {
+  wrenusher::job_table::Job& begin(std::uint64_t fencing_token) {
     book.begin(fencing_token);
     machines.clear();
     return book.add(spec.job_id, {spec, {}, 1000, false}, 1);
   }
-  wrenusher::book::Job& the_job() { return *book.find(spec.job_id); }
+  wrenusher::job_table::Job& the_job() { return *book.find(spec.job_id); }
   /// A block in which task 0 has a claim on m-1.
   void found(std::uint64_t version) {
     wrenusher::records::BlockRecord b;
--- a/tests/live_lab_test.cpp
+++ b/tests/live_testbed_test.cpp
@@ -1,6 +1,6 @@
 // The lab on loopback: what controllers are given when they start.
 
-#include "wrenusher/lab/live_lab.hpp"
+#include "wrenusher/testbed/live_testbed.hpp"
 
 #include <gtest/gtest.h>
 
@@ -8,7 +8,7 @@
 
 namespace {
 
-using namespace wrenusher::lab;
+using namespace wrenusher::testbed;
 
 // A controller that began while its tunables were written for the next one read none, and kept to the
 // defaults: idle machines went back, and no topology was in force until another one led.
@@ -22,7 +22,7 @@
   LiveTestbed lab(runtime, options);
   const std::filesystem::path log = lab.log_of(0);
   const std::filesystem::path tunables = log.parent_path() / "tunables.yaml";
-  EXPECT_EQ(wrenusher::fields::read_text(tunables.string()), options.tunables);
+  EXPECT_EQ(wrenusher::config_reader::read_text(tunables.string()), options.tunables);
   // The first controller's log is opened right before it is started; /bin/true writes nothing to it.
   EXPECT_LE(std::filesystem::last_write_time(tunables), std::filesystem::last_write_time(log));
   lab.stop([&] { runtime.stop(); });
--- a/tests/lost_answers_test.cpp
+++ b/tests/lost_answers_test.cpp
@@ -6,14 +6,14 @@
 
 #include <cstdlib>
 
-#include "by_hand.hpp"
-#include "judged.hpp"
+#include "manual_runtime.hpp"
+#include "verdict_assertions.hpp"
+#include "wrenusher/commit_batcher/commit_batcher.hpp"
 #include "wrenusher/membership/leadership.hpp"
-#include "wrenusher/writer/writer.hpp"
 
-using namespace wrenusher::lab;
+using namespace wrenusher::testbed;
 using namespace wrenusher::protocol;
-using wrenusher::base::ByHand;
+using wrenusher::runtime::ByHand;
 namespace records = wrenusher::records;
 
 namespace {
@@ -436,14 +436,14 @@
 struct CandidateByHand {
   Settings settings = World::small_site();
   ByHand rt;
-  std::unique_ptr<wrenusher::store::KvClient> store;
+  std::unique_ptr<wrenusher::kv_client::KvClient> store;
   std::unique_ptr<wrenusher::membership::Leadership> lead;
-  std::vector<wrenusher::mail::TermChanged> terms;
-  std::vector<wrenusher::mail::TopologyActivated> force;
+  std::vector<wrenusher::events::TermChanged> terms;
+  std::vector<wrenusher::events::TopologyActivated> force;
 
   CandidateByHand() {
     settings.node = "c0";
-    store = std::make_unique<wrenusher::store::KvClient>(rt, settings);
+    store = std::make_unique<wrenusher::kv_client::KvClient>(rt, settings);
     lead = std::make_unique<wrenusher::membership::Leadership>(rt, settings, *store);
     lead->term_changed.connect(rt, [this](const auto& t) { terms.push_back(t); });
     lead->topology_activated.connect(rt, [this](const auto& t) { force.push_back(t); });
@@ -587,9 +587,9 @@
 /// A leader's book and its writes, with the state service answered by hand.
 struct WriterByHand : CandidateByHand {
   wrenusher::estimates::Estimator estimator;
-  wrenusher::machines::MachineInventory machines{rt, estimator};
-  wrenusher::book::JobTable book{rt, machines};
-  wrenusher::writer::CommitBatcher writer{rt, settings, *store, book};
+  wrenusher::machine_inventory::MachineInventory machines{rt, estimator};
+  wrenusher::job_table::JobTable book{rt, machines};
+  wrenusher::commit_batcher::CommitBatcher writer{rt, settings, *store, book};
   std::vector<std::string> doubted;
 
   WriterByHand() {
@@ -599,14 +599,14 @@
     writer.on_committed = writer.on_ready = [] {};
     writer.on_job_uncertain = [this](const std::string& job_id) { doubted.push_back(job_id); };
   }
-  wrenusher::book::Job& take_up(int number) {
+  wrenusher::job_table::Job& take_up(int number) {
     records::JobRecord rec;
     rec.spec = World::job(number, 8, 1, 10);
     rec.tasks_per_block = 8;
     return book.add(rec.spec.job_id, rec, 3);
   }
-  void claim(wrenusher::book::Job& job, std::uint32_t task) {
-    book.assign(job, task, machines.get_or_add("m-1"), 1, wrenusher::book::TaskState::assigned);
+  void claim(wrenusher::job_table::Job& job, std::uint32_t task) {
+    book.assign(job, task, machines.get_or_add("m-1"), 1, wrenusher::job_table::TaskState::assigned);
   }
   ByHand::Call flush() {
     rt.pass(from_seconds(1));
@@ -629,7 +629,7 @@
 // is written anew elsewhere, and the slot is used again only by the stamp that was read.
 TEST(LostAnswers, AClaimWrittenWithoutItsAnswerIsWrittenAnewAndItsSlotReadBeforeItIsUsed) {
   WriterByHand c;
-  wrenusher::book::Job& job = c.take_up(1);
+  wrenusher::job_table::Job& job = c.take_up(1);
   c.claim(job, 0);
   const std::uint64_t made = job.assignments.at(0).version;
   const auto first = c.flush();
@@ -663,7 +663,7 @@
 // read.
 TEST(LostAnswers, NothingNewIsWrittenWhileEightSlotsStandInDoubtAndThenItGoesOn) {
   WriterByHand c;
-  wrenusher::book::Job& job = c.take_up(1);
+  wrenusher::job_table::Job& job = c.take_up(1);
   c.claim(job, 0);
   for (int i = 0; i < 8; ++i) c.lose(c.flush());
   c.rt.pass(from_millis(300));
@@ -684,7 +684,7 @@
 TEST(LostAnswers, VersionsDoNotGoBackWhereATermReadsItsRecordsOnceMore) {
   WriterByHand c;
   {
-    wrenusher::book::Job& job = c.take_up(1);
+    wrenusher::job_table::Job& job = c.take_up(1);
     for (std::uint32_t t = 0; t < 5; ++t) c.claim(job, t);
   }
   const std::uint64_t written = c.book.jobs().begin()->second.blocks[0].version;
@@ -692,7 +692,7 @@
   c.machines.clear();
   c.writer.begin(5);
   c.writer.restore_shard(0, 11);
-  wrenusher::book::Job& job = c.take_up(1);
+  wrenusher::job_table::Job& job = c.take_up(1);
   records::BlockRecord found;
   found.assignments.push_back({"m-1", 1, {}});
   found.assignments.back().tasks.add(0);
--- a/tests/by_hand.hpp
+++ b/tests/manual_runtime.hpp
@@ -4,9 +4,9 @@
 #include <map>
 #include <vector>
 
-#include "wrenusher/base/runtime.hpp"
+#include "wrenusher/runtime/runtime.hpp"
 
-namespace wrenusher::base {
+namespace wrenusher::runtime {
 
 class ByHand : public Runtime {
  public:
@@ -14,26 +14,28 @@
     Request request;
     CallHandler done;
   };
-  Instant at = Instant{} + from_seconds(50);
+  time::Instant at = time::Instant{} + time::from_seconds(50);
   std::vector<Call> calls;
 
-  Instant now() const override { return at; }
-  WallTime wall_time() const override { return WallTime{} + from_seconds(50); }
+  time::Instant now() const override { return at; }
+  time::WallTime wall_time() const override { return time::WallTime{} + time::from_seconds(50); }
   std::mt19937_64& random() override { return random_; }
   void post(std::function<void()> f) override { f(); }
-  void after(Micros delay, std::function<void()> f) override { timers_.emplace(at + delay, std::move(f)); }
-  void call(const Endpoint&, Request r, Micros, CallHandler done) override {
+  void after(time::Micros delay, std::function<void()> f) override {
+    timers_.emplace(at + delay, std::move(f));
+  }
+  void call(const Endpoint&, Request r, time::Micros, CallHandler done) override {
     calls.push_back({std::move(r), std::move(done)});
   }
   /// Moves the clock at one go, as for a node that stood still, and then runs what was due.
-  void pass(Micros time) {
+  void pass(time::Micros time) {
     at += time;
     while (!timers_.empty() && timers_.begin()->first <= at) timers_.extract(timers_.begin()).mapped()();
   }
 
  private:
   std::mt19937_64 random_;
-  std::multimap<Instant, std::function<void()>> timers_;
+  std::multimap<time::Instant, std::function<void()>> timers_;
 };
 
-}  // namespace wrenusher::base
+}  // namespace wrenusher::runtime
--- a/tests/meetings_test.cpp
+++ b/tests/meetings_test.cpp
@@ -6,10 +6,10 @@
 
 #include <cstdlib>
 
-#include "desk_by_hand.hpp"
-#include "judged.hpp"
+#include "job_api_fixture.hpp"
+#include "verdict_assertions.hpp"
 
-using namespace wrenusher::lab;
+using namespace wrenusher::testbed;
 using namespace wrenusher::protocol;
 
 namespace {
--- a/tests/planner_oracle.cpp
+++ b/tests/placement_oracle.cpp
@@ -1,4 +1,4 @@
-#include "planner_oracle.hpp"
+#include "placement_oracle.hpp"
 
 #include <algorithm>
 #include <limits>
--- a/tests/planner_oracle.hpp
+++ b/tests/placement_oracle.hpp
@@ -2,14 +2,16 @@
 // The planner that looks at everything: what Board must agree with, ties included. Slow on purpose, and
 // written without Board's indexes, memories and orders.
 
-#include "wrenusher/planner/board.hpp"
+#include "wrenusher/placement/placement_index.hpp"
 
 namespace oracle {
 
-using namespace wrenusher::base;
+using namespace wrenusher::time;
+using namespace wrenusher::value;
+using namespace wrenusher::runtime;
 using namespace wrenusher::settings;
 using namespace wrenusher::protocol;
-using namespace wrenusher::planner;
+using namespace wrenusher::placement;
 
 struct Here {
   PlanMachine host;
--- a/tests/planner_test.cpp
+++ b/tests/placement_test.cpp
@@ -5,12 +5,14 @@
 
 #include <memory>
 
-#include "planner_oracle.hpp"
+#include "placement_oracle.hpp"
 
-using namespace wrenusher::base;
+using namespace wrenusher::time;
+using namespace wrenusher::value;
+using namespace wrenusher::runtime;
 using namespace wrenusher::settings;
 using namespace wrenusher::protocol;
-using namespace wrenusher::planner;
+using namespace wrenusher::placement;
 using oracle::Burst;
 
 namespace {
--- a/tests/questions_test.cpp
+++ b/tests/questions_test.cpp
@@ -3,11 +3,11 @@
 
 #include <gtest/gtest.h>
 
-#include "judged.hpp"
+#include "verdict_assertions.hpp"
 
 namespace {
 
-using namespace wrenusher::lab;
+using namespace wrenusher::testbed;
 using namespace wrenusher::protocol;
 
 Request question(const std::string& job_id) {
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -5,12 +5,12 @@
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
-#include "by_hand.hpp"
-#include "judged.hpp"
+#include "manual_runtime.hpp"
+#include "verdict_assertions.hpp"
 
-using namespace wrenusher::lab;
+using namespace wrenusher::testbed;
 using namespace wrenusher::protocol;
-using wrenusher::base::ByHand;
+using wrenusher::runtime::ByHand;
 
 namespace {
 
@@ -196,7 +196,7 @@
   WorkerReport r;
   r.incarnation = 1;
   r.fencing_token = 4;
-  wrenusher::fleet::DeliveryMonitor h;
+  wrenusher::worker_gateway::DeliveryMonitor h;
   const auto unit = [](const char* job_id, TaskStatus s) { return TaskReport{job_id, 0, 1, s, "", false}; };
   const WorkerCommand run{WorkerCommand::Verb::start, "req-1", 0, 1, {}};
   const WorkerCommand reap{WorkerCommand::Verb::forget, "req-2", 0, 1, {}};
@@ -243,8 +243,8 @@
   s.peers = {{"c1", "a", "10.0.0.2:8081"}};
   ByHand runtime;
   wrenusher::membership::Peer peer(runtime, s);
-  std::vector<wrenusher::mail::PeerStatus> heard;
-  peer.peer_status.connect(runtime, [&](const wrenusher::mail::PeerStatus& n) { heard.push_back(n); });
+  std::vector<wrenusher::events::PeerStatus> heard;
+  peer.peer_status.connect(runtime, [&](const wrenusher::events::PeerStatus& n) { heard.push_back(n); });
   peer.start();
   // Words of two lives, in any order and some twice; each names itself as its leader.
   std::pair<int, int> newest(-1, -1);
@@ -278,12 +278,12 @@
   s.peers = {{"c1", "a", "10.0.0.2:8081"}};
   ByHand runtime;
   wrenusher::membership::Peer peer(runtime, s);
-  wrenusher::base::Instant through{};
+  wrenusher::time::Instant through{};
   std::vector<std::string> cancelled;
   peer.cancellations_known.connect(
-      runtime, [&](const wrenusher::mail::CancellationsKnown& k) { through = k.through; });
-  peer.job_cancelled.connect(runtime,
-                             [&](const wrenusher::mail::JobCancelled& w) { cancelled.push_back(w.job_id); });
+      runtime, [&](const wrenusher::events::CancellationsKnown& k) { through = k.through; });
+  peer.job_cancelled.connect(
+      runtime, [&](const wrenusher::events::JobCancelled& w) { cancelled.push_back(w.job_id); });
   peer.start();
   std::uint64_t n = 0;
   const auto beat = [&](std::uint64_t last, const char* job_id) {
@@ -326,7 +326,7 @@
   s.peers = {{"c1", "a", "10.0.0.2:8081"}};
   s.tunables.warm_standby = false;
   ByHand runtime;
-  wrenusher::store::KvClient store(runtime, s);
+  wrenusher::kv_client::KvClient store(runtime, s);
   wrenusher::provisioner::Provisioner p(runtime, s, store);
   const auto posts = [&] {
     return std::count_if(runtime.calls.begin(), runtime.calls.end(),
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -7,11 +7,11 @@
 #include <cmath>
 #include <fstream>
 
-#include "wrenusher/lab/scale_report.hpp"
+#include "wrenusher/testbed/scale_report.hpp"
 
 namespace {
 
-using namespace wrenusher::lab;
+using namespace wrenusher::testbed;
 
 constexpr MachineSize kMachine{16000, 8};
 
--- a/tests/small_jobs_test.cpp
+++ b/tests/small_jobs_test.cpp
@@ -3,9 +3,9 @@
 
 #include <gtest/gtest.h>
 
-#include "judged.hpp"
+#include "verdict_assertions.hpp"
 
-using namespace wrenusher::lab;
+using namespace wrenusher::testbed;
 
 namespace {
 
--- a/tests/standby_test.cpp
+++ b/tests/standby_test.cpp
@@ -1,20 +1,19 @@
 // The parts of the standby: hints as they travel, the copy of the records, and the check that a copy has to
 // pass.
 
-#include "wrenusher/standby/standby.hpp"
-
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
-#include "wrenusher/lab/world.hpp"
+#include "wrenusher/replica/standby_replica.hpp"
+#include "wrenusher/testbed/world.hpp"
 
 using namespace wrenusher;
-using namespace wrenusher::lab;
-using namespace wrenusher::mail;
-using standby::HintPublisher;
-using standby::HintTable;
-using standby::RecordReplica;
-using standby::ReplicaVerifier;
+using namespace wrenusher::testbed;
+using namespace wrenusher::events;
+using replica::HintPublisher;
+using replica::HintTable;
+using replica::RecordReplica;
+using replica::ReplicaVerifier;
 
 namespace {
 
@@ -64,7 +63,7 @@
   Settings settings = World::small_site();
   KvService state{wires, limits_of(settings), std::make_unique<MemoryStorage>()};
   Node node{wires, state};
-  store::KvClient store{node, settings};
+  kv_client::KvClient store{node, settings};
   RecordReplica copy{node, settings, store};
   ReplicaVerifier check{node, settings, store};
   std::uint64_t version = 0;
@@ -100,7 +99,7 @@
   /// The state service as it is.
   records::RecordSnapshot truth() const {
     records::RecordSnapshot s;
-    for (const auto& [key, e] : state.keys()) standby::apply_put(s, {key, e.value, e.mod_revision, 0});
+    for (const auto& [key, e] : state.keys()) replica::apply_put(s, {key, e.value, e.mod_revision, 0});
     return s;
   }
   /// What a term that begins now would take over; null: it would read everything.
@@ -230,8 +229,8 @@
   c.copy.start();
   c.run(5);
   ASSERT_TRUE(c.copy.complete());
-  std::function<void(const store::ReadReply&)> again = [&](const store::ReadReply&) {
-    c.store.get("job/none", store::KvClient::RequestClass::user, again);
+  std::function<void(const kv_client::ReadReply&)> again = [&](const kv_client::ReadReply&) {
+    c.store.get("job/none", kv_client::KvClient::RequestClass::user, again);
   };
   for (int i = 0; i < 40; ++i) again({});
   for (int i = 0; i < 60; ++i) {
@@ -415,7 +414,7 @@
     const int images = *rc::gen::inRange(0, 12);
     for (int i = 0; i < images; ++i)
       m.images.push_back({"img-" + std::string(40, 'x') + std::to_string(*rc::gen::inRange(0, 50)), 1.5});
-    return standby::to_hint_row(m);
+    return replica::to_hint_row(m);
   };
   Instant now{from_seconds(100)};
   HintPublisher teller;
@@ -437,7 +436,7 @@
     now += from_millis(500);
     const int rows = *rc::gen::inRange(0, 30);
     for (int r = 0; r < rows; ++r) {
-      const standby::HintRow row = draw_row(now);
+      const replica::HintRow row = draw_row(now);
       if (*rc::gen::inRange(0, 4) == 0) {
         teller.erase(row.key, now);
       } else {
@@ -494,12 +493,12 @@
   RentalHint r{"m-9", "large", "a", false, from_seconds(5), from_seconds(40)};
   HintTable p;
   const Instant told{from_seconds(10)};
-  ASSERT_TRUE(p.put(standby::to_hint_row(m), told, 4, 2));
-  ASSERT_TRUE(p.put(standby::to_hint_row(r), told, 4, 2));
-  ASSERT_TRUE(p.put(standby::to_hint_row(JobClassHint{"work", {{"req-000001", 0.5, 2}}}), told, 4, 2));
-  ASSERT_TRUE(p.put(standby::to_hint_row(RentalRequestHint{"r-4-9", "small", "a", true, 12}), told, 4, 2));
-  ASSERT_TRUE(p.put(standby::to_hint_row(JobHint{"req-000001", {"m-7"}, from_seconds(8), 2}), told, 4, 2));
-  EXPECT_FALSE(p.put(standby::to_hint_row(m), told, 4, 1)) << "an older message";
+  ASSERT_TRUE(p.put(replica::to_hint_row(m), told, 4, 2));
+  ASSERT_TRUE(p.put(replica::to_hint_row(r), told, 4, 2));
+  ASSERT_TRUE(p.put(replica::to_hint_row(JobClassHint{"work", {{"req-000001", 0.5, 2}}}), told, 4, 2));
+  ASSERT_TRUE(p.put(replica::to_hint_row(RentalRequestHint{"r-4-9", "small", "a", true, 12}), told, 4, 2));
+  ASSERT_TRUE(p.put(replica::to_hint_row(JobHint{"req-000001", {"m-7"}, from_seconds(8), 2}), told, 4, 2));
+  EXPECT_FALSE(p.put(replica::to_hint_row(m), told, 4, 1)) << "an older message";
   const InheritedHints all = p.inherited_hints(told + from_seconds(3));
   const MachineHint& back = all.machines.at("m-7");
   EXPECT_EQ(back.address, m.address);
--- a/tests/lab_test.cpp
+++ b/tests/testbed_test.cpp
@@ -4,12 +4,12 @@
 
 #include <nlohmann/json.hpp>
 
-#include "wrenusher/lab/day.hpp"
-#include "wrenusher/lab/live_wires.hpp"
-#include "wrenusher/lab/verdict.hpp"
-#include "wrenusher/lab/world.hpp"
+#include "wrenusher/testbed/day.hpp"
+#include "wrenusher/testbed/live_transport.hpp"
+#include "wrenusher/testbed/verdict.hpp"
+#include "wrenusher/testbed/world.hpp"
 
-using namespace wrenusher::lab;
+using namespace wrenusher::testbed;
 using namespace wrenusher::protocol;
 
 namespace {
--- a/tests/topology_test.cpp
+++ b/tests/topology_test.cpp
@@ -8,13 +8,15 @@
 
 #include <algorithm>
 
-#include "wrenusher/survey/survey.hpp"
-#include "wrenusher/watch/watch.hpp"
+#include "wrenusher/domain_failure_detector/domain_failure_detector.hpp"
+#include "wrenusher/topology_loader/topology_loader.hpp"
 
-using namespace wrenusher::base;
+using namespace wrenusher::time;
+using namespace wrenusher::value;
+using namespace wrenusher::runtime;
 using namespace wrenusher::protocol;
 using namespace wrenusher::topology;
-using wrenusher::fields::ConfigError;
+using wrenusher::config_reader::ConfigError;
 
 namespace {
 
@@ -183,9 +185,9 @@
     std::mt19937_64 random_;
   } runtime;
   std::optional<std::string> file = "version: 2\nlevels: [rack]\ndomains: {}\n";
-  wrenusher::survey::TopologyLoader s(runtime, "t.yaml", [&](const std::string&) { return file; });
+  wrenusher::topology_loader::TopologyLoader s(runtime, "t.yaml", [&](const std::string&) { return file; });
   std::vector<std::uint64_t> read;
-  s.topology_loaded.connect(runtime, [&](const wrenusher::mail::TopologyLoaded& t) {
+  s.topology_loaded.connect(runtime, [&](const wrenusher::events::TopologyLoaded& t) {
     read.push_back(t.topology->version().version);
   });
   s.start();
@@ -216,7 +218,7 @@
   std::vector<std::string> names{"a-1", "a-2", "a-3", "b-1", "b-2", "b-3", "c-1", "c-2", "c-3"};
   std::vector<MachineLocation> places;
   std::map<char, Instant> heard;
-  wrenusher::watch::DomainFailureDetector watch;
+  wrenusher::domain_failure_detector::DomainFailureDetector watch;
   Instant now{from_seconds(100)};
 
   Racks() {
@@ -227,7 +229,7 @@
   std::size_t pass(const std::string& racks) {
     now += from_seconds(1);
     for (const char r : racks) heard[r] = now;
-    std::vector<wrenusher::watch::DomainMember> members;
+    std::vector<wrenusher::domain_failure_detector::DomainMember> members;
     for (std::size_t i = 0; i < names.size(); ++i)
       members.push_back({&names[i], &places[i], heard[names[i][0]]});
     watch.evaluate(now, from_seconds(3), members);
--- a/tests/users_test.cpp
+++ b/tests/users_test.cpp
@@ -1,8 +1,8 @@
 // What users are answered, and that the checker sees every rule being broken.
 
-#include "judged.hpp"
+#include "verdict_assertions.hpp"
 
-using namespace wrenusher::lab;
+using namespace wrenusher::testbed;
 using namespace wrenusher::protocol;
 
 TEST(Users, GetEveryStatusOfTheProtocol) {
--- a/tests/world_test.cpp
+++ b/tests/world_test.cpp
@@ -1,16 +1,16 @@
 // Whole controllers in simulated time: ordinary days, every trouble of the brief, and random mixtures of
 // them.
 
-#include "wrenusher/lab/world.hpp"
+#include "wrenusher/testbed/world.hpp"
 
 #include <gtest/gtest.h>
 #include <spdlog/spdlog.h>
 
-#include "judged.hpp"
-#include "wrenusher/lab/day.hpp"
-#include "wrenusher/lab/live_lab.hpp"
+#include "verdict_assertions.hpp"
+#include "wrenusher/testbed/day.hpp"
+#include "wrenusher/testbed/live_testbed.hpp"
 
-using namespace wrenusher::lab;
+using namespace wrenusher::testbed;
 using namespace wrenusher::protocol;
 
 namespace {
@@ -551,8 +551,8 @@
 
 int main(int argc, char** argv) {
   // A lab on loopback starts its children by way of the program that it runs in.
-  if (argc > 2 && std::string(argv[1]) == wrenusher::lab::kChildFlag)
-    return wrenusher::lab::run_child(argv + 2);
+  if (argc > 2 && std::string(argv[1]) == wrenusher::testbed::kChildFlag)
+    return wrenusher::testbed::run_child(argv + 2);
   testing::InitGoogleTest(&argc, argv);
   const char* level = std::getenv("LOG_LEVEL");
   spdlog::set_level(level != nullptr ? spdlog::level::from_str(level) : spdlog::level::off);
