--- a/src/job_api/include/wrenusher/job_api/job_api.hpp
+++ b/src/job_api/include/wrenusher/job_api/job_api.hpp
@@ -9,7 +9,10 @@
 #include <memory>
 #include <unordered_map>
 
-#include "wrenusher/events/events.hpp"
+#include "wrenusher/events/capacity.hpp"
+#include "wrenusher/events/jobs.hpp"
+#include "wrenusher/events/membership.hpp"
+#include "wrenusher/events/topology.hpp"
 #include "wrenusher/job_api/job_index.hpp"
 #include "wrenusher/job_api/read_consistency.hpp"
 #include "wrenusher/kv_client/kv_client.hpp"
--- a/src/job_api/include/wrenusher/job_api/job_index.hpp
+++ b/src/job_api/include/wrenusher/job_api/job_index.hpp
@@ -10,7 +10,10 @@
 #include <unordered_map>
 #include <vector>
 
-#include "wrenusher/events/events.hpp"
+#include "wrenusher/events/capacity.hpp"
+#include "wrenusher/events/jobs.hpp"
+#include "wrenusher/events/membership.hpp"
+#include "wrenusher/events/topology.hpp"
 #include "wrenusher/kv_client/kv_client.hpp"
 #include "wrenusher/records/records.hpp"
 
--- a/src/job_api/include/wrenusher/job_api/read_consistency.hpp
+++ b/src/job_api/include/wrenusher/job_api/read_consistency.hpp
@@ -9,7 +9,10 @@
 #include <string>
 #include <unordered_map>
 
-#include "wrenusher/events/events.hpp"
+#include "wrenusher/events/capacity.hpp"
+#include "wrenusher/events/jobs.hpp"
+#include "wrenusher/events/membership.hpp"
+#include "wrenusher/events/topology.hpp"
 #include "wrenusher/kv_client/kv_client.hpp"
 #include "wrenusher/time/time.hpp"
 
--- a/src/leader/include/wrenusher/leader/failover_timer.hpp
+++ b/src/leader/include/wrenusher/leader/failover_timer.hpp
@@ -7,7 +7,13 @@
 #include <string>
 #include <vector>
 
-#include "wrenusher/events/events.hpp"
+#include "wrenusher/events/capacity.hpp"
+#include "wrenusher/events/failover.hpp"
+#include "wrenusher/events/hints.hpp"
+#include "wrenusher/events/jobs.hpp"
+#include "wrenusher/events/membership.hpp"
+#include "wrenusher/events/topology.hpp"
+#include "wrenusher/events/workers.hpp"
 
 namespace wrenusher::leader {
 
--- a/src/membership/include/wrenusher/membership/leadership.hpp
+++ b/src/membership/include/wrenusher/membership/leadership.hpp
@@ -4,8 +4,11 @@
 // nobody else leads, and which topology is in force; Peer owns the heartbeats. It may depend on base,
 // settings, protocol, topology, store and mail.
 
-#include "wrenusher/events/events.hpp"
+#include "wrenusher/events/jobs.hpp"
+#include "wrenusher/events/membership.hpp"
+#include "wrenusher/events/topology.hpp"
 #include "wrenusher/kv_client/kv_client.hpp"
+#include "wrenusher/topology/topology.hpp"
 
 namespace wrenusher::membership {
 
--- a/src/provisioner/include/wrenusher/provisioner/provisioner.hpp
+++ b/src/provisioner/include/wrenusher/provisioner/provisioner.hpp
@@ -7,7 +7,10 @@
 #include <functional>
 #include <set>
 
-#include "wrenusher/events/events.hpp"
+#include "wrenusher/events/capacity.hpp"
+#include "wrenusher/events/hints.hpp"
+#include "wrenusher/events/membership.hpp"
+#include "wrenusher/events/workers.hpp"
 #include "wrenusher/kv_client/kv_client.hpp"
 #include "wrenusher/settings/settings.hpp"
 #include "wrenusher/usage_metrics/usage_metrics.hpp"
--- a/src/reconciler/include/wrenusher/reconciler/reconciler.hpp
+++ b/src/reconciler/include/wrenusher/reconciler/reconciler.hpp
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "wrenusher/estimates/estimator.hpp"
-#include "wrenusher/events/events.hpp"
+#include "wrenusher/events/workers.hpp"
 #include "wrenusher/job_table/job_table.hpp"
 #include "wrenusher/usage_metrics/usage_metrics.hpp"
 
--- a/src/replica/include/wrenusher/replica/hints.hpp
+++ b/src/replica/include/wrenusher/replica/hints.hpp
@@ -6,7 +6,11 @@
 #include <optional>
 #include <string>
 
-#include "wrenusher/events/events.hpp"
+#include "wrenusher/events/failover.hpp"
+#include "wrenusher/events/hints.hpp"
+#include "wrenusher/events/jobs.hpp"
+#include "wrenusher/events/membership.hpp"
+#include "wrenusher/events/workers.hpp"
 
 namespace wrenusher::replica {
 
--- a/src/replica/include/wrenusher/replica/record_replica.hpp
+++ b/src/replica/include/wrenusher/replica/record_replica.hpp
@@ -14,7 +14,11 @@
 #include <optional>
 #include <string>
 
-#include "wrenusher/events/events.hpp"
+#include "wrenusher/events/failover.hpp"
+#include "wrenusher/events/hints.hpp"
+#include "wrenusher/events/jobs.hpp"
+#include "wrenusher/events/membership.hpp"
+#include "wrenusher/events/workers.hpp"
 #include "wrenusher/kv_client/kv_client.hpp"
 #include "wrenusher/records/records.hpp"
 #include "wrenusher/settings/settings.hpp"
--- a/src/replica/include/wrenusher/replica/standby_replica.hpp
+++ b/src/replica/include/wrenusher/replica/standby_replica.hpp
@@ -9,7 +9,11 @@
 #include <string>
 #include <vector>
 
-#include "wrenusher/events/events.hpp"
+#include "wrenusher/events/failover.hpp"
+#include "wrenusher/events/hints.hpp"
+#include "wrenusher/events/jobs.hpp"
+#include "wrenusher/events/membership.hpp"
+#include "wrenusher/events/workers.hpp"
 #include "wrenusher/replica/hint_publisher.hpp"
 #include "wrenusher/replica/record_replica.hpp"
 #include "wrenusher/replica/replica_verifier.hpp"
--- a/src/scheduling_cycle/include/wrenusher/scheduling_cycle/scheduling_cycle.hpp
+++ b/src/scheduling_cycle/include/wrenusher/scheduling_cycle/scheduling_cycle.hpp
@@ -14,10 +14,13 @@
 #include <vector>
 
 #include "wrenusher/estimates/estimator.hpp"
-#include "wrenusher/events/events.hpp"
+#include "wrenusher/events/capacity.hpp"
+#include "wrenusher/events/jobs.hpp"
+#include "wrenusher/events/workers.hpp"
 #include "wrenusher/job_table/job_table.hpp"
 #include "wrenusher/placement/placement_index.hpp"
 #include "wrenusher/settings/settings.hpp"
+#include "wrenusher/topology/topology.hpp"
 
 namespace wrenusher::scheduling_cycle {
 
--- a/src/topology_loader/include/wrenusher/topology_loader/topology_loader.hpp
+++ b/src/topology_loader/include/wrenusher/topology_loader/topology_loader.hpp
@@ -7,8 +7,9 @@
 #include <functional>
 #include <optional>
 
-#include "wrenusher/events/events.hpp"
+#include "wrenusher/events/topology.hpp"
 #include "wrenusher/runtime/runtime.hpp"
+#include "wrenusher/topology/topology.hpp"
 
 namespace wrenusher::topology_loader {
 
--- a/src/worker_gateway/include/wrenusher/worker_gateway/worker_gateway.hpp
+++ b/src/worker_gateway/include/wrenusher/worker_gateway/worker_gateway.hpp
@@ -10,8 +10,13 @@
 #include <unordered_map>
 
 #include "wrenusher/domain_failure_detector/domain_failure_detector.hpp"
-#include "wrenusher/events/events.hpp"
+#include "wrenusher/events/hints.hpp"
+#include "wrenusher/events/jobs.hpp"
+#include "wrenusher/events/membership.hpp"
+#include "wrenusher/events/topology.hpp"
+#include "wrenusher/events/workers.hpp"
 #include "wrenusher/settings/settings.hpp"
+#include "wrenusher/topology/topology.hpp"
 #include "wrenusher/worker_gateway/delivery_monitor.hpp"
 
 namespace wrenusher::worker_gateway {
--- a/tests/golden_values.hpp
+++ b/tests/golden_values.hpp
@@ -6,7 +6,8 @@
 #include <map>
 #include <string>
 
-#include "wrenusher/events/events.hpp"
+#include "wrenusher/events/hints.hpp"
+#include "wrenusher/events/jobs.hpp"
 #include "wrenusher/records/records.hpp"
 #include "wrenusher/settings/settings.hpp"
 #include "wrenusher/topology/topology.hpp"
