--- a/src/pending_replies/pending_replies.cpp
+++ b/src/pending_replies/pending_replies.cpp
@@ -13,14 +13,13 @@
 }
 
 void PendingReplies::reply_all_empty() {
-  for (const auto& [host, a] : std::exchange(waiting_, {})) a.reply({});
+  for (const auto& [host, pending] : std::exchange(waiting_, {})) pending.reply({});
 }
 
-void PendingReplies::reply_ready(const std::function<std::optional<std::vector<WorkerCommand>>(
-                                     const std::string& host, const PendingReply&)>& commands) {
+void PendingReplies::reply_ready(const CommandSource& commands) {
   for (auto it = waiting_.begin(); it != waiting_.end();) {
-    if (auto command = commands(it->first, it->second)) {
-      it->second.reply(std::move(*command));
+    if (auto ready = commands(it->first, it->second)) {
+      it->second.reply(std::move(*ready));
       it = waiting_.erase(it);
     } else {
       ++it;
