--- a/src/commit_batcher/commit_batcher.cpp
+++ b/src/commit_batcher/commit_batcher.cpp
@@ -10,25 +10,33 @@
 namespace {
 
 /// Bytes of a transaction that are filled, conditions included; the service takes 64 KiB.
-constexpr std::size_t kTxnBytes = 60 * 1024;
+constexpr std::size_t kTxnBytes = std::size_t{60} * 1024;
 constexpr std::size_t kConditionBytes = 48;
+/// Estimate for a mutation of a final state or a deletion.
+constexpr std::size_t kMutationBytes = 200;
 /// Values of blocks in one transaction.
 constexpr std::size_t kMaxShardsPerCommit = 4;
-/// Part of a transaction that final states may take.
+/// Final states may take one in so many of a transaction's operations.
 constexpr std::size_t kFinalStateShare = 3;
-/// Nothing new is written while so many slots stand in doubt: what a leader may have made beyond the slots
-/// that others know of stays bounded, so that a standby can ask for it by name.
+/// Conditions per operation that a transaction may have.
+constexpr std::size_t kConditionsPerOperation = 4;
+/// Progress opens a value of its own only while this part of a second's writes is available.
+constexpr double kProgressWriteShare = 0.25;
+/// Nothing new is written while so many shards are uncertain: what a leader may have written beyond the
+/// shards that others know of stays bounded, so that a standby can read it by name.
 constexpr std::uint32_t kMaxUncertainShards = 8;
-constexpr Micros kRetryCommit = from_millis(250);
-constexpr Micros kRetryRead = from_millis(250);
-/// Progress without new claims waits this long for a commit that it can ride along with.
-constexpr Micros kProgressWait = from_millis(400);
+constexpr time::Micros kRetryCommit = time::from_millis(250);
+constexpr time::Micros kRetryRead = time::from_millis(250);
+/// After a transaction that the service calls malformed.
+constexpr time::Micros kMalformedPause = time::from_seconds(5);
+/// Progress without new assignments waits this long for a commit that it can be added to.
+constexpr time::Micros kProgressWait = time::from_millis(400);
 
 }  // namespace
 
-void CommitBatcher::begin(std::uint64_t mod_revision) {
+void CommitBatcher::begin(std::uint64_t leader_revision) {
   ++generation_;
-  leader_revision_ = mod_revision;
+  leader_revision_ = leader_revision;
   committing_ = false;
   shards_.clear();
   uncertain_shards_ = 0;
@@ -36,36 +44,37 @@
   progress_pending_since_ = runtime_.now();
 }
 
-void CommitBatcher::restore_shard(std::uint32_t slot, std::uint64_t mod_revision) {
-  if (slot >= shards_.size()) shards_.resize(slot + std::size_t{1});
-  shards_[slot].mod_revision = mod_revision;
+void CommitBatcher::restore_shard(std::uint32_t shard_number, std::uint64_t mod_revision) {
+  if (shard_number >= shards_.size()) shards_.resize(shard_number + std::size_t{1});
+  shards_[shard_number].mod_revision = mod_revision;
 }
 
-void CommitBatcher::restore_block(const Job& job, std::uint32_t n, std::uint32_t slot) {
-  shard_of(job, n) = slot;
-  ++shards_[slot].live_blocks;
+void CommitBatcher::restore_block(const Job& job, std::uint32_t block_number, std::uint32_t shard_number) {
+  shard_of(job, block_number) = shard_number;
+  ++shards_[shard_number].live_blocks;
 }
 
-/// The slot in which the block stands.
-std::uint32_t& CommitBatcher::shard_of(const Job& job, std::uint32_t n) {
-  auto& places = shard_by_block_[job.id];
-  if (places.empty()) places.resize(job.blocks.size(), kNoShard);
-  return places[n];
+/// The shard that stores the block, or `kNoShard`.
+std::uint32_t& CommitBatcher::shard_of(const Job& job, std::uint32_t block_number) {
+  auto& shard_numbers = shard_by_block_[job.id];
+  if (shard_numbers.empty()) shard_numbers.resize(job.blocks.size(), kNoShard);
+  return shard_numbers[block_number];
 }
 
-void CommitBatcher::release_shard(const Job& job, std::uint32_t n) {
-  if (const std::uint32_t slot = shard_of(job, n); slot != kNoShard) --shards_[slot].live_blocks;
+void CommitBatcher::release_shard(const Job& job, std::uint32_t block_number) {
+  const std::uint32_t shard_number = shard_of(job, block_number);
+  if (shard_number != kNoShard) --shards_[shard_number].live_blocks;
 }
 
 void CommitBatcher::remove(const std::string& job_id) {
-  const Job* job = book_.find(job_id);
+  const Job* job = jobs_.find(job_id);
   if (job == nullptr) return;
   for (std::uint32_t n = 0; n < job->blocks.size(); ++n) release_shard(*job, n);
   shard_by_block_.erase(job->id);
-  book_.remove(job_id);
+  jobs_.remove(job_id);
 }
 
-/// A slot in which no block stands and that this transaction does not use yet.
+/// A shard that stores no block and that this transaction does not use yet.
 std::uint32_t CommitBatcher::free_shard(const std::vector<std::uint32_t>& taken) {
   for (std::uint32_t n = 0; n < shards_.size(); ++n) {
     if (shards_[n].live_blocks == 0 && !shards_[n].uncertain &&
@@ -76,11 +85,11 @@
   return static_cast<std::uint32_t>(shards_.size() - 1);
 }
 
-/// Final states, put with the deletion of the live record in one transaction.
+/// Final states, each put together with the deletion of the live record.
 void CommitBatcher::add_final_states(Batch& batch) const {
-  for (const std::string& job_id : book_.finished_jobs()) {
+  for (const std::string& job_id : jobs_.finished_jobs()) {
     if (batch.mutations.size() + 2 > std::max<std::size_t>(2, settings_.txn_ops / kFinalStateShare)) break;
-    const Job& job = *book_.find(job_id);
+    const Job& job = *jobs_.find(job_id);
     if (job.needs_refresh) continue;
     batch.conditions.push_back({records::job_key(job_id), job.mod_revision});
     batch.mutations.push_back(
@@ -91,111 +100,140 @@
   }
 }
 
-/// As many blocks as there is room for, in their order.
-void CommitBatcher::add_blocks(Batch& batch, std::size_t ready) {
-  const bool full = static_cast<double>(ready) >= settings_.state_write_rps / 4;
-  const auto value_limit = static_cast<std::size_t>(settings_.value_kb * 1024) - 2;
-  const std::size_t most =
-      std::min({kMaxShardsPerCommit, settings_.txn_ops - std::min(settings_.txn_ops, batch.mutations.size()),
-                std::max<std::size_t>(1, ready - std::min(ready, batch.mutations.size()))});
-  const bool progress_due = full && runtime_.now() - progress_pending_since_ >= kProgressWait;
-  std::vector<Value::List> values;
-  std::size_t room = 0;  // in the last of the values
-  std::size_t bytes = batch.mutations.size() * 200;
-  bool left_progress = false;
-  for (const auto& [key, job] : book_.unwritten()) {
-    const std::uint32_t n = std::get<3>(key);
-    const bool assignments = std::get<0>(key) < job_table::kProgressRank;
-    if (book_.finished_jobs().contains(job->spec().job_id)) continue;  // the final state says it all
-    if (assignments && job->needs_refresh) continue;
-    if (batch.conditions.size() + kMaxShardsPerCommit + 1 > settings_.txn_ops * 4) break;
-    if (!assignments && values.empty() && !progress_due) {
-      left_progress = true;
-      break;
-    }
-    Value row = book_.block_row(*job, n);
+/// Adds as many blocks as there is room for, in their order.
+void CommitBatcher::add_blocks(Batch& batch, std::size_t writes_available) {
+  Packing packing = begin_packing(batch, writes_available);
+  const bool progress_left = pack_blocks(batch, packing);
+  if (!progress_left) progress_pending_since_ = runtime_.now();
+  for (std::size_t i = 0; i < packing.values.size(); ++i)
+    batch.mutations.push_back({records::shard_key(batch.shards[i]),
+                               records::write_shard(batch.shards[i], std::move(packing.values[i])), 0});
+}
+
+CommitBatcher::Packing CommitBatcher::begin_packing(const Batch& batch, std::size_t writes_available) const {
+  const std::size_t mutations = batch.mutations.size();
+  const bool rate_allows =
+      static_cast<double>(writes_available) >= settings_.state_write_rps * kProgressWriteShare;
+  Packing packing;
+  packing.max_values =
+      std::min({kMaxShardsPerCommit, settings_.txn_ops - std::min(settings_.txn_ops, mutations),
+                std::max<std::size_t>(1, writes_available - std::min(writes_available, mutations))});
+  packing.progress_due = rate_allows && runtime_.now() - progress_pending_since_ >= kProgressWait;
+  packing.batch_bytes = mutations * kMutationBytes;
+  return packing;
+}
+
+/// Packs the unwritten blocks into values until one does not fit; returns whether progress is left for a
+/// later commit for want of room or because it is not due.
+bool CommitBatcher::pack_blocks(Batch& batch, Packing& packing) {
+  for (const auto& [order, job] : jobs_.unwritten()) {
+    const bool assigns = order.rank < job_table::kProgressRank;
+    if (jobs_.finished_jobs().contains(job->spec().job_id)) continue;  // its final state replaces its blocks
+    if (assigns && job->needs_refresh) continue;
+    if (batch.conditions.size() + kMaxShardsPerCommit + 1 > settings_.txn_ops * kConditionsPerOperation)
+      return false;
+    if (!assigns && packing.values.empty() && !packing.progress_due) return true;
+    Value row = jobs_.block_row(*job, order.block);
     const std::size_t size = row.json_size() + 1;
-    if (size > room) {
-      // With the slot's own condition and, for a claim, its job's. A room too small by a few bytes must not
-      // be taken from: it would wrap round and let the value grow without bound.
-      const std::size_t taken = bytes + (batch.conditions.size() + 2) * kConditionBytes;
-      const std::size_t fresh = std::min(value_limit, kTxnBytes - std::min(kTxnBytes, taken));
-      if (values.size() == most || size + records::kShardOverheadBytes > fresh ||
-          !(assignments || progress_due)) {
-        left_progress = true;
-        break;
-      }
-      const std::uint32_t slot = free_shard(batch.shards);
-      batch.shards.push_back(slot);
-      batch.conditions.push_back({records::shard_key(slot), shards_[slot].mod_revision});
-      values.emplace_back();
-      room = fresh - std::min(fresh, records::kShardOverheadBytes);
-      bytes += records::kShardOverheadBytes;
-    }
-    room -= size;
-    bytes += size;
-    // A cancellation that came first must make new claims fail.
-    if (assignments && batch.assigning_jobs.insert(job->spec().job_id).second)
-      batch.conditions.push_back({records::job_key(job->spec().job_id), job->mod_revision});
-    batch.blocks.push_back({job->spec().job_id, n, job->blocks[n].version, batch.shards.back()});
-    values.back().push_back(std::move(row));
+    if (size > packing.room_bytes && !open_value(batch, packing, size, assigns || packing.progress_due))
+      return true;
+    packing.room_bytes -= size;
+    packing.batch_bytes += size;
+    add_block(batch, *job, order.block, assigns);
+    packing.values.back().push_back(std::move(row));
   }
-  if (!left_progress) progress_pending_since_ = runtime_.now();
-  for (std::size_t i = 0; i < values.size(); ++i)
-    batch.mutations.push_back({records::shard_key(batch.shards[i]),
-                               records::write_shard(batch.shards[i], std::move(values[i])), 0});
+  return false;
+}
+
+/// Opens one more value, in a free shard, that has room for the block; false where the batch has none.
+bool CommitBatcher::open_value(Batch& batch, Packing& packing, std::size_t block_bytes, bool may_open) {
+  const auto value_limit = static_cast<std::size_t>(settings_.value_kb * 1024) - 2;
+  // With the shard's own condition and, for an assignment, its job's. A room too small by a few bytes must
+  // not be subtracted from: it would wrap round and let the value grow without bound.
+  const std::size_t taken = packing.batch_bytes + (batch.conditions.size() + 2) * kConditionBytes;
+  const std::size_t fresh = std::min(value_limit, kTxnBytes - std::min(kTxnBytes, taken));
+  if (packing.values.size() == packing.max_values || block_bytes + records::kShardOverheadBytes > fresh ||
+      !may_open)
+    return false;
+  const std::uint32_t shard_number = free_shard(batch.shards);
+  batch.shards.push_back(shard_number);
+  batch.conditions.push_back({records::shard_key(shard_number), shards_[shard_number].mod_revision});
+  packing.values.emplace_back();
+  packing.room_bytes = fresh - std::min(fresh, records::kShardOverheadBytes);
+  packing.batch_bytes += records::kShardOverheadBytes;
+  return true;
 }
 
-/// Every write depends on the leader's stamp, so whatever a former leader still has on its way fails by
-/// itself.
+/// Notes that the block is written to the last of the batch's shards, and on which condition.
+void CommitBatcher::add_block(Batch& batch, const Job& job, std::uint32_t block_number, bool assigns) const {
+  const std::string& job_id = job.spec().job_id;
+  // A cancellation that came first must make new assignments fail.
+  if (assigns && batch.assigning_jobs.insert(job_id).second)
+    batch.conditions.push_back({records::job_key(job_id), job.mod_revision});
+  batch.blocks.push_back({job_id, block_number, job.blocks[block_number].version, batch.shards.back()});
+}
+
+/// Every write has the revision of the `leader` key as a condition, so whatever a former leader still has on
+/// its way fails by itself.
 void CommitBatcher::flush() {
   if (committing_ || runtime_.now() < commit_not_before_ ||
-      (book_.unwritten().empty() && book_.finished_jobs().empty()))
+      (jobs_.unwritten().empty() && jobs_.finished_jobs().empty()))
     return;
   if (uncertain_shards_ >= kMaxUncertainShards) return;
-  const std::size_t ready = store_.writes_available();
-  if (ready < 2) return;
+  const std::size_t writes_available = store_.writes_available();
+  if (writes_available < 2) return;
   Batch batch;
   batch.conditions.push_back({"leader", leader_revision_});
   add_final_states(batch);
-  add_blocks(batch, ready);
+  add_blocks(batch, writes_available);
   if (batch.mutations.empty()) return;
   committing_ = true;
-  const auto when = std::move(batch.conditions);
-  const auto apply = std::move(batch.mutations);
-  store_.commit(when, apply, KvClient::RequestClass::scheduling,
+  const auto conditions = std::move(batch.conditions);
+  const auto mutations = std::move(batch.mutations);
+  store_.commit(conditions, mutations, KvClient::RequestClass::scheduling,
                 [this, batch = std::move(batch), generation = generation_](const CommitReply& reply) {
                   if (generation == generation_) on_reply(reply, batch);
                 });
 }
 
 void CommitBatcher::on_commit(const Batch& batch, std::uint64_t revision) {
-  for (const std::uint32_t slot : batch.shards) shards_[slot].mod_revision = revision;
+  for (const std::uint32_t shard_number : batch.shards) shards_[shard_number].mod_revision = revision;
   for (const Batch::BlockWrite& write : batch.blocks) {
-    Job* job = book_.find(write.job_id);
+    Job* job = jobs_.find(write.job_id);
     if (job == nullptr) continue;
     release_shard(*job, write.block);
     restore_block(*job, write.block, write.shard);
-    book_.mark_written(*job, write.block, write.version);
+    jobs_.mark_written(*job, write.block, write.version);
   }
   for (const std::string& job_id : batch.finished_jobs) {
-    const Job* job = book_.find(job_id);
+    const Job* job = jobs_.find(job_id);
     if (job == nullptr) continue;
-    log::info("job_over", "job {job} ({queue}) is {state} after {seconds:.1f} s", log::with("job", job_id),
-              log::with("queue", job->spec().job_class),
-              log::with("state", job->record.cancelled ? "withdrawn" : "done"),
-              log::with("seconds", to_seconds(runtime_.wall_time() - job->record.accepted_at)));
+    log::info("job_finished", "job {job} (class {job_class}) is {state} after {seconds:.1f} s",
+              log::with("job", job_id), log::with("job_class", job->spec().job_class),
+              log::with("state", job->record.cancelled ? "cancelled" : "done"),
+              log::with("seconds", time::to_seconds(runtime_.wall_time() - job->record.accepted_at)));
     remove(job_id);
   }
 }
 
-void CommitBatcher::on_reply(const CommitReply& reply, const Batch& batch) {
-  committing_ = false;
+void CommitBatcher::log_reply(const CommitReply& reply, const Batch& batch) const {
   log::debug(
-      "commit", "commit of {blocks} blocks in {values} values and {finals} final states: {result}{failed}",
-      log::with("blocks", batch.blocks.size()), log::with("values", batch.shards.size()),
-      log::with("finals", batch.finished_jobs.size()), log::with("result", static_cast<int>(reply.result)),
+      "commit",
+      "commit of {blocks} blocks in {shards} shards and {final_states} final states: {result}{failed}",
+      log::with("blocks", batch.blocks.size()), log::with("shards", batch.shards.size()),
+      log::with("final_states", batch.finished_jobs.size()),
+      log::with("result", static_cast<int>(reply.result)),
       log::with("failed", reply.failed_keys.empty() ? "" : ", failed on " + reply.failed_keys.front()));
+  if (reply.result == CommitReply::Result::invalid)
+    log::error("commit_malformed",
+               "the state service calls a write of {blocks} blocks and {final_states} final states malformed",
+               log::with("blocks", batch.blocks.size()),
+               log::with("final_states", batch.finished_jobs.size()));
+}
+
+void CommitBatcher::on_reply(const CommitReply& reply, const Batch& batch) {
+  committing_ = false;
+  log_reply(reply, batch);
   switch (reply.result) {
     case CommitReply::Result::committed:
       on_commit(batch, reply.revision);
@@ -205,19 +243,15 @@
       if (std::find(reply.failed_keys.begin(), reply.failed_keys.end(), "leader") !=
           reply.failed_keys.end()) {
         on_leadership_lost();
-        return;
+      } else {
+        on_uncertain(batch);
       }
-      [[fallthrough]];
+      return;
     case CommitReply::Result::unknown:
-      for (const std::uint32_t slot : batch.shards) refresh_shard(slot);
-      for (const std::string& job_id : batch.assigning_jobs) on_job_uncertain(job_id);
-      for (const std::string& job_id : batch.finished_jobs) on_job_uncertain(job_id);
+      on_uncertain(batch);
       return;
     case CommitReply::Result::invalid:
-      log::error("write_malformed",
-                 "the state service calls a write of {blocks} blocks and {finals} final states malformed",
-                 log::with("blocks", batch.blocks.size()), log::with("finals", batch.finished_jobs.size()));
-      commit_not_before_ = runtime_.now() + from_seconds(5);
+      commit_not_before_ = runtime_.now() + kMalformedPause;
       return;
     case CommitReply::Result::refused:
       commit_not_before_ = runtime_.now() + kRetryCommit + runtime_.jitter(kRetryCommit);
@@ -225,41 +259,51 @@
   }
 }
 
-/// Reads a slot's stamp anew. What stands in it matters no more: a copy of a block that was applied late is
-/// older than the one that is written next, and says so itself.
-void CommitBatcher::refresh_shard(std::uint32_t slot) {
-  if (!std::exchange(shards_[slot].uncertain, true)) ++uncertain_shards_;
-  store_.get(records::shard_key(slot), KvClient::RequestClass::scheduling,
-             [this, slot, generation = generation_](const ReadReply& reply) {
+/// A conflict, or the outcome is not known: what the batch depends on must be read again.
+void CommitBatcher::on_uncertain(const Batch& batch) {
+  for (const std::uint32_t shard_number : batch.shards) refresh_shard(shard_number);
+  for (const std::string& job_id : batch.assigning_jobs) on_job_uncertain(job_id);
+  for (const std::string& job_id : batch.finished_jobs) on_job_uncertain(job_id);
+}
+
+/// Reads a shard's revision again. What is stored in it does not matter any more: a copy of a block that was
+/// applied late has a lower version than the one that is written next.
+void CommitBatcher::refresh_shard(std::uint32_t shard_number) {
+  if (!std::exchange(shards_[shard_number].uncertain, true)) ++uncertain_shards_;
+  store_.get(records::shard_key(shard_number), KvClient::RequestClass::scheduling,
+             [this, shard_number, generation = generation_](const kv_client::ReadReply& reply) {
                if (generation != generation_) return;
-               if (reply.result != ReadReply::Result::ok) {
-                 runtime_.after(kRetryRead, [this, slot, generation] {
-                   if (generation == generation_) refresh_shard(slot);
+               if (reply.result != kv_client::ReadReply::Result::ok) {
+                 runtime_.after(kRetryRead, [this, shard_number, generation] {
+                   if (generation == generation_) refresh_shard(shard_number);
                  });
                  return;
                }
-               shards_[slot].mod_revision = reply.rows.empty() ? 0 : reply.rows[0].mod_revision;
-               shards_[slot].uncertain = false;
+               Shard& shard = shards_[shard_number];
+               shard.mod_revision = reply.rows.empty() ? 0 : reply.rows[0].mod_revision;
+               shard.uncertain = false;
                --uncertain_shards_;
                on_ready();
              });
 }
 
 std::string CommitBatcher::disagreement() const {
-  std::vector<std::uint32_t> live(shards_.size(), 0);
-  for (const auto& [id, places] : shard_by_block_) {
-    for (const std::uint32_t slot : places) {
-      if (slot != kNoShard) ++live[slot];
+  std::vector<std::uint32_t> live_blocks(shards_.size(), 0);
+  for (const auto& [job_number, shard_numbers] : shard_by_block_) {
+    for (const std::uint32_t shard_number : shard_numbers) {
+      if (shard_number != kNoShard) ++live_blocks[shard_number];
     }
   }
-  for (std::size_t n = 0; n < live.size(); ++n) {
-    if (live[n] != shards_[n].live_blocks) return "slot " + std::to_string(n) + " counts its blocks wrongly";
+  for (std::size_t n = 0; n < live_blocks.size(); ++n) {
+    if (live_blocks[n] != shards_[n].live_blocks)
+      return "shard " + std::to_string(n) + " counts its blocks wrongly";
   }
-  for (const auto& [ref, job] : book_.jobs()) {
+  for (const auto& [job_id, job] : jobs_.jobs()) {
     const auto it = shard_by_block_.find(job.id);
     for (std::uint32_t n = 0; n < job.blocks.size(); ++n) {
-      const bool stands = it != shard_by_block_.end() && it->second[n] != kNoShard;
-      if (stands != (job.blocks[n].committed_version != 0)) return "a block of " + ref + " stands in no slot";
+      const bool stored = it != shard_by_block_.end() && it->second[n] != kNoShard;
+      if (stored != (job.blocks[n].committed_version != 0))
+        return "a block of " + job_id + " is committed and in no shard, or the other way round";
     }
   }
   return {};
--- a/src/job_table/include/wrenusher/job_table/job_table.hpp
+++ b/src/job_table/include/wrenusher/job_table/job_table.hpp
@@ -1,180 +1,230 @@
 #pragma once
-// Package job_table: the book of live jobs and their claims. It owns which task of a job waits, is claimed
-// (and on which machine, in which state) or is done, what each team uses, and which stretches of which jobs
-// differ from the store, in the order in which they are to be written. Invariant: a task of a job that is not
-// withdrawn is in exactly one of the three, and a stretch is due exactly when its version is above the
-// committed one (`disagreement` compares). Every change of a claim goes through here, so that machines and
-// teams never differ from the claims. It may depend on base, protocol, records and machines.
-
+/// @file
+/// Package job_table: the live jobs and the assignments of their tasks. It owns which task of a job waits, is
+/// assigned (to which machine, in which state) or is done, what each team uses, and which blocks of which
+/// jobs differ from the state service, in the order in which they are to be written. Invariant: a task of a
+/// job that is not cancelled is in exactly one of the three, and a block is due for writing exactly when its
+/// version is above the committed one (`disagreement` verifies both). Every change of an assignment goes
+/// through here, so that machines and teams never differ from the assignments. It may depend on time, value,
+/// runtime, protocol, records and machine_inventory.
+
+#include <compare>
+#include <cstdint>
 #include <map>
 #include <set>
 #include <string>
-#include <tuple>
 #include <unordered_map>
 #include <utility>
 #include <vector>
 
 #include "wrenusher/machine_inventory/machine_inventory.hpp"
+#include "wrenusher/protocol/messages.hpp"
 #include "wrenusher/records/records.hpp"
+#include "wrenusher/runtime/runtime.hpp"
+#include "wrenusher/time/time.hpp"
 #include "wrenusher/value/range_set.hpp"
+#include "wrenusher/value/value.hpp"
 
 namespace wrenusher::job_table {
 
-using namespace time;
-using namespace value;
-using namespace runtime;
-using namespace protocol;
 using machine_inventory::Machine;
 using machine_inventory::MachineInventory;
-
+using protocol::JobSpec;
+using protocol::JobType;
+using protocol::Resources;
+using protocol::WorkerCommand;
+using runtime::Runtime;
+using time::Instant;
+using time::Micros;
+using value::RangeSet;
+using value::Value;
+
+/// How far an assigned task has come, as far as reports have shown.
 enum class TaskState {
-  assigned,   ///< claimed in this term, not yet shown by a report
-  recovered,  ///< found in the record at takeover, not yet shown by a report
-  fetching_image,
-  waiting_for_gang,
+  assigned,          ///< assigned in this term, not shown by a report yet
+  recovered,         ///< found in the records at failover, not shown by a report yet
+  fetching_image,    ///< its machine fetches the image
+  waiting_for_gang,  ///< ready, waits for the other tasks of its gang
   running,
-  checkpointing
+  checkpointing  ///< saves its progress before it stops
 };
 
+/// A task's assignment to a machine.
 struct TaskAssignment {
-  Machine* machine = nullptr;
+  Machine* machine = nullptr;  ///< never null; owned by the machine inventory
   std::uint64_t attempt = 0;
-  std::uint64_t version = 0;  ///< of the change that made it; 0: found in the store
+  std::uint64_t version = 0;  ///< of the change that made it; 0: found in the state service
   TaskState state = TaskState::assigned;
   Instant assigned_at{};
-  Instant fetching_since{};
-  Instant gang_wait_since{};
-  Instant running_since{};
-  bool start_in_flight = false;  ///< found, but written in this term: the order to run it may be on its way
-  bool stopping = false;
-  Micros grace_period{};
-  std::uint64_t last_shown = 0;      ///< the last report that listed it
-  bool counted_as_fetching = false;  ///< counted among those that wait for their image
+  Instant fetching_since{};   ///< when a report first showed it fetch its image
+  Instant gang_wait_since{};  ///< when a report first showed it wait for its gang
+  Instant running_since{};    ///< when a report first showed it run
+  bool start_in_flight =
+      false;              ///< found, but written in this term: the command to start it may be on its way
+  bool stopping = false;  ///< it is to stop
+  Micros grace_period{};  ///< of a stop: how long it has to save its progress
+  std::uint64_t last_shown = 0;      ///< the number of the last report that listed it
+  bool counted_as_fetching = false;  ///< counted among the tasks that wait for their image
 };
 
-/// A stretch of a job's tasks, written as a whole.
+/// A range of a job's tasks, written as a whole.
 struct Block {
   std::uint64_t version = 0;            ///< of the last change in memory
-  std::uint64_t assigned_version = 0;   ///< of the last new claim
-  std::uint64_t committed_version = 0;  ///< changes up to this one are in the store
-  std::uint64_t dirty_since = 0;        ///< 0: nothing to write
-  int write_rank = 0;
+  std::uint64_t assigned_version = 0;   ///< of the last new assignment
+  std::uint64_t committed_version = 0;  ///< changes up to this one are in the state service
+  std::uint64_t dirty_since = 0;        ///< version of the first change not written; 0: nothing to write
+  int write_rank = 0;                   ///< see `WriteOrder::rank`
 };
 
+/// A live job. Owned by the job table, which keeps its assignments, blocks, `done` and `waiting` in line; the
+/// retry fields at the end belong to the reconciler and the scheduling cycle.
 struct Job {
-  std::uint64_t id = 0;  ///< rises with every job that is taken up, so that orders by it repeat
+  std::uint64_t id = 0;  ///< a number that rises with every job added, so that orders by it repeat
   records::JobRecord record;
-  std::uint64_t mod_revision = 0;
-  std::vector<Block> blocks;
-  RangeSet done;
-  RangeSet waiting;
-  std::map<std::uint32_t, TaskAssignment> assignments;
-  std::map<std::uint32_t, std::uint64_t> uncommitted_done;  ///< done, not yet committed: task -> version
-  std::uint64_t last_attempt = 0;
-  bool needs_refresh = false;   ///< the store must be read before the next write
-  bool attempt_broken = false;  ///< gang: the attempt is over, its tasks are being cleared away
+  std::uint64_t mod_revision = 0;  ///< of the root record; a condition of the writes that assign its tasks
+  std::vector<Block> blocks;       ///< by block number
+  RangeSet done;                   ///< tasks that have completed
+  RangeSet waiting;                ///< tasks that are neither assigned nor done
+  std::map<std::uint32_t, TaskAssignment> assignments;      ///< by task
+  std::map<std::uint32_t, std::uint64_t> uncommitted_done;  ///< done, not committed yet: task -> version
+  std::uint64_t last_attempt = 0;                           ///< the highest attempt of any of its tasks
+  bool needs_refresh = false;   ///< the root record must be read before the next write
+  bool attempt_broken = false;  ///< gang: the attempt has failed, its tasks are being stopped
   bool gang_started = false;    ///< gang: a report has shown a task of the attempt run
-  Instant incomplete_since{};   ///< gang: a task was lost before the start, and its place is to be filled
-  std::map<std::string, Instant> avoided_machines;
-  std::set<std::string> error_hosts;
-  Instant not_before{};
-  Instant near_image_until{};  ///< a service waits so long for room to be made where its image is
-  int retry_count = 0;
-  std::uint64_t change_count = 0;  ///< rises with what waits, is claimed or done
+  Instant incomplete_since{};   ///< gang: a task was lost before the start and is to be replaced; 0: none
+  std::map<std::string, Instant> avoided_machines;  ///< host -> until when it gets no task of this job
+  std::set<std::string> error_hosts;                ///< hosts where a task failed since the last retry pause
+  Instant not_before{};                             ///< no task is assigned before then
+  Instant near_image_until{};  ///< a service waits until then for room where its image is
+  int retry_count = 0;         ///< pauses after failures on several hosts; each is longer than the one before
+  std::uint64_t change_count = 0;  ///< rises whenever what waits, is assigned or done changes
 
   const JobSpec& spec() const { return record.spec; }
   std::uint32_t block_of(std::uint32_t task) const { return task / record.tasks_per_block; }
-  /// Whether the claim or end of the task that `version` made is in the store.
+  /// Whether the assignment or the end of the task that `version` made is in the state service.
   bool committed(std::uint32_t task, std::uint64_t version) const {
     return version <= blocks[block_of(task)].committed_version;
   }
-  /// Whether the claim for this task stands on this machine under this attempt.
+  /// Whether this task is assigned to this machine under this attempt.
   bool is_assigned(std::uint32_t task, const Machine& machine, std::uint64_t attempt) const;
 };
 
-/// Blocks with new claims are ranked by their job's urgency, before this; the rest is progress.
+/// Blocks with new assignments are ranked by their job's priority, below this; the rest is progress.
 inline constexpr int kProgressRank = 4;
-/// Where a block stands in the order of writing: rank, since when, job, block.
-using WriteOrder = std::tuple<int, std::uint64_t, std::uint64_t, std::uint32_t>;
-/// Orders by machine.
+/// Where a block stands in the order of writing: the fields in this order.
+struct WriteOrder {
+  int rank = 0;                   ///< the job's priority, or `kProgressRank` without new assignments
+  std::uint64_t dirty_since = 0;  ///< version of the first change not written
+  std::uint64_t job_number = 0;   ///< `Job::id`
+  std::uint32_t block = 0;
+  // NOLINTNEXTLINE(modernize-use-nullptr): false report on a defaulted comparison
+  auto operator<=>(const WriteOrder&) const = default;
+};
+/// An assignment among those of a machine.
+struct AssignmentKey {
+  std::uint64_t job_number = 0;  ///< `Job::id`
+  std::uint32_t task = 0;
+  // NOLINTNEXTLINE(modernize-use-nullptr): false report on a defaulted comparison
+  auto operator<=>(const AssignmentKey&) const = default;
+};
+/// Commands by host.
 using CommandsByMachine = std::map<std::string, std::vector<WorkerCommand>>;
-/// The claims on a machine: (job id, task) -> job.
-using MachineAssignments = std::map<std::pair<std::uint64_t, std::uint32_t>, Job*>;
+/// The assignments on a machine, each with its job, which is never null.
+using MachineAssignments = std::map<AssignmentKey, Job*>;
 
+/// The live jobs and the assignments of their tasks. Owns the jobs; references and pointers to a job hold
+/// until it is removed, replaced by `add` or the table begins anew. The runtime and the inventory must
+/// outlive it. Single-threaded: called from the runtime's loop only.
 class JobTable {
  public:
   JobTable(Runtime& runtime, MachineInventory& machines) : runtime_(runtime), machines_(machines) {}
 
-  /// A new term, or the records are read anew within one: an empty book, whose versions are above those of
-  /// before. The machines are to be cleared with it.
+  /// A new term, or the records are read again within one: empties the table. Versions go on above those of
+  /// before. The owner clears the machine inventory with it.
   void begin(std::uint64_t fencing_token);
 
-  /// Null when it is not known.
+  /// Null when the job is not known.
   Job* find(const std::string& job_id);
   const Job* find(const std::string& job_id) const;
+  /// All live jobs, by name.
   std::unordered_map<std::string, Job>& jobs() { return jobs_; }
   const std::unordered_map<std::string, Job>& jobs() const { return jobs_; }
+  /// Changed by `assign`, `release`, `finish_task` and `remove`: copy it to call them while iterating.
   const MachineAssignments& assignments_on(const Machine& machine) const;
-  /// What each team's claims use.
+  /// What each team's assignments use.
   const std::map<std::string, Resources>& teams() const { return teams_; }
   /// Rises whenever room is freed or work arrives: reasons to plan.
   std::uint64_t change_count() const { return change_count_; }
-  /// Claims found in the record that no report has shown or ended yet.
+  /// Assignments found in the records that no report has shown or ended yet.
   std::size_t unconfirmed_count() const { return unconfirmed_count_; }
-  /// Jobs that were taken up and dropped since the last call.
+  /// Jobs that were added and removed.
   struct JobChanges {
-    std::vector<std::string> added;      ///< names; some may be dropped again
-    std::vector<std::uint64_t> removed;  ///< ids
+    std::vector<std::string> added;      ///< names; some may have been removed again
+    std::vector<std::uint64_t> removed;  ///< numbers (`Job::id`)
   };
+  /// The changes since the last call; a caller that starts anew drops them.
   JobChanges take_job_changes() { return std::exchange(job_changes_, {}); }
 
-  Job& add(const std::string& job_id, records::JobRecord rec, std::uint64_t mod_revision);
-  /// The job is over: nothing of it stays booked or remembered.
+  /// Adds a job, all of whose tasks wait unless it is cancelled; replaces one of the same name.
+  Job& add(const std::string& job_id, records::JobRecord record, std::uint64_t mod_revision);
+  /// The job is over: releases all that it has. It must be known.
   void remove(const std::string& job_id);
+  /// Assigns the task, in place of an assignment that it may have.
   void assign(Job& job, std::uint32_t task, Machine& machine, std::uint64_t attempt, TaskState state);
-  /// A block as it was found in the store: not to be written again.
-  void restore_block(Job& job, std::uint32_t n, std::uint64_t version, const records::BlockRecord& record);
-  /// The task is proven to be off its machine and is not done. `lost`: the machine knows nothing of it any
-  /// more, so that it may be started once more under the same attempt.
-  void release(Job& job, std::uint32_t task, const char* why, bool lost = false);
-  /// Whether the gang still waits for its start, and only for tasks that it lost: they are to be started
+  /// Restores a block as it was found in the state service: it is not to be written again.
+  void restore_block(Job& job, std::uint32_t block_number, std::uint64_t version,
+                     const records::BlockRecord& record);
+  /// The task is known to have left its machine, and is not done: it waits again. `lost`: the machine knows
+  /// nothing of it any more, so that it may be started once more under the same attempt. `reason` is logged.
+  void release(Job& job, std::uint32_t task, const char* reason, bool lost = false);
+  /// Whether the gang still waits for its start, and lacks only tasks that it lost: they are to be started
   /// again under the same attempt, where the rest is.
-  static bool can_complete_gang(const Job& job);
-  /// A gang's tasks share one attempt: the rest of it is cleared away before the next one.
+  [[nodiscard]] static bool can_complete_gang(const Job& job);
+  /// A gang's tasks share one attempt: stops the rest of it before the next one begins.
   void break_gang(Job& job);
+  /// The task is done; no effect when it was before.
   void finish_task(Job& job, std::uint32_t task);
-  /// Nothing of the job starts any more; what there is of it is still to be halted.
+  /// No task of the job starts any more; those assigned are still to be stopped (`stop_job`).
   void cancel(Job& job);
-  /// Stops all tasks of a job at once; tells what to send to those whose machines may have them. A gang's
-  /// progress is saved only if all of them are told within a few seconds, so these orders do not wait for
-  /// reports.
-  CommandsByMachine stop_job(Job& job, Micros grace_period);
-  /// The task is to stop, and has so long to save.
+  /// Marks all tasks of a job as stopping, and returns the commands for the machines that may have them. A
+  /// gang's progress is saved only if all its tasks get theirs within a few seconds, so these commands do not
+  /// wait for reports.
+  [[nodiscard]] CommandsByMachine stop_job(Job& job, Micros grace_period);
+  /// Marks the task as stopping; it has `grace_period` to save its progress.
   void stop_task(TaskAssignment& assignment, Micros grace_period);
-  /// Keeps count of what is in use.
+  /// Changes the state of an assignment and keeps the counts that depend on it.
   void set_state(Job& job, TaskAssignment& assignment, TaskState state);
-  /// The task waits for its image, unless that is there.
+  /// The task waits for its image, unless its machine holds that.
   void begin_fetch(const Job& job, TaskAssignment& assignment);
-  /// It has its image, or is gone.
+  /// The task has its image, or has left the machine.
   void end_fetch(const Job& job, TaskAssignment& assignment);
 
-  /// What is to be written, in order.
+  /// The blocks to be written, each with its job, in order.
   const std::map<WriteOrder, Job*>& unwritten() const { return unwritten_; }
   /// Jobs whose final state is due to be written.
   const std::set<std::string>& finished_jobs() const { return finished_jobs_; }
-  /// The block is in the store as of this version.
-  void mark_written(Job& job, std::uint32_t n, std::uint64_t version);
-  /// The block as a row of a value in the store.
-  Value block_row(const Job& job, std::uint32_t n) const;
+  /// The block is in the state service as of this version.
+  void mark_written(Job& job, std::uint32_t block_number, std::uint64_t version);
+  /// The block as a row of a shard's value.
+  Value block_row(const Job& job, std::uint32_t block_number) const;
 
-  /// Reckons anew what is kept up step by step, and says what differs; empty when nothing does.
-  std::string disagreement() const;
+  /// Recomputes what is kept up step by step, and returns the first difference found, as a sentence; empty
+  /// when there is none.
+  [[nodiscard]] std::string disagreement() const;
 
  private:
+  struct RecomputedTable;
+  std::string job_disagreement(const Job& job, RecomputedTable& table) const;
+  std::string block_disagreement(const Job& job, RecomputedTable& table) const;
+  std::string total_disagreement(const RecomputedTable& table) const;
   void unassign(Job& job, std::uint32_t task);
-  void mark_dirty(Job& job, std::uint32_t task, bool claimed);
-  void rank_block(Job& job, std::uint32_t n);
-  void unrank_block(Job& job, std::uint32_t n);
+  static void restore_done(Job& job, const RangeSet& done);
+  void restore_assignment(Job& job, std::uint32_t task, Machine& machine, std::uint64_t attempt,
+                          std::uint64_t version);
+  void mark_dirty(Job& job, std::uint32_t task, bool newly_assigned);
+  void rank_block(Job& job, std::uint32_t block_number);
+  void unrank_block(Job& job, std::uint32_t block_number);
+  static WriteOrder write_order(const Job& job, std::uint32_t block_number);
   void check_finished(const Job& job);
 
   Runtime& runtime_;
--- a/src/job_table/job_table.cpp
+++ b/src/job_table/job_table.cpp
@@ -18,8 +18,8 @@
   unwritten_.clear();
   finished_jobs_.clear();
   unconfirmed_count_ = 0;
-  // Versions rise from term to term as well, and when the records are read anew within one, where a write of
-  // before may still be on its way: of two copies of a block the newer one is known.
+  // Versions rise across terms too, and when the records are read again within one while an earlier write may
+  // still be on its way: of two copies of a block the newer one is always known.
   term_start_version_ = fencing_token << 32U;
   version_ = std::max(version_, term_start_version_);
   ++change_count_;
@@ -37,15 +37,15 @@
 }
 
 const MachineAssignments& JobTable::assignments_on(const Machine& machine) const {
-  static const MachineAssignments kNone;
+  static const MachineAssignments none;
   const auto it = by_machine_.find(&machine);
-  return it == by_machine_.end() ? kNone : it->second;
+  return it == by_machine_.end() ? none : it->second;
 }
 
-Job& JobTable::add(const std::string& job_id, records::JobRecord rec, std::uint64_t mod_revision) {
+Job& JobTable::add(const std::string& job_id, records::JobRecord record, std::uint64_t mod_revision) {
   Job job;
   job.id = ++jobs_added_;
-  job.record = std::move(rec);
+  job.record = std::move(record);
   job.mod_revision = mod_revision;
   job.blocks.resize((job.record.spec.task_count + job.record.tasks_per_block - 1) /
                     job.record.tasks_per_block);
@@ -65,49 +65,54 @@
   jobs_.erase(job_id);
 }
 
-/// The final state of the job is due once nothing is left to run, or of a cancelled job nothing left running.
+/// A job's final state is due once every task is done, or for a cancelled job once none is assigned any more.
 void JobTable::check_finished(const Job& job) {
   const JobSpec& spec = job.spec();
-  const bool over = job.record.cancelled
-                        ? job.assignments.empty()
-                        : spec.type != JobType::service && job.done.size() == spec.task_count;
-  if (over) {
+  const bool finished = job.record.cancelled
+                            ? job.assignments.empty()
+                            : spec.type != JobType::service && job.done.size() == spec.task_count;
+  if (finished) {
     finished_jobs_.insert(spec.job_id);
   } else {
     finished_jobs_.erase(spec.job_id);
   }
 }
 
-void JobTable::unrank_block(Job& job, std::uint32_t n) {
-  Block& block = job.blocks[n];
+WriteOrder JobTable::write_order(const Job& job, std::uint32_t block_number) {
+  const Block& block = job.blocks[block_number];
+  return {block.write_rank, block.dirty_since, job.id, block_number};
+}
+
+void JobTable::unrank_block(Job& job, std::uint32_t block_number) {
+  Block& block = job.blocks[block_number];
   if (block.dirty_since == 0) return;
-  unwritten_.erase({block.write_rank, block.dirty_since, job.id, n});
+  unwritten_.erase(write_order(job, block_number));
   block.dirty_since = 0;
 }
 
 /// Puts a block where it belongs in the order of writing.
-void JobTable::rank_block(Job& job, std::uint32_t n) {
-  Block& block = job.blocks[n];
+void JobTable::rank_block(Job& job, std::uint32_t block_number) {
+  Block& block = job.blocks[block_number];
   if (block.version <= block.committed_version) {
-    unrank_block(job, n);
+    unrank_block(job, block_number);
     return;
   }
   const int rank = block.assigned_version > block.committed_version ? static_cast<int>(job.spec().priority)
                                                                     : kProgressRank;
   if (block.dirty_since != 0 && block.write_rank == rank) return;
   const std::uint64_t since = block.dirty_since != 0 ? block.dirty_since : version_;
-  unrank_block(job, n);
+  unrank_block(job, block_number);
   block.write_rank = rank;
   block.dirty_since = since;
-  unwritten_.emplace(WriteOrder{rank, since, job.id, n}, &job);
+  unwritten_.emplace(write_order(job, block_number), &job);
 }
 
-void JobTable::mark_dirty(Job& job, std::uint32_t task, bool claimed) {
-  const std::uint32_t n = job.block_of(task);
-  Block& block = job.blocks[n];
+void JobTable::mark_dirty(Job& job, std::uint32_t task, bool newly_assigned) {
+  const std::uint32_t block_number = job.block_of(task);
+  Block& block = job.blocks[block_number];
   block.version = ++version_;
-  if (claimed) block.assigned_version = version_;
-  rank_block(job, n);
+  if (newly_assigned) block.assigned_version = version_;
+  rank_block(job, block_number);
 }
 
 void JobTable::assign(Job& job, std::uint32_t task, Machine& machine, std::uint64_t attempt,
@@ -121,12 +126,12 @@
   assignment.version = version_;
   assignment.state = state;
   assignment.assigned_at = runtime_.now();
-  // What was found at takeover may run for long; reports tell which of it still waits.
-  TaskAssignment& made = job.assignments.emplace(task, assignment).first->second;
-  if (state == TaskState::assigned) begin_fetch(job, made);
+  TaskAssignment& added = job.assignments.emplace(task, assignment).first->second;
+  // What was found at failover may have run for long; reports show which of it still waits for its image.
+  if (state == TaskState::assigned) begin_fetch(job, added);
   if (state == TaskState::recovered) ++unconfirmed_count_;
   job.last_attempt = std::max(job.last_attempt, attempt);
-  by_machine_[&machine].emplace(std::pair(job.id, task), &job);
+  by_machine_[&machine].emplace(AssignmentKey{job.id, task}, &job);
   machines_.reserve(machine, job.spec());
   ++job.change_count;
   teams_[job.spec().team] += job.spec().resources;
@@ -139,10 +144,10 @@
   set_state(job, it->second, TaskState::assigned);
   end_fetch(job, it->second);
   Machine& machine = *it->second.machine;
-  const auto there = by_machine_.find(&machine);
-  there->second.erase({job.id, task});
-  // A machine that goes away leaves no entry behind: another may come to stand at its address.
-  if (there->second.empty()) by_machine_.erase(there);
+  const auto on_machine = by_machine_.find(&machine);
+  on_machine->second.erase(AssignmentKey{job.id, task});
+  // A machine that is removed leaves no entry behind: a new one may be allocated at the same address.
+  if (on_machine->second.empty()) by_machine_.erase(on_machine);
   machines_.release(machine, job.spec());
   ++job.change_count;
   teams_[job.spec().team] -= job.spec().resources;
@@ -152,34 +157,42 @@
   if (job.record.cancelled) check_finished(job);
 }
 
-void JobTable::restore_block(Job& job, std::uint32_t n, std::uint64_t version,
+void JobTable::restore_block(Job& job, std::uint32_t block_number, std::uint64_t version,
                              const records::BlockRecord& record) {
   job.last_attempt = std::max(job.last_attempt, record.last_attempt);
-  for (const auto& [first, last] : record.done.ranges()) {
-    job.done.add(first, last);
-    for (std::uint32_t t = first; t <= last; ++t) job.waiting.remove(t);
-  }
+  restore_done(job, record.done);
   for (const records::AssignmentRow& row : record.assignments) {
     Machine& machine = machines_.get_or_add(row.host);
     for (const auto& [first, last] : row.tasks.ranges()) {
-      for (std::uint32_t t = first; t <= last; ++t) {
-        assign(job, t, machine, row.attempt, TaskState::recovered);
-        TaskAssignment& made = job.assignments.at(t);
-        made.version = 0;
-        made.start_in_flight = version > term_start_version_;
-        if (job.record.cancelled) stop_task(made, Micros{0});
-      }
+      for (std::uint32_t task = first; task <= last; ++task)
+        restore_assignment(job, task, machine, row.attempt, version);
     }
   }
   ++job.change_count;
   // What is written next must be newer than what was found, or it would never be written.
   version_ = std::max(version_, version);
-  Block& block = job.blocks[n];
-  unrank_block(job, n);
+  Block& block = job.blocks[block_number];
+  unrank_block(job, block_number);
   block.version = block.assigned_version = block.committed_version = version;
   check_finished(job);
 }
 
+void JobTable::restore_done(Job& job, const RangeSet& done) {
+  for (const auto& [first, last] : done.ranges()) {
+    job.done.add(first, last);
+    for (std::uint32_t task = first; task <= last; ++task) job.waiting.remove(task);
+  }
+}
+
+void JobTable::restore_assignment(Job& job, std::uint32_t task, Machine& machine, std::uint64_t attempt,
+                                  std::uint64_t version) {
+  assign(job, task, machine, attempt, TaskState::recovered);
+  TaskAssignment& restored = job.assignments.at(task);
+  restored.version = 0;
+  restored.start_in_flight = version > term_start_version_;
+  if (job.record.cancelled) stop_task(restored, Micros{0});
+}
+
 void JobTable::stop_task(TaskAssignment& assignment, Micros grace_period) {
   machines_.mark_changed(*assignment.machine);
   assignment.stopping = true;
@@ -207,9 +220,9 @@
   machines_.end_fetch(*assignment.machine, job.spec());
 }
 
-void JobTable::release(Job& job, std::uint32_t task, const char* why, bool lost) {
-  log::debug("task_off", "task {task} is off its machine: {reason}",
-             log::with("task", task_name(job.spec().job_id, task)), log::with("reason", why));
+void JobTable::release(Job& job, std::uint32_t task, const char* reason, bool lost) {
+  log::debug("task_released", "task {task} is released from its machine: {reason}",
+             log::with("task", protocol::task_name(job.spec().job_id, task)), log::with("reason", reason));
   unassign(job, task);
   ++job.change_count;
   if (job.record.cancelled) return;
@@ -218,16 +231,16 @@
   if (!lost || job.attempt_broken || job.gang_started || job.assignments.empty()) {
     break_gang(job);
   } else if (job.incomplete_since == Instant{}) {
-    // The rest keeps waiting, and one of the same attempt completes it. Whether the gang had started after
-    // all shows as soon as a report shows the rest.
+    // The rest goes on waiting, and a task of the same attempt completes it. Whether the gang had started
+    // after all is known as soon as a report shows the rest.
     job.incomplete_since = runtime_.now();
   }
 }
 
 bool JobTable::can_complete_gang(const Job& job) {
   return !job.attempt_broken && !job.gang_started &&
-         std::all_of(job.assignments.begin(), job.assignments.end(), [](const auto& c) {
-           const TaskAssignment& assignment = c.second;
+         std::all_of(job.assignments.begin(), job.assignments.end(), [](const auto& entry) {
+           const TaskAssignment& assignment = entry.second;
            return !assignment.stopping &&
                   (assignment.state == TaskState::assigned || assignment.state == TaskState::fetching_image ||
                    assignment.state == TaskState::waiting_for_gang);
@@ -242,8 +255,8 @@
   }
   if (job.attempt_broken) return;
   job.attempt_broken = true;
-  for (auto& [task, c] : job.assignments) {
-    if (!c.stopping) stop_task(c, Micros{0});  // else it may be saving
+  for (auto& [task, assignment] : job.assignments) {
+    if (!assignment.stopping) stop_task(assignment, Micros{0});  // else it may be checkpointing
   }
 }
 
@@ -258,7 +271,7 @@
   check_finished(job);
   if (job.spec().type == JobType::gang) {
     // The tasks of a gang complete together: one done means all done.
-    for (std::uint32_t t = 0; t < job.spec().task_count; ++t) finish_task(job, t);
+    for (std::uint32_t other = 0; other < job.spec().task_count; ++other) finish_task(job, other);
   }
 }
 
@@ -266,7 +279,7 @@
   job.record.cancelled = true;
   job.waiting = {};
   ++job.change_count;
-  log::info("job_withdrawn", "job {job} is withdrawn, {tasks} tasks to stop",
+  log::info("job_cancelled", "job {job} is cancelled, {tasks} tasks to stop",
             log::with("job", job.spec().job_id), log::with("tasks", job.assignments.size()));
   check_finished(job);
   ++change_count_;
@@ -274,85 +287,117 @@
 
 CommandsByMachine JobTable::stop_job(Job& job, Micros grace_period) {
   CommandsByMachine commands;
-  for (auto& [task, c] : job.assignments) {
-    stop_task(c, grace_period);
-    if (c.state != TaskState::assigned)
-      commands[c.machine->name].push_back(
-          {WorkerCommand::Verb::stop, job.spec().job_id, task, c.attempt, grace_period});
+  for (auto& [task, assignment] : job.assignments) {
+    stop_task(assignment, grace_period);
+    if (assignment.state != TaskState::assigned)
+      commands[assignment.machine->name].push_back(
+          {WorkerCommand::Verb::stop, job.spec().job_id, task, assignment.attempt, grace_period});
   }
   return commands;
 }
 
-void JobTable::mark_written(Job& job, std::uint32_t n, std::uint64_t version) {
-  Block& block = job.blocks[n];
+void JobTable::mark_written(Job& job, std::uint32_t block_number, std::uint64_t version) {
+  Block& block = job.blocks[block_number];
   block.committed_version = version;
-  unrank_block(job, n);
-  rank_block(job, n);
-  std::erase_if(job.uncommitted_done, [&](const auto& f) {
-    return job.block_of(f.first) == n && f.second <= block.committed_version;
+  unrank_block(job, block_number);
+  rank_block(job, block_number);
+  std::erase_if(job.uncommitted_done, [&](const auto& entry) {
+    const auto& [task, done_version] = entry;
+    return job.block_of(task) == block_number && done_version <= block.committed_version;
   });
 }
 
-Value JobTable::block_row(const Job& job, std::uint32_t n) const {
-  const std::uint32_t first = n * job.record.tasks_per_block;
+Value JobTable::block_row(const Job& job, std::uint32_t block_number) const {
+  const std::uint32_t first = block_number * job.record.tasks_per_block;
   const std::uint32_t last = std::min(first + job.record.tasks_per_block, job.spec().task_count) - 1;
+  /// One row for all tasks that a machine has under one attempt.
+  struct RowKey {
+    const Machine* machine;
+    std::uint64_t attempt;
+    // NOLINTNEXTLINE(modernize-use-nullptr): false report on a defaulted comparison
+    auto operator<=>(const RowKey&) const = default;
+  };
   std::vector<records::AssignmentRow> assignments;
-  std::map<std::pair<const Machine*, std::uint64_t>, std::size_t> rows;
+  std::map<RowKey, std::size_t> rows;  // -> index of the row; looked up only, so its order does not matter
   for (auto it = job.assignments.lower_bound(first); it != job.assignments.end() && it->first <= last; ++it) {
     const TaskAssignment& assignment = it->second;
-    const auto [row, added] = rows.try_emplace({assignment.machine, assignment.attempt}, assignments.size());
+    const auto [row, added] =
+        rows.try_emplace(RowKey{assignment.machine, assignment.attempt}, assignments.size());
     if (added) assignments.push_back({assignment.machine->name, assignment.attempt, {}});
     assignments[row->second].tasks.add(it->first);
   }
-  return records::write_block({job.spec().job_id, n, job.blocks[n].version}, job.last_attempt, job.done,
-                              assignments, first, last);
+  return records::write_block({job.spec().job_id, block_number, job.blocks[block_number].version},
+                              job.last_attempt, job.done, assignments, first, last);
 }
 
-std::string JobTable::disagreement() const {
-  std::map<const Machine*, MachineInventory::Recomputed> there;
+/// What follows from the jobs alone, to be compared with what is kept up step by step.
+struct JobTable::RecomputedTable {
+  std::map<const Machine*, MachineInventory::Recomputed> machines;
   std::map<std::string, Resources> teams;
-  std::size_t dirty = 0;
+  std::size_t dirty_blocks = 0;
   std::size_t assignments = 0;
-  for (const auto& [ref, job] : jobs_) {
-    const JobSpec& spec = job.spec();
-    for (const auto& [task, c] : job.assignments) {
-      MachineInventory::Recomputed& recomputed = there[c.machine];
-      recomputed.use.reserved += spec.resources;
-      ++recomputed.use.assignments;
-      for (const auto& [name, n] : spec.devices()) recomputed.use.devices[name] += n;
-      if (spec.type == JobType::service) {
-        recomputed.use.service_load += spec.resources;
-        ++recomputed.use.services;
-      }
-      if (c.state == TaskState::running) recomputed.use.running += spec.resources;
-      if (c.counted_as_fetching) ++recomputed.fetching_tasks[spec.image];
-      teams[spec.team] += spec.resources;
-      ++assignments;
-      if (!assignments_on(*c.machine).contains({job.id, task}))
-        return "a claim of " + ref + " is not among its machine's";
-      if (job.done.contains(task) || job.waiting.contains(task))
-        return "a claimed task of " + ref + " waits or is done";
-    }
-    if (!job.record.cancelled &&
-        job.assignments.size() + job.done.size() + job.waiting.size() != spec.task_count)
-      return "tasks of " + ref + " are lost";
-    for (std::uint32_t n = 0; n < job.blocks.size(); ++n) {
-      const Block& block = job.blocks[n];
-      if ((block.dirty_since != 0) != (block.version > block.committed_version))
-        return "a block of " + ref + " is not where it belongs";
-      if (block.dirty_since == 0) continue;
-      ++dirty;
-      if (!unwritten_.contains({block.write_rank, block.dirty_since, job.id, n}))
-        return "a block of " + ref + " would not be written";
+};
+
+std::string JobTable::disagreement() const {
+  RecomputedTable table;
+  for (const auto& [job_id, job] : jobs_) {
+    if (auto difference = job_disagreement(job, table); !difference.empty()) return difference;
+    if (auto difference = block_disagreement(job, table); !difference.empty()) return difference;
+  }
+  if (auto difference = total_disagreement(table); !difference.empty()) return difference;
+  return machines_.disagreement(table.machines);
+}
+
+std::string JobTable::job_disagreement(const Job& job, RecomputedTable& table) const {
+  const JobSpec& spec = job.spec();
+  for (const auto& [task, assignment] : job.assignments) {
+    MachineInventory::Recomputed& machine = table.machines[assignment.machine];
+    machine.use.reserved += spec.resources;
+    ++machine.use.assignments;
+    for (const auto& [device, count] : spec.devices()) machine.use.devices[device] += count;
+    if (spec.type == JobType::service) {
+      machine.use.service_load += spec.resources;
+      ++machine.use.services;
     }
+    if (assignment.state == TaskState::running) machine.use.running += spec.resources;
+    if (assignment.counted_as_fetching) ++machine.fetching_tasks[spec.image];
+    table.teams[spec.team] += spec.resources;
+    ++table.assignments;
+    if (!assignments_on(*assignment.machine).contains(AssignmentKey{job.id, task}))
+      return "an assignment of " + spec.job_id + " is not among its machine's";
+    if (job.done.contains(task) || job.waiting.contains(task))
+      return "an assigned task of " + spec.job_id + " waits or is done";
   }
-  if (dirty != unwritten_.size()) return "blocks that are over would be written";
-  for (const auto& [machine, tenants] : by_machine_) assignments -= tenants.size();
-  if (assignments != 0) return "machines hold claims that no job has";
+  if (!job.record.cancelled &&
+      job.assignments.size() + job.done.size() + job.waiting.size() != spec.task_count)
+    return "tasks of " + spec.job_id + " are lost";
+  return {};
+}
+
+std::string JobTable::block_disagreement(const Job& job, RecomputedTable& table) const {
+  const std::string& job_id = job.spec().job_id;
+  for (std::uint32_t n = 0; n < job.blocks.size(); ++n) {
+    const Block& block = job.blocks[n];
+    if ((block.dirty_since != 0) != (block.version > block.committed_version))
+      return "a block of " + job_id + " is due for writing and unchanged, or the other way round";
+    if (block.dirty_since == 0) continue;
+    ++table.dirty_blocks;
+    if (!unwritten_.contains(write_order(job, n))) return "a block of " + job_id + " would not be written";
+  }
+  return {};
+}
+
+std::string JobTable::total_disagreement(const RecomputedTable& table) const {
+  if (table.dirty_blocks != unwritten_.size()) return "blocks of finished jobs would be written";
+  std::size_t on_machines = 0;
+  for (const auto& [machine, assignments] : by_machine_) on_machines += assignments.size();
+  if (table.assignments != on_machines) return "machines hold assignments that no job has";
   for (const auto& [team, used] : teams_) {
-    if (!(used == teams[team])) return "team " + team + " is counted wrongly";
+    const auto recomputed = table.teams.find(team);
+    if (!(used == (recomputed == table.teams.end() ? Resources{} : recomputed->second)))
+      return "what team " + team + " uses is counted wrongly";
   }
-  return machines_.disagreement(there);
+  return {};
 }
 
 }  // namespace wrenusher::job_table
--- a/src/leader/leader_actor.cpp
+++ b/src/leader/leader_actor.cpp
@@ -294,7 +294,7 @@
   if (!there.empty())
     log::info("machine_gone", "machine {machine} is gone with {tasks} tasks",
               log::with("machine", event.host), log::with("tasks", there.size()));
-  for (const auto& [id, job] : there) jobs_.release(*job, id.second, "its machine is gone", true);
+  for (const auto& [id, job] : there) jobs_.release(*job, id.task, "its machine is gone", true);
   pending_replies_.reply_empty(event.host);
   machines_.erase(event.host);
   estimator_.forget_host(event.host);
--- a/src/reconciler/reconciler.cpp
+++ b/src/reconciler/reconciler.cpp
@@ -96,7 +96,7 @@
   if (!machine.token_accepted) return;
   std::vector<std::pair<Job*, std::uint32_t>> missing;
   for (const auto& [id, job] : book_.assignments_on(machine)) {
-    if (job->assignments.at(id.second).last_shown != mark) missing.emplace_back(job, id.second);
+    if (job->assignments.at(id.task).last_shown != mark) missing.emplace_back(job, id.task);
   }
   for (const auto& [job, task] : missing) {
     const auto it = job->assignments.find(task);
@@ -196,7 +196,7 @@
 void Reconciler::apply_eviction_notice(Machine& machine, Micros left, Result& out) {
   machines_.advance_fetches(machine);
   for (const auto& [id, job] : book_.assignments_on(machine)) {
-    const std::uint32_t task = id.second;
+    const std::uint32_t task = id.task;
     TaskAssignment& assignment = job->assignments.at(task);
     if (assignment.stopping || assignment.state == TaskState::assigned ||
         assignment.state == TaskState::recovered)
@@ -242,7 +242,7 @@
   }
   if (!machine.usable()) return commands;
   for (const auto& [id, job] : book_.assignments_on(machine)) {
-    const std::uint32_t task = id.second;
+    const std::uint32_t task = id.task;
     const TaskAssignment& assignment = job->assignments.at(task);
     if (assignment.state != TaskState::assigned || assignment.stopping ||
         !job->committed(task, assignment.version))
@@ -254,9 +254,9 @@
 
 bool Reconciler::awaits_commit(const Machine& machine, const WorkerReport& report) const {
   for (const auto& [id, job] : book_.assignments_on(machine)) {
-    const TaskAssignment& assignment = job->assignments.at(id.second);
+    const TaskAssignment& assignment = job->assignments.at(id.task);
     if (assignment.state == TaskState::assigned && !assignment.stopping &&
-        !job->committed(id.second, assignment.version))
+        !job->committed(id.task, assignment.version))
       return true;
   }
   return std::any_of(report.tasks.begin(), report.tasks.end(), [&](const TaskReport& task) {
--- a/src/scheduling_cycle/scheduling_cycle.cpp
+++ b/src/scheduling_cycle/scheduling_cycle.cpp
@@ -200,7 +200,7 @@
   out.reserve(there.size());
   for (const auto& [id, job] : there) {
     const JobSpec& spec = job->spec();
-    const TaskAssignment& assignment = job->assignments.at(id.second);
+    const TaskAssignment& assignment = job->assignments.at(id.task);
     if (spec.type == JobType::service || assignment.state == TaskState::recovered) continue;
     const auto state = job_states_.find(job->id);
     const Micros estimate = state == job_states_.end() ? estimator_.estimate(spec) : state->second.estimate;
@@ -501,7 +501,7 @@
     const Job* last = nullptr;
     Micros estimate{};
     for (const auto& [id, job] : book_.assignments_on(m)) {
-      TaskAssignment& assignment = job->assignments.at(id.second);
+      TaskAssignment& assignment = job->assignments.at(id.task);
       const JobSpec& spec = job->spec();
       // Whether one found at takeover is there at all is not known yet; replicas make no room.
       if (assignment.state == TaskState::recovered || (spec.type == JobType::service && !assignment.stopping))
@@ -510,7 +510,7 @@
       last = job;
       const Micros age =
           assignment.state == TaskState::running ? runtime_.now() - assignment.running_since : Micros{0};
-      running.push_back({h, &spec, id.second, age, estimate - age, assignment.stopping});
+      running.push_back({h, &spec, id.task, age, estimate - age, assignment.stopping});
       assignments.push_back(&assignment);
     }
   }
