--- a/src/leader/failover_timer.cpp
+++ b/src/leader/failover_timer.cpp
@@ -1,25 +1,24 @@
 #include "wrenusher/leader/failover_timer.hpp"
 
-#include <algorithm>
-
 #include "wrenusher/log/log.hpp"
 
 namespace wrenusher::leader {
 
 namespace {
 
-/// What is not there by then is told as missing.
-constexpr Micros kMaxFailoverTime = from_seconds(25);
-/// The last machines that were heard but for one in ten.
+/// What has not happened by then is reported as missing.
+constexpr Micros kMaxFailoverTime = time::from_seconds(25);
+/// The share of the machines after whose reports `most_machines` is measured.
 constexpr double kMostMachinesShare = 0.9;
 
-std::string readiness_text(Micros t) {
-  return t.count() < 0 ? "-" : fmt::format("{:.2f}", to_seconds(t));
+/// In seconds, or "-" for what has not happened.
+std::string seconds_text(Micros duration) {
+  return duration.count() < 0 ? "-" : fmt::format("{:.2f}", time::to_seconds(duration));
 }
 
 }  // namespace
 
-void FailoverTimer::begin(const TermChanged& term, Instant now) {
+void FailoverTimer::begin(const events::TermChanged& term, Instant now) {
   running_ = true;
   began_ = now;
   times_so_far_ = {};
@@ -34,8 +33,8 @@
   if (running_) expected_machines_.insert(host);
 }
 
-void FailoverTimer::on_records_read(bool by_copy, Instant now) {
-  times_so_far_.from_replica = by_copy;
+void FailoverTimer::on_records_loaded(bool from_replica, Instant now) {
+  times_so_far_.from_replica = from_replica;
   times_so_far_.records_read = now - began_;
 }
 
@@ -49,38 +48,48 @@
   if (running_ && times_so_far_.first_start.count() < 0) times_so_far_.first_start = now - began_;
 }
 
-std::optional<FailoverTimes> FailoverTimer::finish(std::size_t claims_unproven, Instant now) {
+std::optional<events::FailoverTimes> FailoverTimer::finish(std::size_t unconfirmed_assignments, Instant now) {
   if (!running_ || times_so_far_.records_read.count() < 0) return std::nullopt;
-  if (claims_unproven == 0 && times_so_far_.all_located.count() < 0) times_so_far_.all_located = now - began_;
-  const bool over = times_so_far_.all_located.count() >= 0 && expected_machines_.empty();
-  if (!over && now - began_ < kMaxFailoverTime) return std::nullopt;
+  if (unconfirmed_assignments == 0 && times_so_far_.all_located.count() < 0)
+    times_so_far_.all_located = now - began_;
+  const bool complete = times_so_far_.all_located.count() >= 0 && expected_machines_.empty();
+  if (!complete && now - began_ < kMaxFailoverTime) return std::nullopt;
   running_ = false;
   times_so_far_.reported_after = now - began_;
+  summarize_machines();
+  log_times();
+  return times_so_far_;
+}
+
+void FailoverTimer::summarize_machines() {
   times_so_far_.machines = static_cast<std::uint32_t>(report_times_.size());
   times_so_far_.missing = static_cast<std::uint32_t>(expected_machines_.size());
-  if (!report_times_.empty()) {
-    times_so_far_.last_machine = report_times_.back();
-    times_so_far_.most_machines = report_times_[static_cast<std::size_t>(
-        kMostMachinesShare * static_cast<double>(report_times_.size() - 1))];
-  }
+  if (report_times_.empty()) return;
+  times_so_far_.last_machine = report_times_.back();
+  times_so_far_.most_machines = report_times_[static_cast<std::size_t>(
+      kMostMachinesShare * static_cast<double>(report_times_.size() - 1))];
+}
+
+void FailoverTimer::log_times() const {
   log::info(
-      "taken_over",
-      "term {term}: {silence} s after the last word of the one before, {noticed} s after its hold's end; "
-      "then records {read} s ({way}), first machine {first_machine} s, first start {first_start} s, nine "
-      "in ten of {machines} machines {most} s, the last {last} s, all claims settled {whole} s; not heard: "
-      "{missing}",
-      log::with("term", times_so_far_.term), log::with("silence", readiness_text(times_so_far_.silence)),
-      log::with("noticed", readiness_text(times_so_far_.vacancy)),
-      log::with("read", readiness_text(times_so_far_.records_read)),
-      log::with("way", times_so_far_.from_replica ? "copied" : "read"),
-      log::with("first_machine", readiness_text(times_so_far_.first_machine)),
-      log::with("first_start", readiness_text(times_so_far_.first_start)),
+      "failover_finished",
+      "term {term}: won {silence} s after the last heartbeat of the previous leader and {vacancy} s after "
+      "its "
+      "lease expired; since then records loaded {records} s (from {source}), first machine {first_machine} "
+      "s, "
+      "first start {first_start} s, nine in ten of {machines} machines {most} s, the last {last} s, all "
+      "assignments located {located} s; machines that have not reported: {missing}",
+      log::with("term", times_so_far_.term), log::with("silence", seconds_text(times_so_far_.silence)),
+      log::with("vacancy", seconds_text(times_so_far_.vacancy)),
+      log::with("records", seconds_text(times_so_far_.records_read)),
+      log::with("source", times_so_far_.from_replica ? "replica" : "store"),
+      log::with("first_machine", seconds_text(times_so_far_.first_machine)),
+      log::with("first_start", seconds_text(times_so_far_.first_start)),
       log::with("machines", times_so_far_.machines),
-      log::with("most", readiness_text(times_so_far_.most_machines)),
-      log::with("last", readiness_text(times_so_far_.last_machine)),
-      log::with("whole", readiness_text(times_so_far_.all_located)),
+      log::with("most", seconds_text(times_so_far_.most_machines)),
+      log::with("last", seconds_text(times_so_far_.last_machine)),
+      log::with("located", seconds_text(times_so_far_.all_located)),
       log::with("missing", times_so_far_.missing));
-  return times_so_far_;
 }
 
 }  // namespace wrenusher::leader
--- a/src/leader/include/wrenusher/leader/failover.hpp
+++ b/src/leader/include/wrenusher/leader/failover.hpp
@@ -1,7 +1,10 @@
 #pragma once
-// Brings the live jobs and their claims into the book at the start of a term: from the store, or from a copy
-// of its records that was checked against it.
+/// @file
+/// Restores the live jobs and their assignments at the start of a term: from the state service, or from this
+/// node's replica of its records once that has been verified.
 
+#include <compare>
+#include <cstdint>
 #include <functional>
 #include <map>
 #include <memory>
@@ -10,60 +13,74 @@
 #include "wrenusher/commit_batcher/commit_batcher.hpp"
 #include "wrenusher/job_table/job_table.hpp"
 #include "wrenusher/kv_client/kv_client.hpp"
+#include "wrenusher/records/records.hpp"
 
 namespace wrenusher::leader {
 
-using namespace time;
-using namespace value;
-using namespace runtime;
-using namespace protocol;
-using namespace kv_client;
 using commit_batcher::CommitBatcher;
 using job_table::Job;
 using job_table::JobTable;
+using kv_client::KeyValue;
+using kv_client::KvClient;
+using runtime::Runtime;
 
-/// A job's root as it stands in the store; false, and a line in the log, where it cannot be read.
-bool add_stored_job(JobTable& jobs, const KeyValue& row);
+/// Adds a job from its stored root record. False when the key or the record cannot be read; the key is logged
+/// then (`record_unreadable`), and the job is left out.
+[[nodiscard]] bool add_stored_job(JobTable& jobs, const KeyValue& row);
 
+/// Loads the records of the last term into the job table and the commit batcher, both of which its owner
+/// empties first. Owns only the state of a reading under way. Single-threaded: called from the runtime's loop
+/// only. The referenced objects must outlive it.
 class Failover {
  public:
   Failover(Runtime& runtime, KvClient& store, JobTable& jobs, CommitBatcher& batcher)
       : runtime_(runtime), store_(store), jobs_(jobs), batcher_(batcher) {}
 
-  /// Reads into book and writer, which are to be empty, and then calls `done` with the revision from which
-  /// changes are to be followed. Tries for as long as it takes.
+  /// Reads all jobs and shards from the state service page by page and then calls `done` with the revision
+  /// from which changes are to be watched. Retries without limit until `stop` or the next call.
   void start_reading(std::function<void(std::uint64_t revision)> done);
-  /// Takes the copy into book and writer, which are to be empty.
-  void load_replica(const records::RecordSnapshot& copy);
-  /// What is being read concerns nobody any more.
+  /// Loads a verified replica of the records; abandons a reading under way.
+  void load_replica(const records::RecordSnapshot& snapshot);
+  /// Abandons a reading under way: its `done` will not be called.
   void stop() { ++generation_; }
 
  private:
+  /// Which block of which job.
+  struct BlockKey {
+    std::string job_id;
+    std::uint32_t block = 0;
+    // NOLINTNEXTLINE(modernize-use-nullptr): false report on a defaulted comparison
+    auto operator<=>(const BlockKey&) const = default;
+  };
+  /// A copy of a block and the shard that it was found in.
   struct FoundBlock {
     std::uint64_t version = 0;
     std::uint32_t shard = 0;
     records::BlockRecord state;
   };
   /// The newest copy of every block of a live job.
-  using Blocks = std::map<std::pair<std::string, std::uint32_t>, FoundBlock>;
+  using NewestBlocks = std::map<BlockKey, FoundBlock>;
+  /// The state of one reading, shared by the callbacks of its pages.
   struct ReadState {
     std::uint64_t generation = 0;
-    std::uint64_t revision = 0;   ///< of the first page: what changes meanwhile is followed from there
-    bool reading_shards = false;  ///< first the jobs, then the slots
-    std::string next_key;
-    Blocks blocks;
+    std::uint64_t revision = 0;   ///< of the first page: what changes meanwhile is watched from there
+    bool reading_shards = false;  ///< the jobs are read first, then the shards
+    std::string next_key;         ///< the last key of the page before; the next page begins after it
+    NewestBlocks blocks;
     std::function<void(std::uint64_t)> done;
   };
-  void read(const std::shared_ptr<ReadState>& reading);
-  void on_page(const std::shared_ptr<ReadState>& reading, const ReadReply& page);
-  void read_shard_row(Blocks& blocks, std::uint32_t slot, const records::RecordSnapshot::Shard& shard);
-  void restore_blocks(const Blocks& blocks);
+  void read_page(const std::shared_ptr<ReadState>& reading);
+  void on_page(const std::shared_ptr<ReadState>& reading, const kv_client::ReadReply& page);
+  void read_shard_row(NewestBlocks& blocks, const KeyValue& row);
+  void add_shard(NewestBlocks& blocks, std::uint32_t shard_number,
+                 const records::RecordSnapshot::Shard& shard);
+  void restore_blocks(const NewestBlocks& blocks);
 
   Runtime& runtime_;
   KvClient& store_;
   JobTable& jobs_;
   CommitBatcher& batcher_;
-  std::uint64_t generation_ = 0;
+  std::uint64_t generation_ = 0;  ///< rises with every reading; replies to an earlier one are dropped
 };
 
 }  // namespace wrenusher::leader
--- a/src/leader/include/wrenusher/leader/failover_timer.hpp
+++ b/src/leader/include/wrenusher/leader/failover_timer.hpp
@@ -1,47 +1,53 @@
 #pragma once
-// How long the parts of a takeover took, told in one line once nothing stands open of what the last term
-// left.
+/// @file
+/// Measures the parts of a failover.
 
 #include <optional>
 #include <set>
 #include <string>
 #include <vector>
 
-#include "wrenusher/events/capacity.hpp"
 #include "wrenusher/events/failover.hpp"
-#include "wrenusher/events/hints.hpp"
-#include "wrenusher/events/jobs.hpp"
 #include "wrenusher/events/membership.hpp"
-#include "wrenusher/events/topology.hpp"
-#include "wrenusher/events/workers.hpp"
+#include "wrenusher/time/time.hpp"
 
 namespace wrenusher::leader {
 
-using namespace time;
-using namespace value;
-using namespace runtime;
-using namespace events;
+using time::Instant;
+using time::Micros;
 
+/// Measures how long each part of a failover took, and reports them once: when every assignment of the last
+/// term is located and every expected machine has reported, or after 25 s with what is missing. Owns its
+/// measurements. Single-threaded: called from the runtime's loop only.
 class FailoverTimer {
  public:
-  void begin(const TermChanged& term, Instant now);
+  /// A term was won at `now`; forgets the measurements of an earlier one.
+  void begin(const events::TermChanged& term, Instant now);
+  /// Abandons the measurement: nothing is reported.
   void stop() { running_ = false; }
-  /// A machine that the last term had.
+  /// A machine that the last term had, and that is expected to report.
   void expect_machine(const std::string& host);
-  void on_records_read(bool by_copy, Instant now);
-  /// A worker that has taken the term's epoch was heard.
+  /// The records of the last term are loaded. `from_replica`: from this node's replica, not by reading them.
+  void on_records_loaded(bool from_replica, Instant now);
+  /// A worker that has accepted the term's fencing token reported.
   void on_machine_reported(const std::string& host, Instant now);
+  /// The machine has left: it is not expected any more.
   void on_machine_departed(const std::string& host) { expected_machines_.erase(host); }
+  /// A report showed a task run that was assigned in this term.
   void on_first_start(Instant now);
-  /// Whether it is over: nothing is left open, or it takes too long. Told once.
-  std::optional<FailoverTimes> finish(std::size_t claims_unproven, Instant now);
+  /// The measurements, logged and returned once per failover; nothing while it goes on or when none is
+  /// measured. `unconfirmed_assignments`: those of the last term that no report has shown or ended yet.
+  [[nodiscard]] std::optional<events::FailoverTimes> finish(std::size_t unconfirmed_assignments, Instant now);
 
  private:
+  void summarize_machines();
+  void log_times() const;
+
   bool running_ = false;
   Instant began_{};
-  FailoverTimes times_so_far_;
-  std::set<std::string> expected_machines_;
-  std::vector<Micros> report_times_;  ///< of the machines heard that were awaited
+  events::FailoverTimes times_so_far_;
+  std::set<std::string> expected_machines_;  ///< that have not reported yet
+  std::vector<Micros> report_times_;  ///< since the term was won, of the expected machines that reported
 };
 
 }  // namespace wrenusher::leader
--- a/src/leader/include/wrenusher/leader/leader_actor.hpp
+++ b/src/leader/include/wrenusher/leader/leader_actor.hpp
@@ -1,12 +1,14 @@
 #pragma once
-// Package leader: the leader's actor. It owns the term, the order in which things happen in it (takeover,
-// news from the store, reports, rounds, commits, answers), and one of each room: book, machines, writer, held
-// answers, reports, rounds, accounts. What each room knows is that room's own; the ledger passes messages in
-// and results out. It may depend on every room, on store, mail and what they depend on.
+/// @file
+/// Package leader: the leader's actor. It owns the term and the order in which things happen within it
+/// (failover, changes of the records, reports, scheduling cycles, commits, replies), and one instance of each
+/// part: job table, machine inventory, commit batcher, pending replies, reconciler, scheduling cycle. Each
+/// part keeps its own state; the actor passes events in and results out. It may depend on every part, on
+/// kv_client, events and what they depend on.
 
+#include <cstdint>
 #include <map>
 #include <memory>
-#include <set>
 #include <string>
 #include <vector>
 
@@ -23,6 +25,8 @@
 #include "wrenusher/kv_client/kv_client.hpp"
 #include "wrenusher/leader/failover.hpp"
 #include "wrenusher/leader/failover_timer.hpp"
+#include "wrenusher/leader/hint_adopter.hpp"
+#include "wrenusher/leader/hint_collector.hpp"
 #include "wrenusher/machine_inventory/machine_inventory.hpp"
 #include "wrenusher/pending_replies/pending_replies.hpp"
 #include "wrenusher/reconciler/reconciler.hpp"
@@ -31,73 +35,89 @@
 
 namespace wrenusher::leader {
 
-using namespace settings;
-using namespace events;
-using machine_inventory::Machine;
-using machine_inventory::MachineInventory;
+using runtime::EventSink;
 
+/// Runs the cluster while this node leads: takes over the records of the last term, keeps them in line with
+/// the state service, reconciles the workers' reports, plans and commits. While the node does not lead it
+/// only answers reports without commands. Owns its parts; the runtime, settings and client must outlive it.
+/// Single-threaded: called from the runtime's loop only. Its members are defined in leader_actor.cpp (term
+/// and cycle), leader_records.cpp (records) and leader_machines.cpp (workers and machines).
 class LeaderActor {
  public:
   LeaderActor(Runtime& runtime, const Settings& settings, KvClient& store);
+  /// Begins the scheduling cycles; called once, after the sinks are connected.
   void start();
 
-  void on_term(const TermChanged& term);
-  void on_lease_validity(const LeaseValidity& event) { lease_valid_until_ = event.until; }
-  void on_report(const WorkerReported& event);
-  void on_worker_silent(const WorkerSilent& event);
-  void on_machine_departed(const MachineDeparted& event);
-  void on_machine_cordoned(const MachineCordoned& event);
-  void on_catalog(const CatalogUpdated& event);
-  void on_topology(const TopologyActivated& event);
-  void on_machines_suspected(const MachinesSuspected& event);
-  void on_job_cancelled(const JobCancelled& event);
-  void on_hints_inherited(const std::shared_ptr<const InheritedHints>& all);
-  void on_replica_verified(const ReplicaVerified& event);
-  void on_capacity(const CapacityChanged& event) { scheduler_.on_capacity(event); }
+  /// This node's term began, ended, or is confirmed; a term that is already known changes nothing.
+  void on_term(const events::TermChanged& term);
+  void on_lease_validity(const events::LeaseValidity& event) { lease_valid_until_ = event.until; }
+  /// A worker's report; its reply is called exactly once, at the latest 800 ms from now.
+  void on_report(const events::WorkerReported& event);
+  void on_worker_silent(const events::WorkerSilent& event);
+  void on_machine_departed(const events::MachineDeparted& event);
+  void on_machine_cordoned(const events::MachineCordoned& event);
+  void on_catalog(const events::CatalogUpdated& event);
+  void on_topology(const events::TopologyActivated& event);
+  /// The full set of suspected machines: the others are not suspected any more.
+  void on_machines_suspected(const events::MachinesSuspected& event);
+  void on_job_cancelled(const events::JobCancelled& event);
+  /// What the last leader had sent as hints; comes after the term and before its records.
+  void on_hints_inherited(const std::shared_ptr<const events::InheritedHints>& inherited);
+  /// This node's replica of the records was verified, or the records must be read.
+  void on_replica_verified(const events::ReplicaVerified& event);
+  void on_capacity(const events::CapacityChanged& event) { scheduler_.on_capacity(event); }
 
-  /// Has every room reckon anew what it keeps up step by step, and says what differs; empty when nothing
-  /// does.
-  std::string disagreement() const;
+  /// Recomputes what each part keeps up step by step, and returns the first difference found, as a sentence;
+  /// empty when there is none.
+  [[nodiscard]] std::string disagreement() const;
 
-  EventSink<std::shared_ptr<const Workload>> workload;
-  EventSink<std::shared_ptr<const Progress>> progress;
-  EventSink<DirectCommands> direct_commands;
-  EventSink<LeadershipLost> leadership_lost;
-  EventSink<MachineCordoned> machine_suspect;
-  EventSink<std::shared_ptr<const LeaderHints>> hints;
-  EventSink<FailoverTimes> failover_finished;
-  EventSink<CancellationsRead> cancellations_read;
-  EventSink<RecordsChanged> records_changed;
+  // Where the actor sends its events; connected by the owner before `start`.
+  EventSink<std::shared_ptr<const events::Workload>> workload;
+  EventSink<std::shared_ptr<const events::Progress>> progress;
+  EventSink<events::DirectCommands> direct_commands;
+  EventSink<events::LeadershipLost> leadership_lost;
+  EventSink<events::MachineCordoned> machine_suspect;
+  EventSink<std::shared_ptr<const events::LeaderHints>> hints;
+  EventSink<events::FailoverTimes> failover_finished;
+  EventSink<events::CancellationsRead> cancellations_read;
+  EventSink<events::RecordsChanged> records_changed;
 
  private:
-  /// Leads, and has read what there is.
+  /// Leads, and has loaded the records.
   bool serving() const { return term_.leading && records_loaded_; }
-  bool serving_term(std::uint64_t fencing_token) const {
-    return serving() && term_.fencing_token == fencing_token;
+  bool leading_term(std::uint64_t fencing_token) const {
+    return term_.leading && term_.fencing_token == fencing_token;
   }
+  bool serving_term(std::uint64_t fencing_token) const { return serving() && leading_term(fencing_token); }
   bool lease_valid() const { return runtime_.now() < lease_valid_until_; }
   void begin();
+
+  // Records.
   void read_records();
-  void on_records_loaded(std::uint64_t revision, bool by_copy);
-  /// Reads the jobs once more at leisure: one that a copy missed and that has no claims would never be run.
+  void on_records_loaded(std::uint64_t revision, bool from_replica);
+  void log_records_loaded(std::size_t assignments, bool from_replica) const;
+  void report_inherited_cancellations();
+  /// Lists the jobs once more at a slow pace: one that the replica missed and that has no assignments would
+  /// never be run.
   void find_missed_jobs(const std::string& from, std::uint64_t fencing_token);
   void watch_records(std::uint64_t from, std::uint64_t fencing_token);
-  void apply_watch(const WatchReply& reply);
+  void on_watch_reply(const kv_client::WatchReply& reply, Instant requested_at);
+  void apply_watch(const kv_client::WatchReply& reply);
   void add_job(const KeyValue& row);
   void refresh_job(const std::string& job_id);
+  void on_job_refreshed(const std::string& job_id, const kv_client::ReadReply& reply);
   void cancel_job(Job& job);
 
-  MachineHint hint_of(const Machine& machine) const;
-  void publish_hints();
-  bool adopt_machine_hint(const WorkerReport& report);
-  void adopt_failure_hints();
-  void expect_images(const MachineHint& hint, bool comes);
+  // Workers and machines.
+  reconciler::Reconciler::Result reconcile(const events::WorkerReported& event);
+  void reply_or_wait(const events::WorkerReported& event, bool tasks_left);
 
+  // The scheduling cycle.
   void tick();
   void wake();
   void run_cycle();
   void reply_pending();
-  void send_direct(const std::vector<DirectCommands>& commands);
+  void send_direct(const std::vector<events::DirectCommands>& commands) const;
 
   Runtime& runtime_;
   const Settings& settings_;
@@ -111,21 +131,16 @@
   reconciler::Reconciler reconciler_;
   scheduling_cycle::SchedulingCycle scheduler_;
   Failover failover_;
-  TermChanged term_;
+  FailoverTimer failover_timer_;
+  HintCollector hint_collector_;
+  HintAdopter hint_adopter_;
+  events::TermChanged term_;
   Instant lease_valid_until_{};
   Instant term_began_{};
   bool records_loaded_ = false;
   bool wake_scheduled_ = false;
   Instant last_cycle_{};
-  FailoverTimer failover_timer_;
-  std::map<std::string, MachineHint> inherited_machines_;  ///< of machines not heard in this term yet
-  std::map<std::string, std::uint32_t> expected_images_;   ///< on how many of those with room, by bundle
-  std::vector<JobHint> failure_hints_;                     ///< until the records are there
-  std::map<std::string, WorkerReported> early_reports_;    ///< each machine's newest word, likewise
-  Instant next_hints_{};
-  Instant next_class_hints_{};
-  std::map<std::string, std::uint64_t> published_class_versions_;  ///< version of what was told
-  std::set<std::string> published_jobs_;
+  std::map<std::string, events::WorkerReported> early_reports_;  ///< each machine's newest before the records
 };
 
 }  // namespace wrenusher::leader
--- /dev/null
+++ b/src/leader/leader_machines.cpp
@@ -0,0 +1,128 @@
+// What workers and machines do to the leader: reports, silence, cordons, departures, types and topology.
+
+#include <algorithm>
+
+#include "wrenusher/leader/leader_actor.hpp"
+#include "wrenusher/log/log.hpp"
+
+namespace wrenusher::leader {
+
+namespace {
+
+/// The reply to a report waits this long for the commit of what the report brought: the room that a task
+/// leaves is then used at once, not at the worker's next report.
+constexpr Micros kMaxReplyDelay = time::from_millis(800);
+/// At the start of a term no machine without the image is taken while one that holds it may still report: all
+/// that are up report within about this time, and a fetch takes longer.
+constexpr Micros kMachineReportWindow = time::from_millis(1200);
+
+}  // namespace
+
+void LeaderActor::on_report(const events::WorkerReported& event) {
+  if (!serving()) {
+    event.reply({});
+    // A report that came before the records is not lost; its reply has been given, so it settles no start.
+    if (term_.leading)
+      early_reports_[event.report->host] = {event.report, event.token_accepted, false, [](const auto&) {}};
+    return;
+  }
+  // The worker has given up waiting for the last reply; commands in it would come too late to be settled by
+  // this report.
+  pending_replies_.reply_empty(event.report->host);
+  const reconciler::Reconciler::Result result = reconcile(event);
+  if (result.usable_changed) scheduler_.request_plan();
+  send_direct(result.stops);
+  for (const events::MachineCordoned& cordoned : result.suspects) machine_suspect(cordoned);
+  reply_or_wait(event, result.tasks_left);
+}
+
+/// Applies the report to the job table and the inventory, and notes what it shows of a failover.
+reconciler::Reconciler::Result LeaderActor::reconcile(const events::WorkerReported& event) {
+  const protocol::WorkerReport& report = *event.report;
+  const bool adopted = hint_adopter_.adopt_machine(report);
+  const std::uint64_t shown_before = reconciler_.shown_starts();
+  reconciler::Reconciler::Result result = reconciler_.apply(report, event.token_accepted, event.settled);
+  // A fetch that the report did not show to be under way is not.
+  if (adopted) machines_.get_or_add(report.host).inherited_fetches.clear();
+  if (event.token_accepted) failover_timer_.on_machine_reported(report.host, runtime_.now());
+  if (reconciler_.shown_starts() != shown_before) failover_timer_.on_first_start(runtime_.now());
+  return result;
+}
+
+/// Only replies to reports carry commands, and the room that a task left is used at once: its worker's reply
+/// waits for the next scheduling cycle and its commit.
+void LeaderActor::reply_or_wait(const events::WorkerReported& event, bool tasks_left) {
+  const protocol::WorkerReport& report = *event.report;
+  const Machine& machine = machines_.get_or_add(report.host);
+  if (event.settled && machine.token_accepted && lease_valid() &&
+      (tasks_left || reconciler_.awaits_commit(machine, report))) {
+    pending_replies_.add(report.host, {event.report, event.reply,
+                                       runtime_.now() + std::min(kMaxReplyDelay, settings_.worker_lease / 8),
+                                       scheduler_.plan_count()});
+    if (tasks_left) wake();
+    return;
+  }
+  event.reply(reconciler_.commands_for(machine, report));
+}
+
+void LeaderActor::on_worker_silent(const events::WorkerSilent& event) {
+  if (Machine* machine = machines_.find(event.host)) {
+    machine->silent = true;
+    machines_.mark_changed(*machine);
+  }
+  scheduler_.request_plan();
+}
+
+void LeaderActor::on_machine_cordoned(const events::MachineCordoned& event) {
+  Machine& machine = machines_.get_or_add(event.host);
+  machine.cordoned = true;
+  machines_.mark_changed(machine);
+}
+
+void LeaderActor::on_machine_departed(const events::MachineDeparted& event) {
+  failover_timer_.on_machine_departed(event.host);
+  hint_adopter_.remove_machine(event.host);
+  early_reports_.erase(event.host);
+  if (!serving()) return;
+  const Machine* machine = machines_.find(event.host);
+  if (machine == nullptr) return;
+  // A copy: each release changes the machine's assignments.
+  const job_table::MachineAssignments released = jobs_.assignments_on(*machine);
+  if (!released.empty())
+    log::info("machine_lost", "machine {machine} has departed with {tasks} tasks",
+              log::with("machine", event.host), log::with("tasks", released.size()));
+  for (const auto& [key, job] : released) jobs_.release(*job, key.task, "its machine has departed", true);
+  pending_replies_.reply_empty(event.host);
+  machines_.erase(event.host);
+  estimator_.forget_host(event.host);
+  scheduler_.request_plan();
+}
+
+void LeaderActor::on_topology(const events::TopologyActivated& event) {
+  machines_.set_topology(event.topology);
+  scheduler_.request_plan();
+}
+
+void LeaderActor::on_machines_suspected(const events::MachinesSuspected& event) {
+  for (auto& [host, machine] : machines_.all()) {
+    const bool suspected = event.hosts.contains(host);
+    if (machine.suspected == suspected) continue;
+    machine.suspected = suspected;
+    machines_.mark_changed(machine);
+  }
+  scheduler_.request_plan();
+}
+
+void LeaderActor::on_catalog(const events::CatalogUpdated& event) {
+  machines_.set_catalog(event.catalog);
+  scheduler_.request_plan();
+}
+
+void LeaderActor::on_hints_inherited(const std::shared_ptr<const events::InheritedHints>& inherited) {
+  if (!leading_term(inherited->term)) return;
+  hint_adopter_.adopt(*inherited);
+  for (const auto& [host, hint] : hint_adopter_.machines()) failover_timer_.expect_machine(host);
+  scheduler_.expect_images(&hint_adopter_.expected_images(), runtime_.now() + kMachineReportWindow);
+}
+
+}  // namespace wrenusher::leader
--- /dev/null
+++ b/src/leader/leader_records.cpp
@@ -0,0 +1,199 @@
+// The leader's view of the records: loads them when a term begins, watches them and refreshes single jobs.
+
+#include <algorithm>
+#include <utility>
+
+#include "wrenusher/leader/leader_actor.hpp"
+#include "wrenusher/log/log.hpp"
+
+namespace wrenusher::leader {
+
+using kv_client::ReadReply;
+using kv_client::WatchReply;
+
+namespace {
+
+/// How long a watch stays open at the state service: what this node knows of the records is never older than
+/// the watch that was answered last.
+constexpr Micros kWatchWait = time::from_seconds(2);
+/// Between two watches, so that a burst of our own writes does not come back one by one.
+constexpr Micros kWatchPause = time::from_millis(100);
+constexpr Micros kRetryRead = time::from_millis(250);
+constexpr int kMissedJobsPageSize = 100;
+constexpr Micros kMissedJobsPagePause = time::from_millis(500);
+
+/// Whether the stored root record of a job says that a user cancelled it.
+bool is_cancelled(const KeyValue& row) {
+  return row.value["wd"].boolean().value_or(false);
+}
+
+}  // namespace
+
+void LeaderActor::read_records() {
+  failover_.start_reading([this](std::uint64_t revision) { on_records_loaded(revision, false); });
+}
+
+void LeaderActor::on_replica_verified(const events::ReplicaVerified& event) {
+  if (!leading_term(event.term) || records_loaded_) return;
+  if (!event.snapshot) {
+    read_records();
+    return;
+  }
+  failover_.load_replica(*event.snapshot);
+  on_records_loaded(event.snapshot->revision, true);
+  find_missed_jobs({}, term_.fencing_token);
+}
+
+void LeaderActor::find_missed_jobs(const std::string& from, std::uint64_t fencing_token) {
+  store_.list("job/", from, kMissedJobsPageSize, KvClient::RequestClass::background,
+              [this, from, fencing_token](const ReadReply& page) {
+                if (!serving_term(fencing_token)) return;
+                std::string last = from;
+                for (const KeyValue& row : page.rows) {
+                  last = row.key;
+                  const auto job_id = records::parse_job_key(row.key);
+                  // One that has finished since the page was read is added for a moment: its assignments and
+                  // its final state fail on its root record.
+                  if (job_id && jobs_.find(*job_id) == nullptr) add_job(row);
+                }
+                if (page.result == ReadReply::Result::ok && !page.truncated) return;
+                runtime_.after(kMissedJobsPagePause, [this, last, fencing_token] {
+                  if (serving_term(fencing_token)) find_missed_jobs(last, fencing_token);
+                });
+              });
+}
+
+void LeaderActor::on_records_loaded(std::uint64_t revision, bool from_replica) {
+  records_loaded_ = true;
+  std::size_t assignments = 0;
+  for (const auto& [host, machine] : machines_.all()) {
+    assignments += machine.use.assignments;
+    failover_timer_.expect_machine(host);
+  }
+  failover_timer_.on_records_loaded(from_replica, runtime_.now());
+  hint_adopter_.adopt_failures(jobs_);
+  log_records_loaded(assignments, from_replica);
+  report_inherited_cancellations();
+  for (const auto& [host, report] : std::exchange(early_reports_, {})) on_report(report);
+  watch_records(revision, term_.fencing_token);
+}
+
+void LeaderActor::log_records_loaded(std::size_t assignments, bool from_replica) const {
+  log::info("records_loaded",
+            "term {term}: {jobs} live jobs and {assignments} assignments loaded from the {source} in "
+            "{seconds:.2f} s",
+            log::with("term", term_.fencing_token), log::with("jobs", jobs_.jobs().size()),
+            log::with("assignments", assignments), log::with("source", from_replica ? "replica" : "store"),
+            log::with("seconds", time::to_seconds(runtime_.now() - term_began_)));
+}
+
+void LeaderActor::report_inherited_cancellations() {
+  events::CancellationsRead read{term_began_, {}};
+  for (const auto& [job_id, job] : jobs_.jobs()) {
+    if (job.record.cancelled) read.job_ids.push_back(job_id);
+  }
+  cancellations_read(read);
+}
+
+void LeaderActor::watch_records(std::uint64_t from, std::uint64_t fencing_token) {
+  store_.watch(
+      "job/", from, kWatchWait, KvClient::RequestClass::lease,
+      [this, from, fencing_token, requested_at = runtime_.now()](const WatchReply& reply) {
+        if (!serving_term(fencing_token)) return;
+        if (reply.result == WatchReply::Result::too_old || reply.result == WatchReply::Result::too_large) {
+          log::warn("watch_changes_missed", "the watch missed changes: reading all live jobs again");
+          begin();
+          read_records();
+          return;
+        }
+        std::uint64_t next = from;
+        if (reply.result == WatchReply::Result::ok) {
+          next = std::max(from, reply.revision);
+          on_watch_reply(reply, requested_at);
+        }
+        runtime_.after(kWatchPause, [this, next, fencing_token] {
+          if (leading_term(fencing_token)) watch_records(next, fencing_token);
+        });
+      });
+}
+
+void LeaderActor::on_watch_reply(const WatchReply& reply, Instant requested_at) {
+  apply_watch(reply);
+  events::CancellationsRead read{requested_at, {}};
+  for (const KeyValue& row : reply.puts) {
+    if (auto job_id = records::cancelled_job(row.key, row.value)) read.job_ids.push_back(std::move(*job_id));
+  }
+  cancellations_read(read);
+}
+
+/// Adds a job that is not known here yet.
+void LeaderActor::add_job(const KeyValue& row) {
+  if (add_stored_job(jobs_, row))
+    log::debug("job_added", "job {job} is new", log::with("job", *records::parse_job_key(row.key)));
+}
+
+void LeaderActor::apply_watch(const WatchReply& reply) {
+  for (const KeyValue& row : reply.puts) {
+    const auto job_id = records::parse_job_key(row.key);
+    Job* job = job_id ? jobs_.find(*job_id) : nullptr;
+    if (job == nullptr) {
+      add_job(row);
+    } else if (row.mod_revision > job->mod_revision) {
+      // Only users' cancellations change this record while its job is live.
+      job->mod_revision = row.mod_revision;
+      if (is_cancelled(row)) cancel_job(*job);
+    }
+  }
+  events::RecordsChanged changed;
+  for (const KeyValue& row : reply.puts) changed.put(row.key, row.value);
+  for (const auto& [key, mod_revision] : reply.deletes) changed.erase(key);
+  records_changed(changed);
+  wake();
+}
+
+/// Reads a job's root record again after a conflict or an unknown outcome: it shows a cancellation, or that
+/// our final write had been executed after all.
+void LeaderActor::refresh_job(const std::string& job_id) {
+  Job* uncertain = jobs_.find(job_id);
+  if (uncertain == nullptr) return;
+  uncertain->needs_refresh = true;
+  store_.get(records::job_key(job_id), KvClient::RequestClass::scheduling,
+             [this, job_id, fencing_token = term_.fencing_token](const ReadReply& reply) {
+               if (!serving_term(fencing_token)) return;
+               if (jobs_.find(job_id) == nullptr) return;
+               if (reply.result != ReadReply::Result::ok) {
+                 runtime_.after(kRetryRead, [this, job_id, fencing_token] {
+                   if (leading_term(fencing_token)) refresh_job(job_id);
+                 });
+                 return;
+               }
+               on_job_refreshed(job_id, reply);
+             });
+}
+
+void LeaderActor::on_job_refreshed(const std::string& job_id, const ReadReply& reply) {
+  if (reply.rows.empty()) {
+    batcher_.remove(job_id);
+    return;
+  }
+  Job& job = *jobs_.find(job_id);
+  const KeyValue& row = reply.rows.front();
+  job.mod_revision = row.mod_revision;
+  job.needs_refresh = false;
+  if (is_cancelled(row)) cancel_job(job);
+  wake();
+}
+
+void LeaderActor::on_job_cancelled(const events::JobCancelled& event) {
+  if (!serving()) return;
+  if (Job* job = jobs_.find(event.job_id)) cancel_job(*job);
+}
+
+void LeaderActor::cancel_job(Job& job) {
+  if (job.record.cancelled) return;
+  jobs_.cancel(job);
+  for (auto& [host, commands] : jobs_.stop_job(job, Micros{0}))
+    direct_commands(events::DirectCommands{host, std::move(commands)});
+}
+
+}  // namespace wrenusher::leader
