--- a/src/job_api/include/wrenusher/job_api/job_api.hpp
+++ b/src/job_api/include/wrenusher/job_api/job_api.hpp
@@ -1,127 +1,92 @@
 #pragma once
-// Package job_api: users' requests, on any node. Everything is decided by the state service, nothing by this
-// node's memory but final states; it owns the cache of those, the index of live jobs that each question has
-// brought up to date (JobIndex), and the answers that wait until they may be given (ReadConsistency). While
-// the index is not whole, records are read one by one and compared in groups. It may depend on base,
-// settings, protocol, store, records and mail.
+// Package job_api: the users' interface, which every node serves. The key-value store decides everything; a
+// node's own memory only answers for final states, which never change.
+//
+//   JobApi               routes requests to the parts below, and answers health checks
+//   SubmissionHandler    checks submissions and writes the records of new jobs
+//   CancellationHandler  marks records as cancelled
+//   JobLookup            finds a job's state, through JobIndex or record by record
+//   JobIndex             the live jobs as the key-value store has them, kept up to date by its changes
+//   ReadConsistency      which answers may be given when, so that no user sees a job go back
+//   ConsistentResponder  withholds answers until ReadConsistency lets them go
+//   refusals             every answer that refuses a request, by its code
+//
+// It may depend on time, value, runtime, settings, protocol, topology, kv_client, records, events and log.
 
-#include <deque>
+#include <map>
 #include <memory>
-#include <unordered_map>
+#include <string>
 
 #include "wrenusher/events/capacity.hpp"
 #include "wrenusher/events/jobs.hpp"
 #include "wrenusher/events/membership.hpp"
 #include "wrenusher/events/topology.hpp"
-#include "wrenusher/job_api/job_index.hpp"
+#include "wrenusher/job_api/cancellation_handler.hpp"
+#include "wrenusher/job_api/consistent_responder.hpp"
+#include "wrenusher/job_api/job_lookup.hpp"
 #include "wrenusher/job_api/read_consistency.hpp"
+#include "wrenusher/job_api/submission_handler.hpp"
 #include "wrenusher/kv_client/kv_client.hpp"
+#include "wrenusher/runtime/runtime.hpp"
 #include "wrenusher/settings/settings.hpp"
 
 namespace wrenusher::job_api {
 
-using namespace time;
-using namespace value;
-using namespace runtime;
-using namespace settings;
-using namespace protocol;
-using namespace kv_client;
-using namespace events;
-
+/// Serves users' requests and health checks on one node. Owns all parts of the package; `runtime`, `settings`
+/// and `store` must outlive it. Single-threaded: called from the runtime's loop only.
 class JobApi {
  public:
-  JobApi(Runtime& runtime, const Settings& settings, KvClient& store);
-  /// Begins to read the live jobs, so that questions can be answered from the index.
-  void start() { index_.load(); }
-  void serve(const Request& request, const Responder& answer);
+  JobApi(runtime::Runtime& runtime, const settings::Settings& settings, kv_client::KvClient& store);
+
+  /// Begins to read the live jobs, so that lookups can be answered from the index.
+  void start() { lookup_.start(); }
+  /// Calls `answer` once, at once or later.
+  void serve(const runtime::Request& request, const runtime::Responder& answer);
 
-  void on_topology_activated(const TopologyActivated& event) { topology_ = event; }
-  void on_catalog_updated(const CatalogUpdated& event) { catalog_ = event.catalog; }
-  void on_progress(const std::shared_ptr<const Progress>& counts);
-  void on_peer_status(const PeerStatus& news);
-  void on_records_changed(const RecordsChanged& event);
-  /// A peer is about to tell a user so.
-  void on_stage_announced(const StageAnnouncement& event) {
+  void on_topology_activated(const events::TopologyActivated& event) {
+    submissions_.on_topology_activated(event);
+  }
+  void on_catalog_updated(const events::CatalogUpdated& event) { submissions_.on_catalog_updated(event); }
+  void on_progress(const std::shared_ptr<const events::Progress>& progress) {
+    lookup_.on_progress(*progress);
+  }
+  void on_peer_status(const events::PeerStatus& status);
+  void on_records_changed(const events::RecordsChanged& event) { lookup_.on_records_changed(event); }
+  /// A peer is about to tell a user that the job has got so far.
+  void on_stage_announced(const events::StageAnnouncement& event) {
     consistency_.on_peer_announcement(event.job_id, event.stage, runtime_.now());
   }
-  /// Every peer knows that this node is about to.
-  void on_stage_confirmed(const StageAnnouncement& event);
+  /// Every peer knows that this node is about to tell so.
+  void on_stage_confirmed(const events::StageAnnouncement& event) { responder_.on_stage_confirmed(event); }
 
-  EventSink<JobCancelled> job_cancelled;
-  EventSink<StageAnnouncement> stage_announcement;
+  /// A user is about to be told that a job is cancelled. Sent before the answer.
+  runtime::EventSink<events::JobCancelled> job_cancelled;
+  /// A user is about to be told that a job has got so far; the peers are to know first.
+  runtime::EventSink<events::StageAnnouncement> stage_announcement;
 
  private:
-  struct JobState {
-    std::string status;
-    std::uint64_t done = 0;
-    std::uint64_t running = 0;
+  /// What is known of a peer from its heartbeats.
+  struct PeerState {
+    time::Instant asked_at{};  ///< when the newest question went out that it has answered
+    bool kv_reachable = false;
+    /// What it had announced by then is known here.
+    time::Instant announcements_through = time::Instant::min();
   };
-  /// The state of a job; `failed`: the state service could not be asked.
-  struct Lookup {
-    bool failed = true;
-    std::optional<JobState> state;
-    Instant asked_at{};       ///< it was so then, or later
-    bool queue_full = false;  ///< failed since too much waits here
-  };
-  /// What to answer a user who asked for a job that is in this state.
-  using ResponseFor = std::function<Response(const JobState&)>;
-  /// A live record as it was last read.
-  struct KnownRecord {
-    std::uint64_t mod_revision = 0;
-    bool cancelled = false;
-  };
-  struct PendingCheck {
-    std::string job_id;
-    std::function<void(Lookup)> done;
-  };
-  void lookup(const std::string& job_id, std::function<void(Lookup)> done);
-  void lookup_in_index(const std::string& job_id, std::function<void(Lookup)> done);
-  void read_records(const std::string& job_id, const std::function<void(Lookup)>& done);
-  void send_checks();
-  void on_checked(std::vector<PendingCheck> asked, const CommitReply& reply);
-  void remember_record(const std::string& job_id, const KnownRecord& record);
-  JobState live_state(const std::string& job_id, bool gone) const;
-  JobState newest_state(const std::string& job_id) const;
-  JobStage stage_of(const Lookup& found) const;
-  void lookup_consistent(const std::string& job_id, int tries, const std::function<void(Lookup)>& done);
-  std::optional<InvalidField> why_never_runs(const JobSpec& spec, const Team* team) const;
-  void submit(const Request& request, const Responder& answer);
-  void poll(const std::string& job_id, const Responder& answer);
-  void cancel_job(const std::string& job_id, int tries, const Responder& answer);
-  void announce_and_answer(const std::string& job_id, const Lookup& found, const ResponseFor& say,
-                           const Responder& answer);
-  void answer_when_consistent(const std::string& job_id, const Lookup& found, const ResponseFor& say,
-                              const Responder& answer);
-  void release_waiting(const std::string& job_id, JobStage level);
-  void answer_known_or(const std::string& job_id, Response otherwise, const Responder& answer);
-  void remember_final_state(const std::string& job_id, const JobState& state);
+  void serve_ready(const runtime::Request& request, const runtime::Responder& answer) const;
+  void serve_submissions(const runtime::Request& request, const runtime::Responder& answer);
+  void serve_job(const runtime::Request& request, const std::string& path, const runtime::Responder& answer);
+  void poll(const std::string& job_id, const runtime::Responder& answer);
   bool ready() const;
 
-  Runtime& runtime_;
-  const Settings& settings_;
-  KvClient& store_;
-  std::shared_ptr<const Catalog> catalog_;
-  TopologyActivated topology_;
-  struct PeerSeen {
-    Instant asked_at{};                              ///< the newest question that it answered
-    bool kv_reachable = false;                       ///< it has the state service
-    Instant announcements_through = Instant::min();  ///< what it had announced by then is known here
-  };
-  std::map<std::string, PeerSeen> peers_;
-  /// Done and running tasks of live jobs.
-  std::unordered_map<std::string, std::pair<std::uint64_t, std::uint64_t>> counts_;
-  /// Final states never change, so an old answer is as good as a new one.
-  std::unordered_map<std::string, JobState> final_states_;
-  std::deque<std::string> final_states_order_;
-  std::unordered_map<std::string, KnownRecord> known_records_;
-  std::deque<std::string> known_records_order_;
+  runtime::Runtime& runtime_;
+  const settings::Settings& settings_;
+  kv_client::KvClient& store_;
+  std::map<std::string, PeerState> peers_;  ///< by node, those that have answered a question of this node's
   ReadConsistency consistency_;
-  JobIndex index_;
-  /// Answers that wait until they may be given.
-  std::map<std::pair<std::string, JobStage>, std::vector<std::function<void()>>> waiting_answers_;
-  /// Questions that the next comparison settles.
-  std::deque<PendingCheck> checks_;
-  bool checking_ = false;
+  JobLookup lookup_;
+  ConsistentResponder responder_;
+  SubmissionHandler submissions_;
+  CancellationHandler cancellations_;
 };
 
 }  // namespace wrenusher::job_api
