--- /dev/null
+++ b/src/worker_gateway/report_order.cpp
@@ -0,0 +1,30 @@
+#include "wrenusher/worker_gateway/report_order.hpp"
+
+namespace wrenusher::worker_gateway {
+
+using time::Instant;
+using time::Micros;
+
+namespace {
+
+/// No copy of a report arrives as late as this.
+constexpr Micros kPositionMemory = time::from_seconds(600);
+
+}  // namespace
+
+bool ReportOrder::record_if_newest(const protocol::WorkerReport& report, Instant now) {
+  Newest& newest = by_host_[report.host];
+  const ReportPosition position = position_of(report);
+  if (position <= newest.position) return false;
+  newest = {position, now};
+  return true;
+}
+
+void ReportOrder::forget_old(Instant now) {
+  if (now < next_cleanup_) return;
+  next_cleanup_ = now + kPositionMemory;
+  std::erase_if(by_host_,
+                [&](const auto& entry) { return now - entry.second.received_at > kPositionMemory; });
+}
+
+}  // namespace wrenusher::worker_gateway
--- a/src/worker_gateway/worker_gateway.cpp
+++ b/src/worker_gateway/worker_gateway.cpp
@@ -1,549 +1,427 @@
 #include "wrenusher/worker_gateway/worker_gateway.hpp"
 
 #include <algorithm>
+#include <cstdint>
+#include <utility>
 
 #include "wrenusher/log/log.hpp"
-#include "wrenusher/runtime/error_response.hpp"
+#include "wrenusher/protocol/messages.hpp"
+#include "wrenusher/value/value.hpp"
+#include "wrenusher/worker_gateway/refusals.hpp"
+#include "wrenusher/worker_gateway/worker_calls.hpp"
 
 namespace wrenusher::worker_gateway {
 
+using events::LeadershipLost;
+using events::MachineCordoned;
+using events::MachinesSuspected;
+using events::TermChanged;
+using events::WorkerReachability;
+using events::WorkerReported;
+using events::WorkerSilent;
+using protocol::WorkerCommand;
+using protocol::WorkerReport;
+using runtime::CallResult;
+using runtime::Request;
+using runtime::Responder;
+using runtime::Response;
+using time::from_millis;
+using time::from_seconds;
+using time::Instant;
+using time::Micros;
+using time::to_seconds;
+using value::Value;
+
 namespace {
+
 constexpr Micros kTickInterval = from_millis(250);
-/// Departed machines whose late reports are ignored: every machine of the largest deployment (11,000), twice.
-constexpr std::size_t kMaxDeparted = 22000;
 /// A report may be this late without anything being wrong.
 constexpr Micros kReportDelay = from_seconds(1.5);
-/// With fewer machines than this nothing is told from how many are silent.
-constexpr std::size_t kMinHostsForLoss = 6;
-/// A node that stood still for more than this part of so much time is starved.
-constexpr double kStarvedShare = 0.5;
-constexpr Micros kStarvedMemory = from_seconds(6);
-/// Workers asked for their word at a time. Whoever is short of processor gets the answers later and asks
-/// less. Of many workers this part at a time, so that those that time out hold up the rest no longer.
-constexpr std::size_t kMaxConcurrentPolls = 24;
-constexpr std::size_t kCallsPart = 40;
-constexpr Micros kPollTimeout = from_seconds(1);
-constexpr int kPollTries = 3;
-/// A machine is asked for its newest word no more often than this.
+constexpr Micros kMinSilence = from_seconds(4);
+/// A machine is polled about an old report no more often than this, and all machines together than the
+/// second.
 constexpr Micros kChallengeInterval = from_seconds(1.5);
 constexpr Micros kChallengePause = from_millis(300);
-/// A worker gives an answer up after 4 s and asks the next node 1 s later, which may send it back.
+constexpr Micros kChallengeTimeout = from_seconds(1);
+constexpr Micros kDirectCommandsTimeout = from_seconds(2);
+/// A worker gives an answer up after 4 s and tries the next node 1 s later, which may redirect it back.
 constexpr Micros kAnswerLost = from_seconds(6);
-/// What was last heard of a worker so long ago is forgotten; no copy comes as late as that.
-constexpr Micros kReportPositionMemory = from_seconds(600);
-/// A report whose answer would renew what may be cancelled waits so long for the news; then its worker is
-/// sent away.
+/// A report whose answer may not renew the lease yet waits so long; then its worker is refused.
 constexpr Micros kMaxCancellationWait = from_seconds(1.5);
-/// What a stop, a lease and a clock may take beyond their times; twice the drift, as for holds.
-constexpr Micros kStopMargin = from_seconds(2);
-constexpr double kClockDrift = 0.001;
-/// What is told over and over is noted anew once in so long.
-constexpr Micros kSilenceRepeat = from_seconds(10);
-/// Where cancel_s leaves no more than lease_s, nothing less than this works at all.
-constexpr Micros kMinUnknownWindow = from_seconds(3);
-/// Time for all of them, and for a worker whose report to the last leader must first be given up.
-constexpr Micros kPollWindow = from_seconds(4.5);
-}  // namespace
+/// The leader of the first term has no predecessor whose workers could be missing.
+constexpr std::uint64_t kFirstInheritingToken = 2;
 
-WorkerGateway::WorkerGateway(Runtime& runtime, const Settings& settings)
-    : runtime_(runtime), settings_(settings) {}
-
-void WorkerGateway::start() {
-  tick();
+void erase_starts(std::vector<WorkerCommand>& commands) {
+  std::erase_if(commands,
+                [](const WorkerCommand& command) { return command.verb == WorkerCommand::Verb::start; });
 }
 
-Micros WorkerGateway::silence_limit() const {
-  const Micros reports{static_cast<std::int64_t>(static_cast<double>(settings_.report_interval.count()) *
-                                                 settings_.tunables.silent_reports)};
-  return std::max(from_seconds(4), std::min(reports, settings_.worker_lease));
-}
+}  // namespace
+
+WorkerGateway::WorkerGateway(runtime::Runtime& runtime, const settings::Settings& settings)
+    : runtime_(runtime),
+      settings_(settings),
+      renewals_(runtime, settings),
+      poller_(runtime, term_,
+              {.is_settled =
+                   [this](const std::string& host) {
+                     return workers_.contains(host) || departed_.contains(host);
+                   },
+               .on_report = [this](WorkerReport report) { accept_polled(std::move(report)); },
+               .on_newer_token =
+                   [this](std::uint64_t fencing_token) { leadership_lost(LeadershipLost{fencing_token}); },
+               .on_silent = [this](const std::string& host,
+                                   Micros silence) { report_silent(host, silence, false); }}) {}
 
 void WorkerGateway::on_term(const TermChanged& term) {
   const bool begins = term.leading && !term_.leading;
   term_ = term;
   if (begins) {
     leading_since_ = runtime_.now();
-    last_leader_heartbeat_ = term.last_heartbeat;
     workers_.clear();
     domain_failures_.clear();
     suspected_.clear();
-  }
-  if (begins || !term.leading) {
-    polls_.clear();
-    polls_in_flight_ = 0;
-    unheard_inherited_.clear();
-    polls_planned_ = 0;
+    poller_.begin_term(term.last_heartbeat);
+  } else if (!term.leading) {
+    poller_.reset();
   }
 }
 
-Response WorkerGateway::redirect() const {
-  if (term_.leader.empty() || term_.leader == settings_.node) return {421, {}, 0};
-  return {421, encode(Value::Map{{"upstream", term_.leader}}), 0};
-}
+// Reports and their answers.
 
 void WorkerGateway::on_report(const Request& request, const Responder& answer) {
   if (request.method != "POST") {
-    answer(error_response({405, "wrong_method", "This is asked with POST.", "", 0}));
+    answer(refusals::wrong_method());
     return;
   }
-  const auto value = decode(request.body);
-  auto report = value ? read_report(*value) : std::nullopt;
+  const auto body = value::decode(request.body);
+  auto report = body ? protocol::read_report(*body) : std::nullopt;
   if (!report) {
-    answer(error_response({400, "bad_report", "The body is no report of a worker.", "", 0}));
+    answer(refusals::bad_report());
     return;
   }
   // A copy that comes late is no sign that workers reach this node.
-  if (is_newest(*report)) {
-    last_report_ = runtime_.now();
-    majority_ever_heard_ = true;
-  }
+  if (report_order_.record_if_newest(*report, runtime_.now())) health_.on_report(runtime_.now());
   if (report->fencing_token > term_.fencing_token) {
-    // A 200 with our lower epoch would be dropped by the worker and let its lease run out.
-    log::debug("report_newer", "report of {machine} has epoch {epoch}, {term} is known here",
+    // The worker would drop a 200 with this node's lower fencing token, and let its lease run out.
+    log::debug("report_token_newer",
+               "report of {machine} has fencing token {epoch}, the newest known here is {term}",
                log::with("machine", report->host), log::with("epoch", report->fencing_token),
                log::with("term", term_.fencing_token));
     leadership_lost(LeadershipLost{report->fencing_token});
-    answer({421, {}, 0});
+    answer(refusals::redirect({}));
     return;
   }
   if (!term_.leading) {
-    log::debug("report_sent_on",
-               "report of {machine} with epoch {epoch} is sent on to '{leader}' of epoch {term}",
+    log::debug("report_redirected",
+               "report of {machine} with fencing token {epoch} is redirected to '{leader}' with {term}",
                log::with("machine", report->host), log::with("epoch", report->fencing_token),
                log::with("leader", term_.leader), log::with("term", term_.fencing_token));
     answer(redirect());
     return;
   }
   const auto shared = std::make_shared<const WorkerReport>(std::move(*report));
-  accept_report(
-      shared, true,
-      [this, answer, fencing_token = term_.fencing_token, shared](std::vector<WorkerCommand> commands) {
-        send_reply(shared, fencing_token, std::move(commands), answer);
-      });
+  accept_report(shared, true, [this, answer, fencing_token = term_.fencing_token, shared](Commands commands) {
+    send_reply(shared, fencing_token, std::move(commands), answer);
+  });
 }
 
-/// The only answer that renews a lease.
-void WorkerGateway::send_reply(const Report& report, std::uint64_t fencing_token,
-                               std::vector<WorkerCommand> commands, const Responder& answer) {
-  if (!term_.leading || term_.fencing_token != fencing_token) {
-    answer(redirect());
+Response WorkerGateway::redirect() const {
+  return refusals::redirect(term_.leader == settings_.node ? std::string{} : term_.leader);
+}
+
+/// `settled`: a report by the worker itself, not the answer to a call; what it was answered before has
+/// arrived by then, or never will.
+void WorkerGateway::accept_report(const Report& report, bool settled, const ReplyHandler& reply) {
+  if (departed_.contains(report->host)) {
+    reply({});
     return;
   }
-  if (!may_renew_lease(*report)) {
-    // Nothing is ordered meanwhile: what its report brought is settled by the next.
-    waiting_.push_back({report, fencing_token, answer, runtime_.now() + kMaxCancellationWait});
+  poller_.settle(report->host);
+  WorkerState& worker = workers_[report->host];
+  if (position_of(*report) <= worker.position) {
+    challenge_position(worker, *report);
+    reply({});
     return;
   }
-  // Without certainty another leader may already have decided otherwise; the answer still keeps the lease.
-  if (runtime_.now() >= lease_valid_until_) {
-    std::erase_if(commands,
-                  [](const WorkerCommand& command) { return command.verb == WorkerCommand::Verb::start; });
-  }
-  add_cancelled_stops(*report, commands);
-  record_reply(report->host, position_of(*report), commands);
-  answer({200, encode(Value::Map{{"epoch", fencing_token}, {"orders", write_commands(commands)}}), 0});
+  update_worker(worker, *report, settled);
+  const bool token_accepted = report->fencing_token == term_.fencing_token;
+  worker_reported(WorkerReported{report, token_accepted, settled, reply});
 }
 
-void WorkerGateway::on_job_cancelled(const JobCancelled& event) {
-  // Once cancel_s is over no task of it is left, by the rule that this serves; twice that, and a minute for a
-  // confirmation that came later than the news, is ample.
-  const Instant now = runtime_.now();
-  while (!cancelled_order_.empty() &&
-         now - cancelled_order_.front().first > settings_.cancel_deadline * 2 + from_seconds(60)) {
-    const auto it = cancelled_.find(cancelled_order_.front().second);
-    if (it != cancelled_.end() && it->second == cancelled_order_.front().first) cancelled_.erase(it);
-    cancelled_order_.pop_front();
-  }
-  const auto [it, added] = cancelled_.try_emplace(event.job_id, now);
-  if (!added && now - it->second < kSilenceRepeat) return;
-  it->second = now;
-  cancelled_order_.emplace_back(now, event.job_id);
+/// The answer to a call, which gets no answer itself.
+void WorkerGateway::accept_polled(WorkerReport report) {
+  accept_report(std::make_shared<const WorkerReport>(std::move(report)), false, [](const Commands&) {});
 }
 
-void WorkerGateway::on_cancellations_known(const CancellationsKnown& event) {
-  cancellations_known_ = event;
-  reply_waiting();
+void WorkerGateway::update_worker(WorkerState& worker, const WorkerReport& report, bool settled) {
+  if (worker.silent)
+    log::info("machine_heard", "machine {machine} is heard again", log::with("machine", report.host));
+  if (topology_ && (worker.address != report.address || worker.machine_type != report.machine_type ||
+                    worker.zone != report.zone))
+    worker.location = topology_->find(report.host, report.address, report.machine_type, report.zone);
+  const Instant now = runtime_.now();
+  // The answer to a call shows what the call has done; an earlier answer to a report may still arrive.
+  if (settled) {
+    const Micros max_gap = std::max(settings_.report_interval * 2, kAnswerLost);
+    worker.delivery.on_report(report, now - worker.heard_at < max_gap);
+  }
+  worker.address = report.address;
+  worker.machine_type = report.machine_type;
+  worker.zone = report.zone;
+  worker.position = position_of(report);
+  worker.heard_at = now;
+  worker.silent = false;
+  worker.reclaimed_by.reset();
+  if (report.eviction_notice) worker.reclaimed_by = now + *report.eviction_notice;
 }
 
-/// Whatever the ledger knows by now: it may have read no record yet.
-void WorkerGateway::add_cancelled_stops(const WorkerReport& report,
-                                        std::vector<WorkerCommand>& commands) const {
-  if (cancelled_.empty()) return;
-  std::erase_if(commands, [&](const WorkerCommand& command) {
-    return command.verb == WorkerCommand::Verb::start && cancelled_.contains(command.job_id);
-  });
-  for (const TaskReport& task : report.tasks) {
-    if (task.status == TaskStatus::exited || !cancelled_.contains(task.job_id)) continue;
-    const bool told = std::any_of(commands.begin(), commands.end(), [&](const WorkerCommand& command) {
-      return command.verb == WorkerCommand::Verb::stop && command.job_id == task.job_id &&
-             command.task == task.task && command.attempt == task.attempt;
-    });
-    if (!told)
-      commands.push_back({WorkerCommand::Verb::stop, task.job_id, task.task, task.attempt, Micros{0}});
+/// The only answer that renews a lease.
+void WorkerGateway::send_reply(const Report& report, std::uint64_t fencing_token, Commands commands,
+                               const Responder& answer) {
+  if (!leads_term(fencing_token)) {
+    answer(redirect());
+    return;
   }
+  if (!renewals_.may_renew(*report)) {
+    // The commands are dropped: what this report brought is settled by the next one.
+    waiting_.push_back({report, fencing_token, answer, runtime_.now() + kMaxCancellationWait});
+    return;
+  }
+  // Without a valid lease another leader may already have decided otherwise; the answer still renews the
+  // worker's lease.
+  if (runtime_.now() >= lease_valid_until_) erase_starts(commands);
+  renewals_.add_stops(*report, commands);
+  record_reply(*report, commands);
+  answer({200,
+          value::encode(Value::Map{{"epoch", fencing_token}, {"orders", protocol::write_commands(commands)}}),
+          0});
 }
 
-/// A lease is renewed only while every cancellation that any user was told longer ago than this is known, and
-/// stopped by the same answer. What is not known may be any task, so that its worker's lease is let run out:
-/// from the last renewal on that takes `lease`.
-Micros WorkerGateway::cancellation_gap() const {
-  const Micros drift{
-      static_cast<std::int64_t>(static_cast<double>(settings_.cancel_deadline.count()) * kClockDrift)};
-  return std::max(kMinUnknownWindow,
-                  settings_.cancel_deadline - settings_.worker_lease - drift - kStopMargin);
+/// Only the answer to the newest report tells whether answers arrive.
+void WorkerGateway::record_reply(const WorkerReport& report, const Commands& commands) {
+  const auto it = workers_.find(report.host);
+  if (it != workers_.end() && it->second.position == position_of(report))
+    it->second.delivery.on_reply(term_.fencing_token, commands);
 }
 
-bool WorkerGateway::may_renew_lease(const WorkerReport& report) const {
-  if (cancellations_known_.through >= runtime_.now() - cancellation_gap()) return true;
-  return std::all_of(report.tasks.begin(), report.tasks.end(), [&](const TaskReport& task) {
-    return task.status == TaskStatus::exited || cancelled_.contains(task.job_id);
-  });
+void WorkerGateway::on_cancellations_known(const events::CancellationsKnown& event) {
+  renewals_.on_cancellations_known(event);
+  reply_waiting();
 }
 
 void WorkerGateway::reply_waiting() {
   for (std::size_t n = waiting_.size(); n > 0; --n) {
-    const WaitingReport waiting = std::move(waiting_.front());
+    WaitingReport waiting = std::move(waiting_.front());
     waiting_.pop_front();
-    if (!term_.leading || term_.fencing_token != waiting.fencing_token || may_renew_lease(*waiting.report)) {
-      // The term's orders for it may be others by now: it gets them with its next report.
+    if (!leads_term(waiting.fencing_token) || renewals_.may_renew(*waiting.report)) {
+      // The commands for it may be others by now: it gets them with its next report.
       send_reply(waiting.report, waiting.fencing_token, {}, waiting.answer);
     } else if (runtime_.now() < waiting.deadline) {
-      waiting_.push_back(waiting);
+      waiting_.push_back(std::move(waiting));
     } else {
-      log_lease_renewal(true);
-      waiting.answer(
-          error_response({503, "cancellations_unknown",
-                          "What was cancelled may not be known here, so that no lease is renewed.", "", 1}));
+      renewals_.on_withheld();
+      waiting.answer(refusals::cancellations_unknown());
     }
   }
-  if (withholding_renewals_ && cancellations_known_.through >= runtime_.now() - cancellation_gap())
-    log_lease_renewal(false);
+  renewals_.log_if_recovered();
 }
 
-void WorkerGateway::log_lease_renewal(bool now_so) {
-  if (std::exchange(withholding_renewals_, now_so) == now_so) return;
-  if (now_so) {
-    log::warn(
-        "leases_let_go",
-        "leases of machines with tasks are let run out: neither the state service nor {peer} told for "
-        "{seconds:.0f} s what users cancelled",
-        log::with("peer",
-                  cancellations_known_.slowest_peer.empty() ? "a peer" : cancellations_known_.slowest_peer),
-        log::with("seconds", to_seconds(cancellation_gap())));
-  } else {
-    log::info("leases_kept", "leases are renewed again: what users cancelled is known");
-  }
-}
-
-/// Whether this is the worker's newest word here; copies of messages may come long after, and out of order.
-bool WorkerGateway::is_newest(const WorkerReport& report) {
-  auto& [word, at] = positions_[report.host];
-  if (position_of(report) <= word) return false;
-  word = position_of(report);
-  at = runtime_.now();
-  return true;
-}
+// Calls to workers.
 
-void WorkerGateway::record_reply(const std::string& host, const ReportPosition& word,
-                                 const std::vector<WorkerCommand>& commands) {
-  const auto it = workers_.find(host);
-  if (it != workers_.end() && it->second.position == word)
-    it->second.delivery.on_reply(term_.fencing_token, commands);
-}
-
-/// An old word while no newer ones come: a copy that is late, or a machine that began anew under its name and
-/// counts from the start. Its answer to a call is no copy, and tells which.
-void WorkerGateway::challenge_position(const std::string& host, WorkerState& worker,
-                                       const WorkerReport& received) {
+/// A report that is older than the newest one, while no newer ones come, is a copy that arrives late, or is
+/// from a machine that began anew under the same name and counts from the start. The answer to a poll is no
+/// copy, and tells which.
+void WorkerGateway::challenge_position(WorkerState& worker, const WorkerReport& old_report) {
   const Instant now = runtime_.now();
   if (worker.cordoned || worker.address.empty() || now - worker.challenged_at < kChallengeInterval) return;
-  // Many copies must not make many calls; whose newer words stay out is asked in any case.
+  // Many copies must not make many calls; a worker whose newer reports are missing is polled in any case.
   if (now - worker.heard_at < settings_.report_interval * 5 / 4 && now < next_challenge_) return;
   next_challenge_ = now + kChallengePause;
   worker.challenged_at = now;
   worker.delivery.on_polled();
-  Request q{"POST", "/orders",
-            encode(Value::Map{
-                {"epoch", term_.fencing_token}, {"tenure", received.incarnation}, {"orders", Value::List{}}}),
-            true};
-  runtime_.call(worker.address, std::move(q), kPollTimeout,
-                [this, host, fencing_token = term_.fencing_token](const CallResult& result) {
-                  const auto it = workers_.find(host);
-                  if (!term_.leading || term_.fencing_token != fencing_token || it == workers_.end() ||
-                      !result.answered)
-                    return;
-                  const auto value = decode(result.response.body);
-                  auto report = value ? read_report(*value) : std::nullopt;
-                  if (!report || report->host != host || report->fencing_token != fencing_token) return;
-                  if (position_of(*report) <= it->second.position) {
-                    cordon(host, it->second, "it began anew");
-                  } else {
-                    accept_report(std::make_shared<const WorkerReport>(std::move(*report)), false,
-                                  [](const std::vector<WorkerCommand>&) {});
-                  }
+  const std::uint64_t fencing_token = term_.fencing_token;
+  runtime_.call(worker.address, poll_request({fencing_token, old_report.incarnation}), kChallengeTimeout,
+                [this, host = old_report.host, fencing_token](const CallResult& result) {
+                  on_challenge_result(host, fencing_token, result);
                 });
 }
 
-/// Nothing is ordered there any more, and the machine goes back: whatever it says or does not say of its
-/// tasks, only that proves them gone.
-void WorkerGateway::cordon(const std::string& host, WorkerState& worker, const char* why) {
-  if (std::exchange(worker.cordoned, true)) return;
-  log::info("machine_useless", "machine {machine} is of no use: {reason}", log::with("machine", host),
-            log::with("reason", why));
-  machine_unreachable(MachineCordoned{host, why});
+void WorkerGateway::on_challenge_result(const std::string& host, std::uint64_t fencing_token,
+                                        const CallResult& result) {
+  const auto it = workers_.find(host);
+  if (!leads_term(fencing_token) || it == workers_.end() || !result.answered) return;
+  auto report = read_report_body(result.response);
+  if (!report || report->host != host || report->fencing_token != fencing_token) return;
+  if (position_of(*report) <= it->second.position) {
+    cordon(host, it->second, "its report sequence went back");
+  } else {
+    accept_polled(std::move(*report));
+  }
 }
 
-void WorkerGateway::accept_report(const Report& shared, bool settled,
-                                  const std::function<void(std::vector<WorkerCommand>)>& reply) {
-  const WorkerReport& report = *shared;
-  if (departed_.contains(report.host)) {
-    reply({});
-    return;
-  }
-  unheard_inherited_.erase(report.host);
-  WorkerState& worker = workers_[report.host];
-  const ReportPosition word = position_of(report);
-  if (word <= worker.position) {
-    challenge_position(report.host, worker, report);
-    reply({});  // older than what is known
-    return;
-  }
-  if (worker.silent)
-    log::info("machine_heard", "machine {machine} is heard again", log::with("machine", report.host));
-  if (topology_ && (worker.address != report.address || worker.machine_type != report.machine_type ||
-                    worker.zone != report.zone))
-    worker.place = topology_->find(report.host, report.address, report.machine_type, report.zone);
-  const Instant now = runtime_.now();
-  // An answer to /orders shows what it executed there; what it had been answered before may still come.
-  if (settled)
-    worker.delivery.on_report(report,
-                              now - worker.heard_at < std::max(settings_.report_interval * 2, kAnswerLost));
-  worker.address = report.address;
-  worker.machine_type = report.machine_type;
-  worker.zone = report.zone;
-  worker.position = word;
-  worker.heard_at = now;
-  worker.silent = false;
-  worker.reclaimed_by.reset();
-  if (report.eviction_notice) worker.reclaimed_by = now + *report.eviction_notice;
-  const bool current = report.fencing_token == term_.fencing_token;
-  worker_reported(WorkerReported{shared, current, settled, reply});
+/// Nothing more is placed there, and the machine is returned: whatever it says or doesn't say of its tasks,
+/// only that proves them gone.
+void WorkerGateway::cordon(const std::string& host, WorkerState& worker, const char* reason) {
+  if (std::exchange(worker.cordoned, true)) return;
+  log::info("machine_unreachable", "machine {machine} is to be returned: {reason}",
+            log::with("machine", host), log::with("reason", reason));
+  machine_unreachable(MachineCordoned{host, reason});
 }
 
-void WorkerGateway::on_direct_commands(const DirectCommands& event) {
+void WorkerGateway::on_direct_commands(const events::DirectCommands& event) {
   const auto it = workers_.find(event.host);
   if (!term_.leading || it == workers_.end()) return;
-  std::vector<WorkerCommand> commands = event.commands;
-  std::erase_if(commands,
-                [](const WorkerCommand& command) { return command.verb == WorkerCommand::Verb::start; });
-  const std::string body = encode(Value::Map{{"epoch", term_.fencing_token},
-                                             {"tenure", it->second.position.incarnation},
-                                             {"orders", write_commands(commands)}});
-  it->second.delivery.on_polled();
-  runtime_.call(it->second.address, {"POST", "/orders", body}, from_seconds(2),
-                [this, fencing_token = term_.fencing_token](const CallResult& result) {
-                  if (!term_.leading || term_.fencing_token != fencing_token || !result.answered ||
-                      result.response.status != 200)
-                    return;
-                  const auto value = decode(result.response.body);
-                  if (auto report = value ? read_report(*value) : std::nullopt;
-                      report && report->fencing_token == fencing_token) {
-                    accept_report(std::make_shared<const WorkerReport>(std::move(*report)), false,
-                                  [](const std::vector<WorkerCommand>&) {});
-                  }
+  WorkerState& worker = it->second;
+  Commands commands = event.commands;
+  erase_starts(commands);
+  worker.delivery.on_polled();
+  const std::uint64_t fencing_token = term_.fencing_token;
+  runtime_.call(worker.address, commands_request({fencing_token, worker.position.incarnation}, commands),
+                kDirectCommandsTimeout, [this, fencing_token](const CallResult& result) {
+                  if (!leads_term(fencing_token) || !result.answered || result.response.status != 200) return;
+                  if (auto report = read_report_body(result.response);
+                      report && report->fencing_token == fencing_token)
+                    accept_polled(std::move(*report));
                 });
 }
 
-void WorkerGateway::on_hints_inherited(const std::shared_ptr<const InheritedHints>& all) {
-  if (!term_.leading || term_.fencing_token != all->term) return;
-  // First those that have room for what waits; last those that were silent before.
-  for (const int turn : {0, 1, 2}) {
-    for (const auto& [host, m] : all->machines) {
-      const int its = m.silent ? 2 : m.has_room ? 0 : 1;
-      if (its != turn || m.address.empty()) continue;
-      polls_.push_back({host, m.address, m.incarnation, 0});
-      unheard_inherited_.insert(host);
-    }
-  }
-  polls_planned_ = unheard_inherited_.size();
-  poll_next();
+void WorkerGateway::on_hints_inherited(const std::shared_ptr<const events::InheritedHints>& hints) {
+  if (leads_term(hints->term)) poller_.poll_inherited(*hints);
 }
 
-void WorkerGateway::on_machine_listed(const MachineListed& event) {
-  if (!term_.leading || term_.fencing_token < 2 || event.address.empty() || workers_.contains(event.host) ||
-      unheard_inherited_.contains(event.host))
+void WorkerGateway::on_machine_listed(const events::MachineListed& event) {
+  if (!term_.leading || term_.fencing_token < kFirstInheritingToken || event.address.empty() ||
+      workers_.contains(event.host) || poller_.is_unheard(event.host))
     return;
-  // Its tenure is not known: an answer that it is another tells which.
-  polls_.push_back({event.host, event.address, 1, 0});
-  poll_next();
+  poller_.poll_listed(event.host, event.address);
 }
 
-/// One that answered no call and sent no report is as silent as one that this leader had heard before: its
-/// silence counts from the last leader's end, whom it could not reach either.
-void WorkerGateway::give_up_polls() {
-  if (unheard_inherited_.empty()) return;
-  const Instant now = runtime_.now();
-  const Micros before =
-      last_leader_heartbeat_ == Instant{} ? Micros{0} : leading_since_ - last_leader_heartbeat_;
-  if (now - leading_since_ < std::max(kPollWindow, silence_limit() - before)) return;
-  // Where many are missing the fault is more likely here; what has claims goes back later all the same.
-  if (unheard_inherited_.size() * 4 <= polls_planned_) {
-    for (const std::string& host : unheard_inherited_) {
-      log::info("machine_silent", "machine {machine} is silent for {seconds:.1f} s",
-                log::with("machine", host), log::with("seconds", to_seconds(now - leading_since_ + before)));
-      worker_silent(WorkerSilent{host});
-    }
-  }
-  unheard_inherited_.clear();
+void WorkerGateway::on_machine_departed(const events::MachineDeparted& event) {
+  workers_.erase(event.host);
+  poller_.settle(event.host);
+  departed_.add(event.host);
 }
 
-void WorkerGateway::poll_next() {
-  while (polls_in_flight_ < std::max(kMaxConcurrentPolls, polls_planned_ / kCallsPart) && !polls_.empty()) {
-    const Poll poll = std::move(polls_.front());
-    polls_.pop_front();
-    // It has come by itself, or is no more.
-    if (workers_.contains(poll.host) || departed_.contains(poll.host)) continue;
-    ++polls_in_flight_;
-    Request request{
-        "POST", "/orders",
-        encode(Value::Map{
-            {"epoch", term_.fencing_token}, {"tenure", poll.incarnation}, {"orders", Value::List{}}}),
-        true};
-    runtime_.call(poll.address, std::move(request), kPollTimeout,
-                  [this, poll, fencing_token = term_.fencing_token](const CallResult& result) {
-                    on_polled(poll, fencing_token, result);
-                  });
-  }
+void WorkerGateway::on_topology_activated(const events::TopologyActivated& event) {
+  if (topology_ == event.topology) return;
+  topology_ = event.topology;
+  domain_failures_.set_topology(topology_);
+  for (auto& [host, worker] : workers_)
+    worker.location = topology_ ? topology_->find(host, worker.address, worker.machine_type, worker.zone)
+                                : topology::MachineLocation{};
 }
 
-void WorkerGateway::on_polled(const Poll& poll, std::uint64_t fencing_token, const CallResult& result) {
-  if (!term_.leading || term_.fencing_token != fencing_token) return;
-  --polls_in_flight_;
-  const auto value = result.answered && (result.response.status == 200 || result.response.status == 409)
-                         ? decode(result.response.body)
-                         : std::nullopt;
-  auto report = value ? read_report(*value) : std::nullopt;
-  if (report && report->host == poll.host && report->fencing_token > fencing_token) {
-    leadership_lost(LeadershipLost{report->fencing_token});
-  } else if (report && report->host == poll.host && report->fencing_token == fencing_token) {
-    accept_report(std::make_shared<const WorkerReport>(std::move(*report)), false,
-                  [](const std::vector<WorkerCommand>&) {});
-  } else if (poll.tries + 1 < kPollTries) {
-    // The answer was lost, or it has begun another tenure since it was told of.
-    polls_.push_back(
-        {poll.host, poll.address, report ? report->incarnation : poll.incarnation, poll.tries + 1});
+// Periodic checks.
+
+void WorkerGateway::tick() {
+  const Instant now = runtime_.now();
+  compensate_stall(now);
+  reply_waiting();
+  const Micros limit = silence_limit();
+  const bool receives_reports = health_.receives_reports(now, limit);
+  health_.on_audience(now, audience(now));
+  const bool too_few_heard = health_.too_few_heard(now, settings_.worker_lease);
+  const bool receives_nothing =
+      term_.leading && now - leading_since_ > limit && (!receives_reports || too_few_heard);
+  check_delivery(limit);
+  reachability(WorkerReachability{.receives_nothing = receives_nothing,
+                                  .replies_lost = replies_lost_,
+                                  .receives_reports = receives_reports,
+                                  .had_workers = !workers_.empty(),
+                                  .starved = health_.starved()});
+  report_order_.forget_old(now);
+  // Otherwise silence is no fault of the machines'.
+  if (term_.leading && !receives_nothing && !too_few_heard) {
+    check_domains();
+    poller_.give_up(limit);
+    check_silence(now, limit);
   }
-  poll_next();
+  runtime_.after(kTickInterval, [this] { tick(); });
 }
 
-void WorkerGateway::on_topology_activated(const TopologyActivated& event) {
-  if (topology_ == event.topology) return;
-  topology_ = event.topology;
-  domain_failures_.set_topology(topology_);
-  for (auto& [name, h] : workers_)
-    h.place =
-        topology_ ? topology_->find(name, h.address, h.machine_type, h.zone) : topology::MachineLocation{};
+/// While this node itself stood still, reports waited unread, and no machine is to blame.
+void WorkerGateway::compensate_stall(Instant now) {
+  const auto lost = health_.on_tick(now, kTickInterval);
+  if (!lost) return;
+  for (auto& [host, worker] : workers_) worker.heard_at += *lost;
+  log::debug("controller_stalled", "this controller stood still for {seconds:.1f} s",
+             log::with("seconds", to_seconds(*lost)));
 }
 
-void WorkerGateway::check_domains(Micros late) {
-  if (!topology_) return;
-  std::vector<domain_failure_detector::DomainMember> members;
-  members.reserve(workers_.size());
-  for (const auto& [name, h] : workers_) members.push_back({&name, &h.place, h.heard_at});
-  domain_failures_.evaluate(runtime_.now(), late, members);
-  if (domain_failures_.suspected() == suspected_) return;
-  suspected_ = domain_failures_.suspected();
-  machines_suspected(MachinesSuspected{suspected_});
+/// Without a report for so long, a worker is silent.
+Micros WorkerGateway::silence_limit() const {
+  const Micros reports{static_cast<std::int64_t>(static_cast<double>(settings_.report_interval.count()) *
+                                                 settings_.tunables.silent_reports)};
+  return std::max(kMinSilence, std::min(reports, settings_.worker_lease));
 }
 
-void WorkerGateway::on_machine_departed(const MachineDeparted& event) {
-  workers_.erase(event.host);
-  unheard_inherited_.erase(event.host);
-  if (!departed_.insert(event.host).second) return;
-  departed_order_.push_back(event.host);
-  if (departed_order_.size() > kMaxDeparted) {
-    departed_.erase(departed_order_.front());
-    departed_order_.pop_front();
+/// Without a report for so long, one report is missing.
+Micros WorkerGateway::report_lateness() const {
+  return settings_.report_interval * 3 / 2 + kReportDelay;
+}
+
+ListenerHealth::Audience WorkerGateway::audience(Instant now) const {
+  const Micros lateness = report_lateness();
+  ListenerHealth::Audience counts;
+  for (const auto& [host, worker] : workers_) {
+    if (worker.silent) continue;
+    ++counts.expected;
+    if (now - worker.heard_at <= lateness) ++counts.heard;
   }
+  return counts;
 }
 
-/// Machines that show nothing of their answers. Where that is so of most, the answers of this node reach
+/// Cordons machines that show nothing of their answers. Where that is so of most, this node's answers reach
 /// nobody, and no machine is to blame.
 void WorkerGateway::check_delivery(Micros limit) {
   replies_lost_ = false;
   if (!term_.leading) return;
   std::size_t heard = 0;
-  std::vector<std::pair<const std::string*, WorkerState*>> deaf;
   std::size_t suspects = 0;
-  for (auto& [name, h] : workers_) {
-    if (h.silent || h.cordoned || runtime_.now() - h.heard_at > limit) continue;
+  std::vector<std::string> unreachable;
+  for (const auto& [host, worker] : workers_) {
+    if (worker.silent || worker.cordoned || runtime_.now() - worker.heard_at > limit) continue;
     ++heard;
-    if (h.delivery.unobserved_replies() >= kMaxUnobserved - 1) ++suspects;
-    if (h.delivery.unobserved_replies() >= kMaxUnobserved) deaf.emplace_back(&name, &h);
+    if (worker.delivery.unobserved_replies() >= kMaxUnobserved - 1) ++suspects;
+    if (worker.delivery.unobserved_replies() >= kMaxUnobserved) unreachable.push_back(host);
   }
   replies_lost_ = suspects >= 2 && suspects * 2 >= heard;
   if (replies_lost_) return;
-  for (const auto& [name, h] : deaf) cordon(*name, *h, "it hears nothing");
+  for (const std::string& host : unreachable) cordon(host, workers_.at(host), "it receives no replies");
 }
 
-void WorkerGateway::tick() {
-  const Instant now = runtime_.now();
-  if (last_tick_ != Instant{}) {
-    const double passed = to_seconds(now - last_tick_);
-    const double still = std::max(0.0, passed - to_seconds(kTickInterval) * 1.25) / passed;
-    const double weight = std::min(1.0, passed / to_seconds(kStarvedMemory));
-    stall_share_ += (still - stall_share_) * weight;
-  }
-  if (now - last_tick_ > kTickInterval * 3 && last_tick_ != Instant{}) {
-    // This controller itself stood still or was starved: reports wait unread, and no machine is to blame.
-    const Micros lost = now - last_tick_ - kTickInterval;
-    for (auto& [name, h] : workers_) h.heard_at += lost;
-    last_report_ += lost;
-    log::debug("lost_time", "this controller lost {seconds:.1f} s", log::with("seconds", to_seconds(lost)));
-  }
-  last_tick_ = now;
-  reply_waiting();
-  const Micros limit = silence_limit();
-  const bool hears = majority_ever_heard_ && now - last_report_ < limit;
-  // Machines do not end most at a time: where few of those that should have reported did, the fault is more
-  // likely here. A leader cut off from its workers alone would otherwise return them all before it knows. Not
-  // for ever, though: they may have ended after all.
-  const Micros late = settings_.report_interval * 3 / 2 + kReportDelay;
-  std::size_t awaited = 0;
-  std::size_t heard = 0;
-  for (const auto& [name, h] : workers_) {
-    if (h.silent) continue;
-    ++awaited;
-    if (now - h.heard_at <= late) ++heard;
-  }
-  if (awaited < kMinHostsForLoss || heard * 4 >= awaited) majority_heard_at_ = now;
-  const bool few = now > majority_heard_at_ && now - majority_heard_at_ < settings_.worker_lease;
-  const bool deaf = term_.leading && now - leading_since_ > limit && (!hears || few);
-  check_delivery(limit);
-  reachability(
-      WorkerReachability{deaf, replies_lost_, hears, !workers_.empty(), stall_share_ > kStarvedShare});
-  if (now >= next_cleanup_) {
-    next_cleanup_ = now + kReportPositionMemory;
-    std::erase_if(positions_, [&](const auto& w) { return now - w.second.second > kReportPositionMemory; });
-  }
-  if (term_.leading && !deaf && !few) {
-    check_domains(late);
-    give_up_polls();
-    for (auto& [name, h] : workers_) {
-      // One that was to be taken about now needs no long silence to be believed gone. A notice may last half
-      // as long as it says, so what counts is the silence as well.
-      const bool taken =
-          h.reclaimed_by && now >= *h.reclaimed_by && now - h.heard_at > settings_.report_interval * 3 / 2;
-      if (h.silent || (now - h.heard_at <= limit && !taken)) continue;
-      h.silent = true;
-      // Of a domain that is lost as a whole one line tells.
-      log::say(domain_failures_.is_lost(h.place) ? spdlog::level::debug : spdlog::level::info,
-               "machine_silent", "machine {machine} is silent for {seconds:.1f} s",
-               log::with("machine", name), log::with("seconds", to_seconds(now - h.heard_at)));
-      worker_silent(WorkerSilent{name});
-    }
+void WorkerGateway::check_domains() {
+  if (!topology_) return;
+  std::vector<domain_failure_detector::DomainMember> members;
+  members.reserve(workers_.size());
+  for (const auto& [host, worker] : workers_) members.push_back({&host, &worker.location, worker.heard_at});
+  domain_failures_.evaluate(runtime_.now(), report_lateness(), members);
+  if (domain_failures_.suspected() == suspected_) return;
+  suspected_ = domain_failures_.suspected();
+  machines_suspected(MachinesSuspected{suspected_});
+}
+
+void WorkerGateway::check_silence(Instant now, Micros limit) {
+  for (auto& [host, worker] : workers_) {
+    if (worker.silent) continue;
+    const Micros silence = now - worker.heard_at;
+    // A machine that the cloud was to take about now needs no long silence to be believed gone. A notice may
+    // turn out half as long as it says, so some silence is needed as well.
+    const bool reclaimed =
+        worker.reclaimed_by && now >= *worker.reclaimed_by && silence > settings_.report_interval * 3 / 2;
+    if (silence <= limit && !reclaimed) continue;
+    worker.silent = true;
+    report_silent(host, silence, domain_failures_.is_lost(worker.location));
   }
-  runtime_.after(kTickInterval, [this] { tick(); });
+}
+
+/// `domain_lost`: one log line tells of the whole domain already.
+void WorkerGateway::report_silent(const std::string& host, Micros silence, bool domain_lost) {
+  log::say(domain_lost ? spdlog::level::debug : spdlog::level::info, "machine_silent",
+           "machine {machine} is silent for {seconds:.1f} s", log::with("machine", host),
+           log::with("seconds", to_seconds(silence)));
+  worker_silent(WorkerSilent{host});
 }
 
 }  // namespace wrenusher::worker_gateway
