--- a/src/domain_failure_detector/domain_failure_detector.cpp
+++ b/src/domain_failure_detector/domain_failure_detector.cpp
@@ -1,21 +1,28 @@
 #include "wrenusher/domain_failure_detector/domain_failure_detector.hpp"
 
 #include <algorithm>
+#include <cstddef>
+#include <utility>
 
 #include "wrenusher/log/log.hpp"
 
 namespace wrenusher::domain_failure_detector {
 
+using time::from_seconds;
+using time::to_seconds;
+
 namespace {
 
-/// With fewer machines than this nothing is told of their domain.
+/// Nothing is concluded about a domain with fewer machines than this.
 constexpr std::uint32_t kMinMachines = 3;
-/// A loss is told after this long: what is lost with a switch is recognised rack by rack.
+/// A loss is logged after this long: what is lost with a switch is recognised rack by rack.
 constexpr Micros kSettleTime = from_seconds(3);
-/// One machine of a domain that came back is trusted at once, and twice as many after each such step.
+/// One machine of a domain that is heard again is trusted at once, and twice as many after each such step.
 constexpr Micros kTrustStep = from_seconds(5);
+/// More doublings than any domain has machines for.
+constexpr std::int64_t kMaxTrustSteps = 20;
 constexpr int kMaxRelapses = 11;
-/// A domain without machines is forgotten after this long, and a relapse is one within it.
+/// A domain without machines is forgotten after this long; a loss within it is a relapse.
 constexpr Micros kDomainMemory = from_seconds(600);
 
 }  // namespace
@@ -30,67 +37,82 @@
   suspected_.clear();
 }
 
-bool DomainFailureDetector::is_lost(const topology::MachineLocation& place) const {
-  return std::any_of(place.by_level.begin(), place.by_level.end(), [&](DomainId id) {
+bool DomainFailureDetector::Tally::all_late() const {
+  return machines >= kMinMachines && late == machines;
+}
+
+bool DomainFailureDetector::is_lost(const topology::MachineLocation& location) const {
+  return std::any_of(location.by_level.begin(), location.by_level.end(), [&](DomainId id) {
     const auto it = domains_.find(id);
     return it != domains_.end() && it->second.lost;
   });
 }
 
-void DomainFailureDetector::evaluate(Instant now, Micros late, const std::vector<DomainMember>& members) {
+void DomainFailureDetector::evaluate(Instant now, Micros lateness, const std::vector<DomainMember>& members) {
   if (!topology_) return;
+  const bool any_heard = std::any_of(members.begin(), members.end(), [&](const DomainMember& member) {
+    return now - member.heard_at <= lateness;
+  });
+  // Where nobody at all is heard, the fault may well be this node's.
+  if (any_heard) update_domains(now, count(now, lateness, members));
+  log_losses(now);
+  update_suspected(now, lateness, members);
+}
+
+std::vector<DomainFailureDetector::Tally> DomainFailureDetector::count(
+    Instant now, Micros lateness, const std::vector<DomainMember>& members) const {
   std::vector<Tally> tallies(topology_->domains().size());
-  bool some = false;
   for (const DomainMember& member : members) {
-    const bool is_late = now - member.heard_at > late;
-    some = some || !is_late;
-    for (const DomainId id : member.place->by_level) {
+    const bool is_late = now - member.heard_at > lateness;
+    for (const DomainId id : member.location->by_level) {
       if (id == topology::kNowhere) continue;
-      Tally& tally = tallies[id];
-      ++tally.all;
-      tally.late += is_late ? 1 : 0;
-      tally.last_heard = std::max(tally.last_heard, member.heard_at);
+      ++tallies[id].machines;
+      tallies[id].late += is_late ? 1 : 0;
     }
   }
-  // Where nobody at all is heard, the fault may well be here.
-  if (some) judge(now, tallies);
-  log_losses(now);
-  update_suspected(now, late, members);
+  return tallies;
 }
 
-void DomainFailureDetector::judge(Instant now, const std::vector<Tally>& tallies) {
+void DomainFailureDetector::update_domains(Instant now, const std::vector<Tally>& tallies) {
   for (DomainId id = 1; id < tallies.size(); ++id) {
     const Tally& tally = tallies[id];
-    const auto it = domains_.find(id);
-    if (tally.all >= kMinMachines && tally.late == tally.all) {
-      DomainState& state = domains_[id];
-      if (!state.lost) {
-        const bool again = it != domains_.end();
-        state.relapses = again ? std::min(state.relapses + 1, kMaxRelapses) : 0;
-        state.lost = true;
-        state.logged = false;
-        state.since = now;
-      }
-      state.machines = std::max(state.machines, tally.all);
-      state.last_populated = now;
-      continue;
-    }
-    if (it == domains_.end()) continue;
-    DomainState& state = it->second;
-    if (tally.all > 0) state.last_populated = now;
-    // Its machines were returned one by one meanwhile, so silence alone does not end it.
-    if (state.lost && tally.late < tally.all) {
-      state.lost = false;
-      if (state.logged)
-        log::info("domain_heard",
-                  "{level} {domain} is heard again after {seconds:.0f} s: trusted step by step",
-                  log::with("level", topology_->level_of(id)), log::with("domain", topology_->path(id)),
-                  log::with("seconds", to_seconds(now - state.since)));
-      state.since = now;
-      state.machines = tally.all;
+    if (tally.all_late()) {
+      mark_lost(id, now, tally);
+    } else if (const auto it = domains_.find(id); it != domains_.end()) {
+      update_known(id, it->second, now, tally);
     }
   }
-  std::erase_if(domains_, [&](const auto& e) { return now - e.second.last_populated > kDomainMemory; });
+  std::erase_if(domains_,
+                [&](const auto& entry) { return now - entry.second.last_populated > kDomainMemory; });
+}
+
+void DomainFailureDetector::mark_lost(DomainId id, Instant now, const Tally& tally) {
+  const auto [it, first_time] = domains_.try_emplace(id);
+  DomainState& state = it->second;
+  if (!state.lost) {
+    state.relapses = first_time ? 0 : std::min(state.relapses + 1, kMaxRelapses);
+    state.lost = true;
+    state.logged = false;
+    state.since = now;
+  }
+  state.machines = std::max(state.machines, tally.machines);
+  state.last_populated = now;
+}
+
+/// A domain that was lost and of which not all machines are late now.
+void DomainFailureDetector::update_known(DomainId id, DomainState& state, Instant now,
+                                         const Tally& tally) const {
+  if (tally.machines > 0) state.last_populated = now;
+  // It is heard again only if some machine is: its machines may have been returned one by one meanwhile.
+  if (!state.lost || tally.late == tally.machines) return;
+  state.lost = false;
+  if (state.logged)
+    log::info("domain_heard",
+              "{level} {domain} is heard again after {seconds:.0f} s, its machines are trusted step by step",
+              log::with("level", topology_->level_of(id)), log::with("domain", topology_->path(id)),
+              log::with("seconds", to_seconds(now - state.since)));
+  state.since = now;
+  state.machines = tally.machines;
 }
 
 bool DomainFailureDetector::ancestor_lost(DomainId id) const {
@@ -102,44 +124,46 @@
   return false;
 }
 
-/// One line for one event: of what is lost together, the widest domain.
+/// One line for one event: of the domains that are lost together, the widest.
 void DomainFailureDetector::log_losses(Instant now) {
-  for (auto& [id, s] : domains_) {
-    if (!s.lost || s.logged || now - s.since < kSettleTime) continue;
-    s.logged = true;
+  for (auto& [id, state] : domains_) {
+    if (!state.lost || state.logged || now - state.since < kSettleTime) continue;
+    state.logged = true;
     if (ancestor_lost(id)) continue;
     log::warn("domain_lost",
-              "{level} {domain} is lost: none of its {machines} machines is heard, nothing is placed there",
+              "{level} {domain} is lost: all of its {machines} machines are silent, no task is placed there",
               log::with("level", topology_->level_of(id)), log::with("domain", topology_->path(id)),
-              log::with("machines", s.machines));
+              log::with("machines", state.machines));
   }
 }
 
-void DomainFailureDetector::update_suspected(Instant now, Micros late,
+void DomainFailureDetector::update_suspected(Instant now, Micros lateness,
                                              const std::vector<DomainMember>& members) {
   suspected_.clear();
   if (domains_.empty()) return;
-  std::map<DomainId, std::vector<const DomainMember*>> back;
+  std::map<DomainId, std::vector<const DomainMember*>> heard_again;
   for (const DomainMember& member : members) {
-    if (is_lost(*member.place)) {
+    if (is_lost(*member.location)) {
       suspected_.insert(*member.host);
       continue;
     }
-    for (const DomainId id : member.place->by_level) {
-      if (domains_.contains(id) && now - member.heard_at <= late) back[id].push_back(&member);
+    for (const DomainId id : member.location->by_level) {
+      if (domains_.contains(id) && now - member.heard_at <= lateness) heard_again[id].push_back(&member);
     }
   }
-  for (auto& [id, heard] : back) {
-    DomainState& state = domains_.at(id);
-    const Micros step = kTrustStep * (1 + state.relapses);
-    const auto steps = std::min<std::int64_t>((now - state.since) / step, 20);
-    const std::size_t trusted = std::size_t{1} << static_cast<std::size_t>(steps);
-    if (trusted >= heard.size()) continue;
-    // The same ones from look to look.
-    std::sort(heard.begin(), heard.end(),
-              [](const DomainMember* a, const DomainMember* b) { return *a->host < *b->host; });
-    for (std::size_t i = trusted; i < heard.size(); ++i) suspected_.insert(*heard[i]->host);
-  }
+  for (auto& [id, heard] : heard_again) suspect_untrusted(domains_.at(id), now, heard);
+}
+
+/// Suspects all but the first machines by name, so that the same ones stay trusted.
+void DomainFailureDetector::suspect_untrusted(const DomainState& state, Instant now,
+                                              std::vector<const DomainMember*>& heard) {
+  const Micros step = kTrustStep * (1 + state.relapses);
+  const auto steps = std::min<std::int64_t>((now - state.since) / step, kMaxTrustSteps);
+  const std::size_t trusted = std::size_t{1} << static_cast<std::size_t>(steps);
+  if (trusted >= heard.size()) return;
+  std::sort(heard.begin(), heard.end(),
+            [](const DomainMember* a, const DomainMember* b) { return *a->host < *b->host; });
+  for (std::size_t i = trusted; i < heard.size(); ++i) suspected_.insert(*heard[i]->host);
 }
 
 }  // namespace wrenusher::domain_failure_detector
--- a/src/domain_failure_detector/include/wrenusher/domain_failure_detector/domain_failure_detector.hpp
+++ b/src/domain_failure_detector/include/wrenusher/domain_failure_detector/domain_failure_detector.hpp
@@ -1,8 +1,9 @@
 #pragma once
-// Package domain_failure_detector: recognises that a whole failure domain fell silent, as one event, and how
-// far it is to be trusted once it is heard again. It owns that judgement by domain and nothing else: who is
-// heard is told to it, and what follows from it is for others. It may depend on base and topology.
+// Package domain_failure_detector: recognises that a whole failure domain (rack, switch, zone ...) fell
+// silent, as one event, and how far its machines are to be trusted once they are heard again. Who is heard is
+// passed in, and what follows from a loss is decided elsewhere. It may depend on time, topology and log.
 
+#include <cstdint>
 #include <map>
 #include <memory>
 #include <set>
@@ -14,56 +15,65 @@
 
 namespace wrenusher::domain_failure_detector {
 
-using namespace time;
-using namespace value;
-using namespace runtime;
+using time::Instant;
+using time::Micros;
 using topology::DomainId;
 
-/// A machine that reports here, or should.
+/// A machine that reports to this leader, or should. Refers to what the caller owns, for the time of a call.
 struct DomainMember {
   const std::string* host = nullptr;
-  const topology::MachineLocation* place = nullptr;
+  const topology::MachineLocation* location = nullptr;
   Instant heard_at{};
 };
 
+/// A domain of at least three machines is lost when all its machines are late at the same time. Once some of
+/// them are heard again, they are trusted step by step: one at once, and twice as many after each step of 5
+/// s; of a domain that was lost before within ten minutes, the steps take longer with every relapse.
+///
+/// Owns the state of each domain that is or was lost of late. Single-threaded.
 class DomainFailureDetector {
  public:
-  /// Other domains: all judgements are void. Null: there are none.
+  /// Another topology: everything known is void. Null: there are no domains.
   void set_topology(std::shared_ptr<const topology::Topology> topology);
-  /// A new term: nobody is known.
+  /// A new term: nothing is known.
   void clear();
 
-  /// Judges by who was heard when; a machine is late when it was not heard for `late`. To be called often and
-  /// only while silence is the machines' own fault and not the listener's.
-  void evaluate(Instant now, Micros late, const std::vector<DomainMember>& members);
-  /// Machines that should get nothing new: of lost domains, and those not yet trusted of domains that came
-  /// back.
-  const std::set<std::string>& suspected() const { return suspected_; }
-  /// The machine's domain, or one that it is inside of, is lost.
-  bool is_lost(const topology::MachineLocation& place) const;
+  /// Judges by who was heard when; a machine is late when it was not heard for `lateness`. To be called
+  /// several times a second, and only while silence is the machines' own fault and not the listener's.
+  void evaluate(Instant now, Micros lateness, const std::vector<DomainMember>& members);
+  /// Machines that should get no new tasks: of lost domains, and those not yet trusted of domains that are
+  /// heard again.
+  [[nodiscard]] const std::set<std::string>& suspected() const { return suspected_; }
+  /// Whether a domain that contains this location is lost.
+  [[nodiscard]] bool is_lost(const topology::MachineLocation& location) const;
 
  private:
   struct DomainState {
     bool lost = false;
-    bool logged = false;       ///< its loss is in the log
-    Instant since{};           ///< lost, or heard again
-    Instant last_populated{};  ///< when there last was a machine of it
-    std::uint32_t machines = 0;
-    int relapses = 0;
+    bool logged = false;         ///< its loss is in the log
+    Instant since{};             ///< when it was lost, or heard again
+    Instant last_populated{};    ///< when a machine of it was last known
+    std::uint32_t machines = 0;  ///< while lost: how many it has had at most; otherwise how many it had then
+    int relapses = 0;            ///< how often it was lost again before it was forgotten
   };
+  /// The machines of one domain at one evaluation.
   struct Tally {
-    std::uint32_t all = 0;
+    std::uint32_t machines = 0;
     std::uint32_t late = 0;
-    Instant last_heard{};
+    bool all_late() const;
   };
-  void judge(Instant now, const std::vector<Tally>& tallies);
+  std::vector<Tally> count(Instant now, Micros lateness, const std::vector<DomainMember>& members) const;
+  void update_domains(Instant now, const std::vector<Tally>& tallies);
+  void mark_lost(DomainId id, Instant now, const Tally& tally);
+  void update_known(DomainId id, DomainState& state, Instant now, const Tally& tally) const;
   void log_losses(Instant now);
-  void update_suspected(Instant now, Micros late, const std::vector<DomainMember>& members);
+  void update_suspected(Instant now, Micros lateness, const std::vector<DomainMember>& members);
+  void suspect_untrusted(const DomainState& state, Instant now, std::vector<const DomainMember*>& heard);
   bool ancestor_lost(DomainId id) const;
 
   std::shared_ptr<const topology::Topology> topology_;
-  std::map<DomainId, DomainState> domains_;  ///< of those that are lost or were so of late
-  std::set<std::string> suspected_;
+  std::map<DomainId, DomainState> domains_;  ///< those that are lost or were so of late
+  std::set<std::string> suspected_;          ///< hosts
 };
 
 }  // namespace wrenusher::domain_failure_detector
