--- a/src/events/include/wrenusher/events/failover.hpp
+++ b/src/events/include/wrenusher/events/failover.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Events of a failover: the records that a new leader starts from, and how long each part took.
+// Events of a failover: the records that a new leader starts from, and how long each phase took.
 
 #include <cstdint>
 #include <memory>
@@ -9,29 +9,29 @@
 
 namespace wrenusher::events {
 
-/// The records as this node's copy had them, checked against the state service after the term was won. Null:
-/// they are to be read.
+/// This node's replica of the records, verified against the key-value store after the term was won. From the
+/// standby replica.
 struct ReplicaVerified {
-  std::uint64_t term = 0;
-  std::shared_ptr<const records::RecordSnapshot> snapshot;
+  std::uint64_t term = 0;                                   ///< the fencing token of the term
+  std::shared_ptr<const records::RecordSnapshot> snapshot;  ///< null: all records are to be read
 };
 
-/// The parts of a takeover, each since the term was won; negative: has not come.
+/// How long the phases of a failover took, each from when the term was won unless said otherwise. Negative:
+/// it has not happened.
 struct FailoverTimes {
-  std::uint64_t term = 0;
-  bool from_replica = false;       ///< records by copy
-  time::Micros silence{-1};        ///< from the last leader's last word to the term
-  time::Micros vacancy{-1};        ///< from the end of its hold as it was seen here to the term
-  time::Micros records_read{-1};   ///< the records were there
-  time::Micros first_machine{-1};  ///< the first worker was heard that has taken the term's epoch
-  time::Micros first_start{-1};    ///< a report showed the first task that this term had claimed
-  time::Micros last_machine{
-      -1};  ///< nine in ten, and the last, of those that were known before and are heard
-  time::Micros most_machines{-1};
-  time::Micros all_located{-1};  ///< of every claim that the last term left it is known where it stands
-  time::Micros reported_after{};
-  std::uint32_t machines = 0;  ///< heard
-  std::uint32_t missing = 0;   ///< known before and not heard
+  std::uint64_t term = 0;          ///< its fencing token
+  bool from_replica = false;       ///< the records came from this node's replica
+  time::Micros silence{-1};        ///< from the previous leader's last heartbeat to the term
+  time::Micros vacancy{-1};        ///< from the previous lease's expiry, as noticed here, to the term
+  time::Micros records_read{-1};   ///< to when the records were complete
+  time::Micros first_machine{-1};  ///< to the first report with the term's fencing token
+  time::Micros first_start{-1};    ///< to the first report of a task that this term assigned
+  time::Micros last_machine{-1};   ///< to the last report from a machine that was known before
+  time::Micros most_machines{-1};  ///< to the report that made it nine in ten of those
+  time::Micros all_located{-1};    ///< to when every assignment of the previous term was accounted for
+  time::Micros reported_after{};   ///< to this event
+  std::uint32_t machines = 0;      ///< known before and heard in this term
+  std::uint32_t missing = 0;       ///< known before and not heard
 };
 
 }  // namespace wrenusher::events
--- a/src/events/include/wrenusher/events/hints.hpp
+++ b/src/events/include/wrenusher/events/hints.hpp
@@ -1,6 +1,6 @@
 #pragma once
 // What a leader knows of machines, jobs and rentals that no record holds, as its successors receive it. Hints
-// may order and estimate; they never prove anything.
+// may change the order of work and improve estimates; they never prove anything.
 
 #include <cstdint>
 #include <map>
@@ -11,19 +11,22 @@
 
 namespace wrenusher::events {
 
-/// What a leader knows of a machine that no record holds. A hint: it may order and estimate, never prove.
+/// What a leader knows of one machine.
 struct MachineHint {
+  /// An image in the machine's cache.
   struct Image {
     std::string image;
     double gb = 0;
   };
+  /// An image that the machine is fetching.
   struct Fetch {
     std::string image;
     double size_gb = 0;
     double remaining_gb = 0;
   };
+  /// A task that failed on the machine.
   struct Failure {
-    std::string job_id;  ///< of the job whose task failed there
+    std::string job_id;
     time::Micros ago{};
   };
   std::string host;
@@ -31,34 +34,36 @@
   std::string machine_type;
   std::string zone;
   bool spot = false;
-  bool silent = false;
-  bool has_room = false;  ///< something on it was free
+  bool silent = false;    ///< it has not reported for long
+  bool has_room = false;  ///< some of its resources were free
   std::uint64_t incarnation = 0;
-  int speed_samples = 0;      ///< tasks that `slowness` is the median of
-  double slowness = 0;        ///< logarithm of (seen / expected) against other tasks of the same jobs
-  time::Micros age{};         ///< at the receiver
-  std::vector<Image> images;  ///< those used longest ago first
+  int speed_samples = 0;  ///< tasks that `slowness` is the median of
+  /// Logarithm of (actual / expected run time), relative to other tasks of the same jobs.
+  double slowness = 0;
+  time::Micros age{};         ///< of this hint, at the receiver
+  std::vector<Image> images;  ///< least recently used first
   std::vector<Fetch> fetches;
   std::vector<Failure> failures;
 };
 
-/// What the last jobs of a queue showed of its owners' estimates.
+/// How far the latest jobs of a job class ran longer or shorter than their users estimated.
 struct JobClassHint {
+  /// One finished job.
   struct JobSample {
     std::string job_id;
-    double sum = 0;  ///< of logarithms of (seen / expected)
-    int tasks = 0;
+    double sum = 0;  ///< over its tasks, of the logarithm of (actual / estimated run time)
+    int tasks = 0;   ///< how many those were
   };
   std::string job_class;
   std::vector<JobSample> jobs;
 };
 
-/// A job that failed on machines.
+/// A job whose tasks failed.
 struct JobHint {
   std::string job_id;
-  std::vector<std::string> hosts;
-  time::Micros retry_pause{};  ///< until it is tried again
-  int retry_count = 0;
+  std::vector<std::string> hosts;  ///< machines on which they failed
+  time::Micros retry_pause{};      ///< from now until the next retry
+  int retry_count = 0;             ///< so far
 };
 
 /// A machine that was rented and is not up yet.
@@ -67,37 +72,37 @@
   std::string machine_type;
   std::string zone;
   bool spot = false;
-  time::Micros age{};
-  time::Micros report_due{};  ///< to report within
+  time::Micros age{};         ///< since it was rented
+  time::Micros report_due{};  ///< from now, the time within which it is to report first
 };
 
-/// A rental that was asked for and not answered yet.
+/// A request to rent machines that the cloud has not answered yet.
 struct RentalRequestHint {
-  std::string name;
+  std::string name;  ///< by which the request is idempotent
   std::string machine_type;
   std::string zone;
   bool spot = false;
   std::uint32_t count = 0;
 };
 
-/// Machines of which something changed since they were last told; the queues and jobs likewise.
+/// What the leader publishes: machines, job classes and jobs of which something changed since it last did.
 struct LeaderHints {
   std::vector<MachineHint> machines;
   std::vector<JobClassHint> job_classes;
   std::vector<JobHint> jobs;
 };
 
-/// All rentals and bookings under way.
+/// All rentals and rental requests under way. Published by the provisioner.
 struct RentalHints {
   std::vector<RentalHint> rentals;
   std::vector<RentalRequestHint> requests;
 };
 
-/// What the last leader had told when this node's term began.
+/// What this node had received from the previous leader when its own term began.
 struct InheritedHints {
-  std::uint64_t term = 0;  ///< the term that begins
-  bool complete = false;   ///< all that it had, a heartbeat ago
-  std::map<std::string, MachineHint> machines;
+  std::uint64_t term = 0;                       ///< the fencing token of the term that begins
+  bool complete = false;                        ///< all that the previous leader knew about one heartbeat ago
+  std::map<std::string, MachineHint> machines;  ///< by host
   std::vector<JobClassHint> job_classes;
   std::vector<JobHint> jobs;
   RentalHints rentals;
--- a/src/events/include/wrenusher/events/topology.hpp
+++ b/src/events/include/wrenusher/events/topology.hpp
@@ -9,20 +9,21 @@
 
 namespace wrenusher::events {
 
-/// This node's file was read and is whole; null: it names none.
+/// This node's topology file was read and is valid. From the topology loader.
 struct TopologyLoaded {
-  std::shared_ptr<const topology::Topology> topology;
+  std::shared_ptr<const topology::Topology> topology;  ///< null: the settings name no file
 };
 
-/// What decisions are to be made by from now on: the leader's, or at other nodes this node's own where it is
-/// the one in force.
+/// The topology by which to decide from now on: the leader's own; on other nodes this node's own, if it is
+/// the same version. From leadership.
 struct TopologyActivated {
   std::shared_ptr<const topology::Topology> topology;  ///< null: none
-  topology::TopologyVersion version;                   ///< the one in force, which a leader may lack
-  bool agreed = true;  ///< false: another one is in force elsewhere, and nothing may be judged by this one
+  topology::TopologyVersion version;  ///< the version in force, which a leader may not have loaded
+  bool agreed = true;  ///< false: another version is in force, and nothing may be decided by this one
 };
 
-/// All machines that get nothing new because their domain is lost, or came back only just now.
+/// All machines that get no new tasks because their failure domain is lost, or is heard again only since
+/// recently. From the worker gateway, whenever the set changes.
 struct MachinesSuspected {
   std::set<std::string> hosts;
 };
