--- a/tests/docs_check.cmake
+++ b/tests/docs_check.cmake
@@ -7,6 +7,7 @@
 #
 # cmake -DROOT=<repository> -DCASE=events|links -P docs_check.cmake
 
+cmake_minimum_required(VERSION 3.22)
 set(faults "")
 
 # The text of a file without what CMake's lists would be split or joined by.
@@ -45,7 +46,9 @@
       list(APPEND events ${name})
     endforeach()
     find_names("${text}" "error_response[(][ \n]*{[0-9]+, *" codes)
-    foreach(name IN LISTS events codes)
+    set(names ${events} ${codes})
+    list(REMOVE_DUPLICATES names)
+    foreach(name IN LISTS names)
       list(APPEND written "${name}|${source}")
       set(found FALSE)
       foreach(row IN LISTS rows)
