--- a/tests/docs_check.cmake
+++ b/tests/docs_check.cmake
@@ -5,7 +5,10 @@
 #   links   every link of the pages to a file of this repository leads to one, and a name of the code that the link
 #           shows, like `Leadership::campaign`, stands in that file.
 #
-# cmake -DROOT=<repository> -DCASE=events|links -P docs_check.cmake
+#   packages  docs/architecture.md's table says of each package which others it uses, as its CMakeLists.txt does; time,
+#           value, runtime and log go without saying.
+#
+# cmake -DROOT=<repository> -DCASE=events|links|packages -P docs_check.cmake
 
 cmake_minimum_required(VERSION 3.22)
 set(faults "")
@@ -112,8 +115,33 @@
   if(count LESS 20)
     string(APPEND faults "  only ${count} links were found in the pages: is this script right?\n")
   endif()
+elseif(CASE STREQUAL "packages")
+  file(READ ${ROOT}/docs/architecture.md page)
+  file(GLOB lists RELATIVE ${ROOT}/src ${ROOT}/src/*/CMakeLists.txt)
+  foreach(list IN LISTS lists)
+    get_filename_component(package ${list} DIRECTORY)
+    if(package MATCHES "^(time|value|runtime)$")
+      continue()
+    endif()
+    file(READ ${ROOT}/src/${list} text)
+    set(uses "")
+    if(text MATCHES "USES ([a-z_ \n]+)")
+      string(REGEX MATCHALL "[a-z_]+" uses "${CMAKE_MATCH_1}")
+      list(REMOVE_ITEM uses time value runtime log)
+    endif()
+    if(NOT page MATCHES "\n[|] `${package}` [|][^\n]*[|]([^|\n]*)[|]\n")
+      string(APPEND faults "  docs/architecture.md has no row of package ${package}\n")
+      continue()
+    endif()
+    string(REGEX MATCHALL "[a-z_]+" said "${CMAKE_MATCH_1}")
+    list(SORT uses)
+    list(SORT said)
+    if(NOT "${uses}" STREQUAL "${said}")
+      string(APPEND faults "  docs/architecture.md: ${package} uses ${said} by the page, ${uses} by src/${list}\n")
+    endif()
+  endforeach()
 else()
-  set(faults "CASE must be events or links\n")
+  set(faults "CASE must be events, links or packages\n")
 endif()
 
 if(NOT faults STREQUAL "")
