--- a/tests/docs_check.cmake
+++ b/tests/docs_check.cmake
@@ -7,8 +7,10 @@
 #
 #   packages  docs/architecture.md's table says of each package which others it uses, as its CMakeLists.txt does; time,
 #           value, runtime and log go without saying.
+#   fields  every field that src/ reads from or writes into a message, a record or a settings file stands in
+#           docs/GLOSSARY.md, so that it leads from there to the code.
 #
-# cmake -DROOT=<repository> -DCASE=events|links|packages -P docs_check.cmake
+# cmake -DROOT=<repository> -DCASE=events|links|packages|fields -P docs_check.cmake
 
 cmake_minimum_required(VERSION 3.22)
 set(faults "")
@@ -140,8 +142,42 @@
       string(APPEND faults "  docs/architecture.md: ${package} uses ${said} by the page, ${uses} by src/${list}\n")
     endif()
   endforeach()
+elseif(CASE STREQUAL "fields")
+  file(READ ${ROOT}/docs/GLOSSARY.md page)
+  string(REPLACE ";" "," page "${page}")
+  string(REPLACE "[" "<" page "${page}")
+  string(REPLACE "]" ">" page "${page}")
+  string(REGEX MATCHALL "`[^`\n]+`" spans "${page}")
+  file(GLOB sources RELATIVE ${ROOT} ${ROOT}/src/*/*.cpp)
+  set(count 0)
+  foreach(source IN LISTS sources)
+    read_plain(${ROOT}/${source} text)
+    # Reads: value["ref"], reader.text("ref"). Writes: {"ref", ...}, emplace_back("ref", ...).
+    set(names "")
+    foreach(call "<" "reader[.][a-z]+[(]" "{" "emplace_back[(]")
+      string(REGEX MATCHALL "${call}\"[a-z_]+\"[^\"]" found "${text}")
+      foreach(match IN LISTS found)
+        string(REGEX REPLACE "^.*\"([a-z_]+)\".$" "\\1" name "${match}")
+        string(REGEX REPLACE "^.*(.)$" "\\1" end "${match}")
+        # {"sweep", "gang"} and {"verb", value} look alike: a list of names is one of values, not of fields.
+        if(NOT call STREQUAL "{" OR end STREQUAL ",")
+          list(APPEND names ${name})
+        endif()
+      endforeach()
+    endforeach()
+    list(REMOVE_DUPLICATES names)
+    foreach(name IN LISTS names)
+      math(EXPR count "${count} + 1")
+      if(NOT "${spans}" MATCHES "[^a-z_]${name}[^a-z_]")
+        string(APPEND faults "  ${source} has the field ${name}: docs/GLOSSARY.md does not\n")
+      endif()
+    endforeach()
+  endforeach()
+  if(count LESS 100)
+    string(APPEND faults "  only ${count} fields were found in the code: is this script right?\n")
+  endif()
 else()
-  set(faults "CASE must be events, links or packages\n")
+  set(faults "CASE must be events, links, packages or fields\n")
 endif()
 
 if(NOT faults STREQUAL "")
