--- a/src/config_reader/config_reader.cpp
+++ b/src/config_reader/config_reader.cpp
@@ -1,5 +1,6 @@
 #include "wrenusher/config_reader/config_reader.hpp"
 
+#include <array>
 #include <cmath>
 #include <cstdio>
 #include <cstdlib>
@@ -23,23 +24,28 @@
 }
 
 std::optional<std::uint32_t> parse_ipv4(const std::string& text) {
-  unsigned a = 0, b = 0, c = 0, d = 0;
-  char more = 0;
-  if (std::sscanf(text.c_str(), "%3u.%3u.%3u.%3u%c", &a, &b, &c, &d, &more) != 4 || a > 255 || b > 255 ||
-      c > 255 || d > 255)
+  std::array<unsigned, 4> octets{};
+  char rest = 0;
+  if (std::sscanf(text.c_str(), "%3u.%3u.%3u.%3u%c", octets.data(), &octets[1], &octets[2], &octets[3],
+                  &rest) != 4)
     return std::nullopt;
-  return (a << 24U) | (b << 16U) | (c << 8U) | d;
+  std::uint32_t address = 0;
+  for (const unsigned octet : octets) {
+    if (octet > 255) return std::nullopt;
+    address = (address << 8U) | octet;
+  }
+  return address;
 }
 
 std::optional<Micros> parse_duration(const std::string& text) {
   char* end = nullptr;
-  const double n = std::strtod(text.c_str(), &end);
-  const std::string task_name = end;
-  if (end == text.c_str() || !std::isfinite(n) || n < 0 || n > 1e9) return std::nullopt;
-  if (task_name == "ms") return from_seconds(n / 1000);
-  if (task_name == "s") return from_seconds(n);
-  if (task_name == "m") return from_seconds(n * 60);
-  if (task_name == "h") return from_seconds(n * 3600);
+  const double amount = std::strtod(text.c_str(), &end);
+  const std::string unit = end;
+  if (end == text.c_str() || !std::isfinite(amount) || amount < 0 || amount > 1e9) return std::nullopt;
+  if (unit == "ms") return from_seconds(amount / 1000);
+  if (unit == "s") return from_seconds(amount);
+  if (unit == "m") return from_seconds(amount * 60);
+  if (unit == "h") return from_seconds(amount * 3600);
   return std::nullopt;
 }
 
@@ -80,9 +86,14 @@
     const auto key = field.first.as<std::string>();
     if (known_.contains(key)) continue;
     std::string names;
-    for (const std::string& k : known_) names += (names.empty() ? "" : ", ") + k;
-    throw ConfigError(place(file_, field.first.Mark().line + 1) + (name_.empty() ? "" : name_ + ": ") +
-                      "unknown field '" + key + "' (known: " + names + ")");
+    for (const std::string& known : known_) {
+      if (!names.empty()) names += ", ";
+      names += known;
+    }
+    std::string message = place(file_, field.first.Mark().line + 1);
+    if (!name_.empty()) message += name_ + ": ";
+    message += "unknown field '" + key + "' (known: " + names + ")";
+    throw ConfigError(message);
   }
 }
 
@@ -90,7 +101,7 @@
   if (!node_.IsSequence()) fail("must be a list");
   std::vector<ConfigNode> out;
   for (std::size_t i = 0; i < node_.size(); ++i)
-    out.emplace_back(node_[i], name_ + "[" + std::to_string(i) + "]", file_);
+    out.emplace_back(node_[i], name_ + '[' + std::to_string(i) + ']', file_);
   return out;
 }
 
@@ -98,9 +109,9 @@
   if (!node_.IsMap()) fail("must be a map of names");
   std::vector<std::pair<std::string, ConfigNode>> out;
   std::set<std::string> names;
-  for (const auto& e : node_) {
-    const auto key = e.first.as<std::string>();
-    ConfigNode node(e.second, name_ + "." + key, file_);
+  for (const auto& entry : node_) {
+    const auto key = entry.first.as<std::string>();
+    ConfigNode node(entry.second, name_ + "." + key, file_);
     // A file with two entries of one name is read by YAML as if only one were there.
     if (!names.insert(key).second) node.fail("is there twice");
     out.emplace_back(key, std::move(node));
@@ -114,13 +125,13 @@
 }
 
 std::string ConfigNode::one_of(const std::vector<std::string>& names) const {
-  const std::string t = text();
+  std::string chosen = text();
   std::string all;
   for (const std::string& n : names) {
-    if (n == t) return t;
+    if (n == chosen) return chosen;
     all += (all.empty() ? "" : ", ") + n;
   }
-  fail("'" + t + "' is none of " + all);
+  fail("'" + chosen + "' is none of " + all);
 }
 
 double ConfigNode::number(double least, double most) const {
@@ -131,9 +142,9 @@
     fail("must be a number without a unit");
   }
   if (!std::isfinite(n) || n < least || n > most) {
-    std::ostringstream s;
-    s << "must be between " << least << " and " << most;
-    fail(s.str());
+    std::ostringstream range;
+    range << "must be between " << least << " and " << most;
+    fail(range.str());
   }
   return n;
 }
@@ -153,9 +164,9 @@
 }
 
 Micros ConfigNode::duration() const {
-  const auto d = node_.IsScalar() ? parse_duration(node_.Scalar()) : std::nullopt;
-  if (!d) fail("must be a time with its unit: ms, s, m or h, like 30s");
-  return *d;
+  const auto parsed = node_.IsScalar() ? parse_duration(node_.Scalar()) : std::nullopt;
+  if (!parsed) fail("must be a time with its unit: ms, s, m or h, like 30s");
+  return *parsed;
 }
 
 }  // namespace wrenusher::config_reader
--- a/src/config_reader/include/wrenusher/config_reader/config_reader.hpp
+++ b/src/config_reader/include/wrenusher/config_reader/config_reader.hpp
@@ -34,8 +34,8 @@
 /// A place in a file that knows its own name and line.
 class ConfigNode {
  public:
-  ConfigNode(YAML::Node at, std::string name, std::string file)
-      : node_(std::move(at)), name_(std::move(name)), file_(std::move(file)) {}
+  ConfigNode(const YAML::Node& node, std::string name, std::string file)
+      : node_(node), name_(std::move(name)), file_(std::move(file)) {}
   /// The root of a file; throws ConfigError where the text is no YAML.
   static ConfigNode root(const std::string& yaml, const std::string& file);
 
--- a/src/estimates/estimator.cpp
+++ b/src/estimates/estimator.cpp
@@ -38,6 +38,7 @@
 
 double Estimator::typical_ratio(const std::deque<JobSample>& jobs) {
   std::vector<double> means;
+  means.reserve(jobs.size());
   for (const JobSample& sample : jobs) means.push_back(sample.mean());
   return cautious_median(std::move(means), kPrior);
 }
--- a/src/protocol/include/wrenusher/protocol/messages.hpp
+++ b/src/protocol/include/wrenusher/protocol/messages.hpp
@@ -26,8 +26,8 @@
 
 /// Amounts are compared and summed exactly, in millionths.
 using Amount = std::int64_t;
-inline Amount to_amount(double x) {
-  return static_cast<Amount>(std::llround(x * 1e6));
+inline Amount to_amount(double number) {
+  return static_cast<Amount>(std::llround(number * 1e6));
 }
 constexpr double from_amount(Amount a) {
   return static_cast<double>(a) / 1e6;
--- a/src/settings/include/wrenusher/settings/settings.hpp
+++ b/src/settings/include/wrenusher/settings/settings.hpp
@@ -81,9 +81,13 @@
   using std::runtime_error::runtime_error;
 };
 
-Settings parse_settings(const std::string& json);
+/// Reads and checks the settings file's text (JSON). Throws SettingsError, which names the first wrong field.
+Settings parse_settings(const std::string& text);
+/// Likewise from a file.
 Settings load_settings(const std::string& path);
-Tunables parse_tunables(const std::string& yaml);
+/// Reads and checks the operators' own settings (YAML). Throws SettingsError.
+Tunables parse_tunables(const std::string& text);
+/// Likewise from a file; a relative path of the topology is taken from that file's folder.
 Tunables load_tunables(const std::string& path);
 
 }  // namespace wrenusher::settings
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -51,9 +51,9 @@
     if (!at_.is_number()) fail("must be a number");
     const double n = at_.get<double>();
     if (!std::isfinite(n) || n < least || n > most) {
-      std::ostringstream s;
-      s << "must be between " << least << " and " << most;
-      fail(s.str());
+      std::ostringstream range;
+      range << "must be between " << least << " and " << most;
+      fail(range.str());
     }
     return n;
   }
@@ -64,17 +64,17 @@
     return static_cast<std::size_t>(n);
   }
   Endpoint endpoint() const {
-    const std::string s = text();
-    const auto colon = s.rfind(':');
-    bool good = colon != std::string::npos && config_reader::parse_ipv4(s.substr(0, colon));
+    std::string address = text();
+    const auto colon = address.rfind(':');
+    bool good = colon != std::string::npos && config_reader::parse_ipv4(address.substr(0, colon));
     if (good) {
       char* end = nullptr;
-      const std::string port = s.substr(colon + 1);
-      const long p = std::strtol(port.c_str(), &end, 10);
-      good = !port.empty() && *end == '\0' && p > 0 && p < 65536;
+      const std::string port = address.substr(colon + 1);
+      const long number = std::strtol(port.c_str(), &end, 10);
+      good = !port.empty() && *end == '\0' && number > 0 && number < 65536;
     }
     if (!good) fail("must be an IPv4 address and a port, like 10.0.0.1:8080");
-    return s;
+    return address;
   }
   std::vector<Field> items() const {
     if (!at_.is_array()) fail("must be a list");
@@ -89,6 +89,46 @@
   std::string name_;
 };
 
+void read_teams(const Field& cluster, Settings& settings) {
+  std::set<std::string> names;
+  for (const Field& field : cluster["teams"].items()) {
+    Team team;
+    team.name = field["name"].text();
+    if (!names.insert(team.name).second) field["name"].fail("is there twice");
+    team.cores = field["cpus"].number(0, 1e9);
+    team.cores_max = field["cpus_max"].number(0, 1e9);
+    team.gpus = field["gpus"].number(0, 1e9);
+    team.gpus_max = field["gpus_max"].number(0, 1e9);
+    settings.teams.push_back(team);
+  }
+}
+
+void read_objectives(const Field& objectives, Settings& settings) {
+  for (const Field& field : objectives.items()) {
+    Objective objective;
+    objective.kind = field["kind"].text();
+    if (field.has("class")) objective.job_class = field["class"].text();
+    if (field.has("times")) objective.deadline_factor = field["times"].number(0, 1e6);
+    if (field.has("within_s")) objective.within = field["within_s"].seconds(0);
+    settings.objectives.push_back(objective);
+  }
+}
+
+void read_worker_times(const Field& workers, Settings& settings) {
+  settings.report_interval = workers["report_s"].seconds(0.01);
+  settings.worker_lease = workers["lease_s"].seconds(0.1);
+  settings.gang_start_timeout = workers["gang_wait_s"].seconds(0);
+  settings.gang_peer_timeout = workers["gang_peer_s"].seconds(0);
+  settings.cancel_deadline = workers["cancel_s"].seconds(0.1);
+}
+
+void read_state_limits(const Field& state, Settings& settings) {
+  settings.state_rps = state["rps"].number(1, 1e9);
+  settings.state_write_rps = state["write_rps"].number(1, 1e9);
+  settings.value_kb = state["value_kb"].number(1, 1e6);
+  settings.txn_ops = state["txn_ops"].whole(4, 1000000);
+}
+
 }  // namespace
 
 const Team* Settings::team(const std::string& name) const {
@@ -107,46 +147,18 @@
   settings.zone = top["zone"].text();
   settings.client_listen = top["client_listen"].endpoint();
   settings.peer_listen = top["peer_listen"].endpoint();
-  for (const Field& p : top["peers"].items()) {
-    settings.peers.push_back({p["host_name"].text(), p["zone"].text(), p["peer_addr"].endpoint()});
-    if (settings.peers.back().name == settings.node) p["host_name"].fail("names this node itself");
+  for (const Field& peer : top["peers"].items()) {
+    settings.peers.push_back({peer["host_name"].text(), peer["zone"].text(), peer["peer_addr"].endpoint()});
+    if (settings.peers.back().name == settings.node) peer["host_name"].fail("names this node itself");
   }
   settings.cloud = top["services"]["cloud"].endpoint();
   settings.state = top["services"]["state"].endpoint();
   const Field cluster = top["cluster"];
-  for (const Field& z : cluster["zones"].items()) settings.zones.push_back(z.text());
-  std::set<std::string> names;
-  for (const Field& t : cluster["teams"].items()) {
-    Team team;
-    team.name = t["name"].text();
-    if (!names.insert(team.name).second) t["name"].fail("is there twice");
-    team.cores = t["cpus"].number(0, 1e9);
-    team.cores_max = t["cpus_max"].number(0, 1e9);
-    team.gpus = t["gpus"].number(0, 1e9);
-    team.gpus_max = t["gpus_max"].number(0, 1e9);
-    settings.teams.push_back(team);
-  }
-  if (cluster.has("objectives")) {
-    for (const Field& field : cluster["objectives"].items()) {
-      Objective aim;
-      aim.kind = field["kind"].text();
-      if (field.has("class")) aim.job_class = field["class"].text();
-      if (field.has("times")) aim.deadline_factor = field["times"].number(0, 1e6);
-      if (field.has("within_s")) aim.within = field["within_s"].seconds(0);
-      settings.objectives.push_back(aim);
-    }
-  }
-  const Field workers = cluster["workers"];
-  settings.report_interval = workers["report_s"].seconds(0.01);
-  settings.worker_lease = workers["lease_s"].seconds(0.1);
-  settings.gang_start_timeout = workers["gang_wait_s"].seconds(0);
-  settings.gang_peer_timeout = workers["gang_peer_s"].seconds(0);
-  settings.cancel_deadline = workers["cancel_s"].seconds(0.1);
-  const Field state = cluster["state"];
-  settings.state_rps = state["rps"].number(1, 1e9);
-  settings.state_write_rps = state["write_rps"].number(1, 1e9);
-  settings.value_kb = state["value_kb"].number(1, 1e6);
-  settings.txn_ops = state["txn_ops"].whole(4, 1000000);
+  for (const Field& zone : cluster["zones"].items()) settings.zones.push_back(zone.text());
+  read_teams(cluster, settings);
+  if (cluster.has("objectives")) read_objectives(cluster["objectives"], settings);
+  read_worker_times(cluster["workers"], settings);
+  read_state_limits(cluster["state"], settings);
   const Field cloud = cluster["cloud"];
   settings.cloud_rps = cloud["rps"].number(0.01, 1e9);
   settings.list_lag = cloud["list_lag_s"].seconds(0);
@@ -171,18 +183,18 @@
   const auto number = [&root](const char* name, double least, double most, double preset) {
     const YAML::Node node = root[name];
     if (!node) return preset;
-    double x = 0;
+    double value = 0;
     try {
-      x = node.as<double>();
+      value = node.as<double>();
     } catch (const YAML::Exception&) {
       throw SettingsError(std::string("tunables: ") + name + ": must be a number");
     }
-    if (!(x >= least && x <= most)) {
-      std::ostringstream s;
-      s << "tunables: " << name << ": must be between " << least << " and " << most;
-      throw SettingsError(s.str());
+    if (!(value >= least && value <= most)) {
+      std::ostringstream range;
+      range << "tunables: " << name << ": must be between " << least << " and " << most;
+      throw SettingsError(range.str());
     }
-    return x;
+    return value;
   };
   static const std::set<std::string> known = {
       "hold_s", "round_s", "idle_return_s", "silent_reports", "slow_boot_factor", "topology", "standby"};
--- a/src/time/include/wrenusher/time/time.hpp
+++ b/src/time/include/wrenusher/time/time.hpp
@@ -28,11 +28,11 @@
 };
 using WallTime = WallClock::time_point;
 
-constexpr Micros from_seconds(double s) {
-  return Micros{static_cast<std::int64_t>(s * 1e6 + (s < 0 ? -0.5 : 0.5))};
+constexpr Micros from_seconds(double seconds) {
+  return Micros{static_cast<std::int64_t>(seconds * 1e6 + (seconds < 0 ? -0.5 : 0.5))};
 }
-constexpr double to_seconds(Micros d) {
-  return static_cast<double>(d.count()) / 1e6;
+constexpr double to_seconds(Micros duration) {
+  return static_cast<double>(duration.count()) / 1e6;
 }
 constexpr Micros from_millis(std::int64_t ms) {
   return Micros{ms * 1000};
--- a/src/value/include/wrenusher/value/value.hpp
+++ b/src/value/include/wrenusher/value/value.hpp
@@ -31,10 +31,10 @@
   }
   Value(unsigned n) : data_(std::uint64_t{n}) {}
   Value(int n) : Value(static_cast<std::int64_t>(n)) {}
-  Value(double d) : data_(d) {}
-  Value(std::string s) : data_(std::move(s)) {}
-  Value(std::string_view s) : data_(std::string(s)) {}
-  Value(const char* s) : data_(std::string(s)) {}
+  Value(double number) : data_(number) {}
+  Value(std::string text) : data_(std::move(text)) {}
+  Value(std::string_view text) : data_(std::string(text)) {}
+  Value(const char* text) : data_(std::string(text)) {}
   Value(List list) : data_(std::move(list)) {}
   Value(Map fields) : data_(std::move(fields)) {}
 
--- a/src/value/value.cpp
+++ b/src/value/value.cpp
@@ -2,6 +2,7 @@
 
 #include <cbor.h>
 
+#include <array>
 #include <cmath>
 
 namespace wrenusher::value {
@@ -10,28 +11,28 @@
 
 const Value kNull;
 
-bool valid_utf8(std::string_view s) {
-  for (std::size_t i = 0; i < s.size();) {
-    const auto lead = static_cast<unsigned char>(s[i]);
+bool valid_utf8(std::string_view text) {
+  for (std::size_t i = 0; i < text.size();) {
+    const auto lead = static_cast<unsigned char>(text[i]);
     std::size_t more = 0;
     std::uint32_t code = lead;
     if (lead >= 0xf0 && lead < 0xf5) {
       more = 3;
-      code = lead & 0x07u;
+      code = lead & 0x07U;
     } else if (lead >= 0xe0 && lead < 0xf0) {
       more = 2;
-      code = lead & 0x0fu;
+      code = lead & 0x0fU;
     } else if (lead >= 0xc2 && lead < 0xe0) {
       more = 1;
-      code = lead & 0x1fu;
+      code = lead & 0x1fU;
     } else if (lead >= 0x80) {
       return false;
     }
-    if (i + more >= s.size()) return false;
+    if (i + more >= text.size()) return false;
     for (std::size_t k = 1; k <= more; ++k) {
-      const auto c = static_cast<unsigned char>(s[i + k]);
-      if ((c & 0xc0u) != 0x80u) return false;
-      code = (code << 6u) | (c & 0x3fu);
+      const auto next = static_cast<unsigned char>(text[i + k]);
+      if ((next & 0xc0U) != 0x80U) return false;
+      code = (code << 6U) | (next & 0x3fU);
     }
     if ((more == 2 && code < 0x800) || (more == 3 && (code < 0x10000 || code > 0x10ffff))) return false;
     if (code >= 0xd800 && code <= 0xdfff) return false;
@@ -55,17 +56,17 @@
     add(std::move(value));
   }
 
-  void text(std::string_view s) {
+  void text(std::string_view text) {
     if (!open_.empty() && open_.back().kind == Kind::chunks) {
-      if (!valid_utf8(s)) failed = true;
-      open_.back().key.append(s);
+      if (!valid_utf8(text)) failed = true;
+      open_.back().key.append(text);
       return;
     }
-    if (!valid_utf8(s)) {
+    if (!valid_utf8(text)) {
       failed = true;
       return;
     }
-    add(Value(s));
+    add(Value(text));
   }
 
   enum class Kind { list, map, chunks };
@@ -150,63 +151,69 @@
   bool finished_ = false;
 };
 
-Builder& builder(void* ctx) {
-  return *static_cast<Builder*>(ctx);
+Builder& builder(void* context) {
+  return *static_cast<Builder*>(context);
 }
 
 cbor_callbacks make_callbacks() {
-  cbor_callbacks c = cbor_empty_callbacks;
-  c.uint8 = [](void* x, std::uint8_t n) { builder(x).scalar(std::uint64_t{n}); };
-  c.uint16 = [](void* x, std::uint16_t n) { builder(x).scalar(std::uint64_t{n}); };
-  c.uint32 = [](void* x, std::uint32_t n) { builder(x).scalar(std::uint64_t{n}); };
-  c.uint64 = [](void* x, std::uint64_t n) { builder(x).scalar(n); };
-  c.negint8 = [](void* x, std::uint8_t n) { builder(x).scalar(-1 - std::int64_t{n}); };
-  c.negint16 = [](void* x, std::uint16_t n) { builder(x).scalar(-1 - std::int64_t{n}); };
-  c.negint32 = [](void* x, std::uint32_t n) { builder(x).scalar(-1 - std::int64_t{n}); };
-  c.negint64 = [](void* x, std::uint64_t n) {
+  cbor_callbacks callbacks = cbor_empty_callbacks;
+  callbacks.uint8 = [](void* context, std::uint8_t n) { builder(context).scalar(std::uint64_t{n}); };
+  callbacks.uint16 = [](void* context, std::uint16_t n) { builder(context).scalar(std::uint64_t{n}); };
+  callbacks.uint32 = [](void* context, std::uint32_t n) { builder(context).scalar(std::uint64_t{n}); };
+  callbacks.uint64 = [](void* context, std::uint64_t n) { builder(context).scalar(n); };
+  callbacks.negint8 = [](void* context, std::uint8_t n) { builder(context).scalar(-1 - std::int64_t{n}); };
+  callbacks.negint16 = [](void* context, std::uint16_t n) { builder(context).scalar(-1 - std::int64_t{n}); };
+  callbacks.negint32 = [](void* context, std::uint32_t n) { builder(context).scalar(-1 - std::int64_t{n}); };
+  callbacks.negint64 = [](void* context, std::uint64_t n) {
     if (n > static_cast<std::uint64_t>(INT64_MAX)) {
-      builder(x).scalar(-1.0 - static_cast<double>(n));
+      builder(context).scalar(-1.0 - static_cast<double>(n));
     } else {
-      builder(x).scalar(-1 - static_cast<std::int64_t>(n));
+      builder(context).scalar(-1 - static_cast<std::int64_t>(n));
     }
   };
-  c.string = [](void* x, cbor_data d, size_t n) {
-    builder(x).text(std::string_view(reinterpret_cast<const char*>(d), n));
+  callbacks.string = [](void* context, cbor_data data, size_t n) {
+    builder(context).text(std::string_view(reinterpret_cast<const char*>(data), n));
   };
-  c.string_start = [](void* x) { builder(x).begin(Builder::Kind::chunks, std::nullopt); };
-  c.byte_string = [](void* x, cbor_data, size_t) { builder(x).failed = true; };
-  c.byte_string_start = [](void* x) { builder(x).failed = true; };
-  c.array_start = [](void* x, size_t n) { builder(x).begin(Builder::Kind::list, n); };
-  c.indef_array_start = [](void* x) { builder(x).begin(Builder::Kind::list, std::nullopt); };
-  c.map_start = [](void* x, size_t n) { builder(x).begin(Builder::Kind::map, n); };
-  c.indef_map_start = [](void* x) { builder(x).begin(Builder::Kind::map, std::nullopt); };
-  c.tag = [](void* x, std::uint64_t) { builder(x).failed = true; };
-  c.float2 = [](void* x, float f) { builder(x).scalar(static_cast<double>(f)); };
-  c.float4 = [](void* x, float f) { builder(x).scalar(static_cast<double>(f)); };
-  c.float8 = [](void* x, double f) { builder(x).scalar(f); };
-  c.null = [](void* x) { builder(x).scalar(nullptr); };
-  c.undefined = [](void* x) { builder(x).failed = true; };
-  c.boolean = [](void* x, bool b) { builder(x).scalar(b); };
-  c.indef_break = [](void* x) { builder(x).end(); };
-  return c;
+  callbacks.string_start = [](void* context) { builder(context).begin(Builder::Kind::chunks, std::nullopt); };
+  callbacks.byte_string = [](void* context, cbor_data, size_t) { builder(context).failed = true; };
+  callbacks.byte_string_start = [](void* context) { builder(context).failed = true; };
+  callbacks.array_start = [](void* context, size_t n) { builder(context).begin(Builder::Kind::list, n); };
+  callbacks.indef_array_start = [](void* context) {
+    builder(context).begin(Builder::Kind::list, std::nullopt);
+  };
+  callbacks.map_start = [](void* context, size_t n) { builder(context).begin(Builder::Kind::map, n); };
+  callbacks.indef_map_start = [](void* context) { builder(context).begin(Builder::Kind::map, std::nullopt); };
+  callbacks.tag = [](void* context, std::uint64_t) { builder(context).failed = true; };
+  callbacks.float2 = [](void* context, float number) {
+    builder(context).scalar(static_cast<double>(number));
+  };
+  callbacks.float4 = [](void* context, float number) {
+    builder(context).scalar(static_cast<double>(number));
+  };
+  callbacks.float8 = [](void* context, double number) { builder(context).scalar(number); };
+  callbacks.null = [](void* context) { builder(context).scalar(nullptr); };
+  callbacks.undefined = [](void* context) { builder(context).failed = true; };
+  callbacks.boolean = [](void* context, bool b) { builder(context).scalar(b); };
+  callbacks.indef_break = [](void* context) { builder(context).end(); };
+  return callbacks;
 }
 
 const cbor_callbacks kCallbacks = make_callbacks();
 
-std::size_t json_text_size(const std::string& s) {
+std::size_t json_text_size(const std::string& text) {
   std::size_t n = 2;
-  for (const char c : s) {
-    const auto u = static_cast<unsigned char>(c);
-    n += (u < 0x20) ? 6 : (c == '"' || c == '\\') ? 2 : 1;
+  for (const char character : text) {
+    const auto code = static_cast<unsigned char>(character);
+    n += (code < 0x20) ? 6 : (character == '"' || character == '\\') ? 2 : 1;
   }
   return n;
 }
 
 template <typename Encoder, typename... Args>
 void put(std::string& out, Encoder encoder, Args... args) {
-  unsigned char buf[16];
-  const std::size_t n = encoder(args..., buf, sizeof buf);
-  out.append(reinterpret_cast<const char*>(buf), n);
+  std::array<unsigned char, 16> buffer;
+  const std::size_t n = encoder(args..., buffer.data(), buffer.size());
+  out.append(reinterpret_cast<const char*>(buffer.data()), n);
 }
 
 }  // namespace
@@ -217,17 +224,17 @@
 }
 
 std::optional<double> Value::number() const {
-  if (const auto* u = std::get_if<std::uint64_t>(&data_)) return static_cast<double>(*u);
+  if (const auto* count = std::get_if<std::uint64_t>(&data_)) return static_cast<double>(*count);
   if (const auto* i = std::get_if<std::int64_t>(&data_)) return static_cast<double>(*i);
-  if (const auto* d = std::get_if<double>(&data_); d != nullptr && std::isfinite(*d)) return *d;
+  if (const auto* real = std::get_if<double>(&data_); real != nullptr && std::isfinite(*real)) return *real;
   return std::nullopt;
 }
 
 std::optional<std::uint64_t> Value::count() const {
-  if (const auto* u = std::get_if<std::uint64_t>(&data_)) return *u;
-  if (const auto* d = std::get_if<double>(&data_)) {
-    if (std::isfinite(*d) && *d >= 0 && *d < 18446744073709551616.0 && std::floor(*d) == *d) {
-      return static_cast<std::uint64_t>(*d);
+  if (const auto* count = std::get_if<std::uint64_t>(&data_)) return *count;
+  if (const auto* real = std::get_if<double>(&data_)) {
+    if (std::isfinite(*real) && *real >= 0 && *real < 18446744073709551616.0 && std::floor(*real) == *real) {
+      return static_cast<std::uint64_t>(*real);
     }
   }
   return std::nullopt;
@@ -258,7 +265,7 @@
     std::size_t operator()(std::uint64_t n) const { return std::to_string(n).size(); }
     std::size_t operator()(std::int64_t n) const { return std::to_string(n).size(); }
     std::size_t operator()(double) const { return 24; }  // the longest form a double takes
-    std::size_t operator()(const std::string& s) const { return json_text_size(s); }
+    std::size_t operator()(const std::string& text) const { return json_text_size(text); }
     std::size_t operator()(const List& list) const {
       std::size_t n = 2;
       for (const Value& value : list) n += value.json_size() + 1;
@@ -282,10 +289,10 @@
     void operator()(std::int64_t n) const {
       put(out, cbor_encode_negint, static_cast<std::uint64_t>(-1 - n));
     }
-    void operator()(double d) const { put(out, cbor_encode_double, d); }
-    void operator()(const std::string& s) const {
-      put(out, cbor_encode_string_start, s.size());
-      out += s;
+    void operator()(double number) const { put(out, cbor_encode_double, number); }
+    void operator()(const std::string& text) const {
+      put(out, cbor_encode_string_start, text.size());
+      out += text;
     }
     void operator()(const Value::List& list) const {
       put(out, cbor_encode_array_start, list.size());
@@ -309,16 +316,16 @@
 }
 
 std::optional<Value> decode(std::string_view bytes) {
-  Builder b;
+  Builder tree;
   while (!bytes.empty()) {
-    if (b.done()) return std::nullopt;
-    const cbor_decoder_result r =
-        cbor_stream_decode(reinterpret_cast<cbor_data>(bytes.data()), bytes.size(), &kCallbacks, &b);
-    if (r.status != CBOR_DECODER_FINISHED || b.failed) return std::nullopt;
-    bytes.remove_prefix(r.read);
+    if (tree.done()) return std::nullopt;
+    const cbor_decoder_result item =
+        cbor_stream_decode(reinterpret_cast<cbor_data>(bytes.data()), bytes.size(), &kCallbacks, &tree);
+    if (item.status != CBOR_DECODER_FINISHED || tree.failed) return std::nullopt;
+    bytes.remove_prefix(item.read);
   }
-  if (!b.done() || b.failed) return std::nullopt;
-  return b.take();
+  if (!tree.done() || tree.failed) return std::nullopt;
+  return tree.take();
 }
 
 }  // namespace wrenusher::value
