--- /dev/null
+++ b/tests/containers_test.cpp
@@ -0,0 +1,74 @@
+// Containers that several packages share.
+
+#include <gtest/gtest.h>
+
+#include <string>
+
+#include "wrenusher/containers/aged_set.hpp"
+
+namespace {
+
+using wrenusher::containers::AgedSet;
+using wrenusher::time::from_seconds;
+using wrenusher::time::Instant;
+
+Instant at(double seconds) {
+  return Instant{from_seconds(seconds)};
+}
+
+TEST(AgedSet, InsertTellsWhetherTheKeyIsNew) {
+  AgedSet<std::string> set;
+  EXPECT_TRUE(set.insert("a", at(1)));
+  EXPECT_FALSE(set.insert("a", at(2)));
+  EXPECT_TRUE(set.contains("a"));
+  EXPECT_EQ(set.size(), 1U);
+}
+
+TEST(AgedSet, ForgetsMembersThatAreOlderThanTheLimit) {
+  AgedSet<std::string> set;
+  set.insert("a", at(1));
+  set.insert("b", at(2));
+  set.forget_older_than(from_seconds(1), at(2));  // exactly at the limit: kept
+  EXPECT_TRUE(set.contains("a"));
+  set.forget_older_than(from_seconds(1), at(2.5));
+  EXPECT_FALSE(set.contains("a"));
+  EXPECT_TRUE(set.contains("b"));
+}
+
+TEST(AgedSet, AMemberInsertedAgainKeepsItsFirstTime) {
+  AgedSet<std::string> set;
+  set.insert("a", at(1));
+  set.insert("a", at(5));
+  set.forget_older_than(from_seconds(2), at(5));
+  EXPECT_FALSE(set.contains("a"));
+}
+
+TEST(AgedSet, AForgottenMemberCanBeInsertedAgain) {
+  AgedSet<std::string> set;
+  set.insert("a", at(1));
+  set.forget_older_than(from_seconds(1), at(10));
+  EXPECT_TRUE(set.insert("a", at(10)));
+  set.forget_older_than(from_seconds(1), at(11));
+  EXPECT_TRUE(set.contains("a"));
+}
+
+TEST(AgedSet, ForgetsTheOldestBeyondTheSize) {
+  AgedSet<int> set;
+  for (int n = 0; n < 5; ++n) set.insert(n, at(n));
+  set.forget_beyond(2);
+  EXPECT_EQ(set.size(), 2U);
+  EXPECT_FALSE(set.contains(2));
+  EXPECT_TRUE(set.contains(3));
+  EXPECT_TRUE(set.contains(4));
+}
+
+TEST(AgedSet, ClearForgetsEverything) {
+  AgedSet<int> set;
+  set.insert(1, at(1));
+  set.clear();
+  EXPECT_TRUE(set.empty());
+  EXPECT_FALSE(set.contains(1));
+  EXPECT_TRUE(set.insert(1, at(0)));
+}
+
+}  // namespace
