--- a/src/job_api/job_index.cpp
+++ b/src/job_api/job_index.cpp
@@ -146,7 +146,7 @@
   return std::all_of(reply.puts.begin(), reply.puts.end(),
                      [&](const KeyValue& row) { return within(row.mod_revision); }) &&
          std::all_of(reply.deletes.begin(), reply.deletes.end(),
-                     [&](const auto& d) { return within(d.second); });
+                     [&](const auto& deletion) { return within(deletion.mod_revision); });
 }
 
 void JobIndex::apply(const WatchReply& reply) {
--- a/src/membership/cancellation_log.cpp
+++ b/src/membership/cancellation_log.cpp
@@ -5,65 +5,62 @@
 namespace wrenusher::membership {
 
 namespace {
-/// A peer that comes back to find older ones gone has to read the state service.
-constexpr std::size_t kMaxKept = 20000;
+/// Cancellations kept for a peer that does not confirm them. One that comes back to find older ones gone has
+/// to read the state service.
+constexpr std::size_t kMaxUnconfirmed = 20000;
 }  // namespace
 
-CancellationLog::CancellationLog(std::uint64_t life, const std::vector<std::string>& peers)
-    : log_(life, peers, {{"withdrawn", "log", "got"}, "jobs", valid_job_id, kMaxKept, {}}) {
-  for (const std::string& p : peers) peers_[p];
+CancellationLog::CancellationLog(std::uint64_t incarnation, const std::vector<std::string>& peers)
+    : log_(incarnation, peers, {{"withdrawn", "log", "got"}, "jobs", valid_job_id, kMaxUnconfirmed, {}}) {
+  for (const std::string& peer : peers) peers_[peer];
 }
 
-void CancellationLog::begin(Instant now, Micros kept) {
+void CancellationLog::begin(Instant now, Micros retention) {
   began_at_ = now;
-  keep_for_ = kept;
+  retention_ = retention;
 }
 
-bool CancellationLog::record_told(const std::string& job_id, Instant now) {
-  while (!told_order_.empty() && now - told_order_.front().first > keep_for_) {
-    recently_told_.erase(told_order_.front().second);
-    told_order_.pop_front();
-  }
-  if (!recently_told_.insert(job_id).second) return false;
-  told_order_.emplace_back(now, job_id);
+bool CancellationLog::record(const std::string& job_id, Instant now) {
+  recent_.forget_older_than(retention_, now);
+  if (!recent_.insert(job_id, now)) return false;
   if (!log_.has_peers()) return false;
   log_.add(job_id, now);
   return true;
 }
 
 CancellationLog::MergeResult CancellationLog::merge(const std::string& peer, const Value& value,
-                                                    std::optional<Instant> asked, Instant now) {
+                                                    std::optional<Instant> asked_at, Instant now) {
   ReplicatedLog::MergeResult result = log_.merge(peer, value);
-  log_.take_confirmed();  // nobody waits for these
-  MergeResult out{std::move(result.rows), std::move(result.error)};
-  // Up to 0.6 they were not numbered: nothing says that these are all.
-  if (!result.numbered) return out;
+  static_cast<void>(log_.take_confirmed());  // nobody waits for the confirmation of a cancellation
+  MergeResult merged{std::move(result.rows), std::move(result.error)};
+  // Versions up to 0.6 do not number their rows, so completeness cannot be inferred.
+  if (!result.numbered) return merged;
   PeerKnowledge& known = peers_.at(peer);
   if (!result.continuous) {
-    // Another life, or one that this node missed a part of. What was told before now and is not in this
-    // list only the state service has.
+    // The peer has restarted, or this node missed part of its log. Cancellations that users were told before
+    // now and that are not in this page are only in the state service.
     known.met_at = now;
     known.awaits_store_read = true;
   }
-  if (asked && result.complete) known.exchanged_at = std::max(known.exchanged_at, *asked);
+  if (asked_at && result.complete) known.exchanged_at = std::max(known.exchanged_at, *asked_at);
   if (!known.awaits_store_read) known.known_through = std::max(known.known_through, known.exchanged_at);
-  return out;
+  return merged;
 }
 
-void CancellationLog::on_read(Instant asked) {
-  store_read_at_ = std::max(store_read_at_, asked);
-  for (auto& [name, p] : peers_) {
-    if (p.awaits_store_read && store_read_at_ >= p.met_at) p.awaits_store_read = false;
-    if (!p.awaits_store_read) p.known_through = std::max(p.known_through, p.exchanged_at);
+void CancellationLog::on_read(Instant asked_at) {
+  store_read_at_ = std::max(store_read_at_, asked_at);
+  for (auto& [name, peer] : peers_) {
+    if (peer.awaits_store_read && store_read_at_ >= peer.met_at) peer.awaits_store_read = false;
+    if (!peer.awaits_store_read) peer.known_through = std::max(peer.known_through, peer.exchanged_at);
   }
 }
 
 Instant CancellationLog::known_through() const {
-  // What an earlier life of this node told, only the state service has.
+  // What an earlier incarnation of this node told users is only in the state service.
   if (store_read_at_ < began_at_) return kNever;
-  Instant all = Instant::max();
-  for (const auto& [name, p] : peers_) all = std::min(all, p.known_through);
-  return std::max(store_read_at_, all);
+  Instant all_peers = Instant::max();
+  for (const auto& [name, peer] : peers_) all_peers = std::min(all_peers, peer.known_through);
+  return std::max(store_read_at_, all_peers);
 }
 
 std::string CancellationLog::slowest_peer() const {
--- a/src/membership/include/wrenusher/membership/peer.hpp
+++ b/src/membership/include/wrenusher/membership/peer.hpp
@@ -1,106 +1,103 @@
 #pragma once
-// Heartbeats between controllers: epoch, leader, what each can reach, cancellations just accepted, what users
-// are about to be told, and what others want to ride along.
+// Heartbeats between controllers: term, leader, what each of them can reach, which cancellations users were
+// told of, which stages of jobs users are about to be told of, and what other actors attach.
 
-#include <deque>
+#include <cstdint>
+#include <map>
 #include <memory>
 #include <optional>
+#include <set>
+#include <string>
 
+#include "wrenusher/events/jobs.hpp"
+#include "wrenusher/events/membership.hpp"
+#include "wrenusher/events/topology.hpp"
+#include "wrenusher/kv_client/kv_client.hpp"
 #include "wrenusher/membership/cancellation_log.hpp"
-#include "wrenusher/membership/leadership.hpp"
+#include "wrenusher/membership/heartbeat_codec.hpp"
+#include "wrenusher/membership/progress_pager.hpp"
+#include "wrenusher/membership/replicated_log.hpp"
+#include "wrenusher/runtime/runtime.hpp"
+#include "wrenusher/settings/settings.hpp"
 
 namespace wrenusher::membership {
 
-using namespace time;
-using namespace value;
-using namespace runtime;
-using namespace settings;
-using namespace protocol;
-using namespace kv_client;
-using namespace events;
-
+/// Sends this node's heartbeats to its peers, every 500 ms and at once when there is urgent news, and reads
+/// theirs, which come as requests and as replies. Single-threaded: called from the runtime's loop only.
 class Peer {
  public:
-  Peer(Runtime& runtime, const Settings& settings);
+  /// Both arguments must outlive this.
+  Peer(runtime::Runtime& runtime, const settings::Settings& settings);
+
+  /// To be called once, after the sinks are connected.
   void start();
-  /// Another controller's request on `peer_listen`.
-  void serve(const Request& request, const Responder& answer);
+  /// Answers another controller's request on `peer_listen`.
+  void serve(const runtime::Request& request, const runtime::Responder& answer);
 
-  void on_term(const TermChanged& term);
-  void on_health(const KvHealth& health) { kv_reachable_ = health.reachable; }
-  void on_worker_reachability(const WorkerReachability& event) { receives_reports_ = event.receives_reports; }
-  void on_cancelled(const JobCancelled& event);
-  void on_cancellations_read(const CancellationsRead& event);
-  void on_announcement(const StageAnnouncement& event);
-  void on_topology_loaded(const TopologyLoaded& event);
-  void on_topology_activated(const TopologyActivated& event) { active_topology_ = event.version; }
-  void on_progress(const std::shared_ptr<const Progress>& counts);
-  void on_readiness(const Readiness& event) { readiness_ = event; }
-  void on_stepping_down(const SteppingDown& event);
-  void on_attachment(const HeartbeatAttachment& event) { attachments_[event.peer] = event.value; }
+  void on_term(const events::TermChanged& term);
+  void on_health(const kv_client::KvHealth& health) { own_.kv_reachable = health.reachable; }
+  void on_worker_reachability(const events::WorkerReachability& event) {
+    own_.receives_reports = event.receives_reports;
+  }
+  /// A user is about to be told here that the job is cancelled.
+  void on_cancelled(const events::JobCancelled& event);
+  void on_cancellations_read(const events::CancellationsRead& event);
+  /// A user is to be told a job's stage once every peer knows it.
+  void on_announcement(const events::StageAnnouncement& event);
+  void on_topology_loaded(const events::TopologyLoaded& event);
+  void on_topology_activated(const events::TopologyActivated& event) { own_.active_topology = event.version; }
+  void on_progress(const std::shared_ptr<const events::Progress>& counts) { progress_pager_.update(counts); }
+  void on_readiness(const events::Readiness& readiness) { own_.readiness = readiness; }
+  void on_stepping_down(const events::SteppingDown& event);
+  /// Goes out with the next heartbeat to its peer.
+  void on_attachment(const events::HeartbeatAttachment& event) { attachments_[event.peer] = event.value; }
 
-  EventSink<HeartbeatSent> heartbeat_sent;
-  EventSink<HeartbeatAttachment> attachment_received;
-  EventSink<PeerStatus> peer_status;
-  EventSink<JobCancelled> job_cancelled;
-  EventSink<CancellationsKnown> cancellations_known;
-  EventSink<StageAnnouncement> stage_announced;  ///< a peer is about to tell a user so
-  EventSink<StageAnnouncement> stage_confirmed;  ///< every peer knows that this node is
-  EventSink<std::shared_ptr<const Progress>> progress;
+  runtime::EventSink<events::HeartbeatSent> heartbeat_sent;
+  runtime::EventSink<events::HeartbeatAttachment> attachment_received;
+  runtime::EventSink<events::PeerStatus> peer_status;
+  runtime::EventSink<events::JobCancelled> job_cancelled;
+  runtime::EventSink<events::CancellationsKnown> cancellations_known;
+  runtime::EventSink<events::StageAnnouncement> stage_announced;  ///< a peer is about to tell a user so
+  runtime::EventSink<events::StageAnnouncement> stage_confirmed;  ///< every peer knows that this node is
+  runtime::EventSink<std::shared_ptr<const events::Progress>> progress;
 
  private:
+  enum class HeartbeatScope {
+    full,
+    urgent  ///< without task counts, and not to peers that do not answer
+  };
   void send_heartbeats();
-  /// To all peers; `only_news`: without what can wait for the next beat, and not to those that answer
-  /// nothing.
-  void send_to_peers(bool only_news = false);
-  Value write_heartbeat(const std::string& peer);
-  void write_progress(const std::string& peer, Value::Map& out);
-  bool progress_sent() const;
-  void merge_progress(const Value& value);
+  void send_to_peers(HeartbeatScope scope);
   void send_urgent();
-  /// Whether there are no more announcements of the peer than are known here by now.
-  bool merge_announcements(const std::string& node, const Value& value);
-  void log_refused_field(const std::string& node, const std::string& fault);
-  void merge_cancellations(const std::string& node, const Value& value, std::optional<Instant> asked);
+  void send_urgent_now();
+  [[nodiscard]] value::Value::Map write_heartbeat(const std::string& peer);
+  [[nodiscard]] bool abstains() const { return runtime_.now() < abstain_until_; }
+
+  /// `asked_at`: when the request was sent that the heartbeat answers; empty: it came by itself, and may be a
+  /// delayed copy.
+  void read_heartbeat(const value::Value& value, std::optional<Instant> asked_at);
+  bool accept_number(const std::string& node, const value::Value& value, bool is_answer);
+  void merge_cancellations(const std::string& node, const value::Value& value,
+                           std::optional<Instant> asked_at);
+  [[nodiscard]] bool merge_announcements(const std::string& node, const value::Value& value);
+  void log_refused_field(const std::string& node, const std::string& error);
   void publish_known();
-  bool abstains() const { return runtime_.now() < abstain_until_; }
-  /// What a peer says. `asked`: when the question went out that this answers; nothing: it came by itself, and
-  /// may be a copy that is late.
-  void read_heartbeat(const Value& value, std::optional<Instant> asked);
-  bool is_newer(const std::string& node, const Value& value, bool answer);
 
-  Runtime& runtime_;
-  const Settings& settings_;
-  TermChanged term_;
-  bool kv_reachable_ = false;
-  topology::TopologyVersion own_topology_;
-  topology::TopologyVersion active_topology_;
-  bool receives_reports_ = false;
+  runtime::Runtime& runtime_;
+  const settings::Settings& settings_;
+  events::PeerStatus own_;  ///< what this node says of itself; `abstains` is set when it is written
   std::uint64_t incarnation_;
   CancellationLog cancellations_;
   ReplicatedLog announcements_;
-  std::map<std::string, int> unanswered_;             ///< heartbeats under way, by peer
-  Instant last_urgent_{};                             ///< when the peers were last told at once
-  bool urgent_scheduled_ = false;                     ///< they will be in a moment
-  std::set<std::string> logged_refusals_;             ///< peer and field of what was refused, each told once
-  std::shared_ptr<const Progress> pending_progress_;  ///< goes out with the next beats
-  bool progress_sorted_ = false;                      ///< its rows are sorted by job
-  /// How far a peer has been sent the task counts: up to this job, or all of them.
-  struct ProgressCursor {
-    std::string after;
-    bool finished = false;
-  };
-  std::map<std::string, ProgressCursor> progress_cursors_;
-  std::map<std::string, Value> attachments_;  ///< by peer: likewise
-  Readiness readiness_ = Readiness::cold;
+  ProgressPager progress_pager_;
+  std::map<std::string, value::Value> attachments_;  ///< for the next heartbeat, by peer
+  std::map<std::string, int> unanswered_;            ///< heartbeats that a peer has not answered yet
+  Instant last_urgent_{};                            ///< when urgent news was last sent
+  bool urgent_scheduled_ = false;                    ///< some will be, within the pause between two
   Instant abstain_until_{};
-  std::string successor_;
-  /// By which a peer tells this node's words in order, over its lives as well: time of day when it began, and
-  /// a count.
-  std::uint64_t started_wall_ms_ = 0;
-  std::uint64_t heartbeat_count_ = 0;
-  std::map<std::string, std::pair<std::uint64_t, std::uint64_t>>
-      newest_heartbeat_;  ///< the newest word of each peer
+  HeartbeatNumber sent_number_;                             ///< of the newest heartbeat sent
+  std::map<std::string, HeartbeatNumber> newest_received_;  ///< by peer
+  std::set<std::string> logged_refusals_;                   ///< peer and error, each of which is logged once
 };
 
 }  // namespace wrenusher::membership
--- /dev/null
+++ b/src/membership/peer_table.cpp
@@ -0,0 +1,83 @@
+#include "wrenusher/membership/peer_table.hpp"
+
+#include <algorithm>
+#include <tuple>
+
+namespace wrenusher::membership {
+
+namespace {
+
+/// How long a peer's status counts.
+constexpr time::Micros kStatusFreshness = time::from_seconds(1.6);
+
+}  // namespace
+
+void PeerTable::update(const PeerStatus& status) {
+  Entry& entry = peers_[status.node];
+  entry.status = status;
+  // Only an answer proves that the peer is there: a heartbeat that comes by itself may be long delayed.
+  if (status.asked_at) entry.seen_at = std::max(entry.seen_at, *status.asked_at);
+  last_heartbeat_ = std::max(last_heartbeat_, entry.seen_at);
+}
+
+bool PeerTable::is_fresh(const Entry& entry) const {
+  return runtime_.now() - entry.seen_at < kStatusFreshness;
+}
+
+bool PeerTable::is_candidate(const Entry& entry) const {
+  return is_fresh(entry) && entry.status.kv_reachable && !entry.status.abstains;
+}
+
+PeerTable::Reachability PeerTable::reachability() const {
+  Reachability result;
+  for (const auto& [name, entry] : peers_) {
+    if (!is_fresh(entry)) continue;
+    result.any_peer = true;
+    result.kv_reachable = result.kv_reachable || entry.status.kv_reachable;
+    result.receives_reports = result.receives_reports || entry.status.receives_reports;
+  }
+  return result;
+}
+
+int PeerTable::candidates_ahead(const std::string& node, Readiness readiness) const {
+  std::string successor;
+  for (const auto& [name, entry] : peers_) {
+    if (is_fresh(entry) && entry.status.abstains && !entry.status.successor.empty())
+      successor = entry.status.successor;
+  }
+  // The named successor first, then by readiness, then by name.
+  const auto rank = [&](const std::string& name, Readiness its_readiness) {
+    return std::tuple(name == successor ? 0 : 1, -static_cast<int>(its_readiness), name);
+  };
+  const auto own_rank = rank(node, readiness);
+  return static_cast<int>(std::count_if(peers_.begin(), peers_.end(), [&](const auto& peer) {
+    return is_candidate(peer.second) && rank(peer.first, peer.second.status.readiness) < own_rank;
+  }));
+}
+
+bool PeerTable::has_warm_candidate() const {
+  return std::any_of(peers_.begin(), peers_.end(), [&](const auto& peer) {
+    return is_candidate(peer.second) && peer.second.status.readiness == Readiness::warm;
+  });
+}
+
+bool PeerTable::has_topology(const topology::TopologyVersion& version) const {
+  return std::any_of(peers_.begin(), peers_.end(), [&](const auto& peer) {
+    const PeerStatus& status = peer.second.status;
+    return is_fresh(peer.second) && status.kv_reachable && status.topology == version;
+  });
+}
+
+std::string PeerTable::best_successor(const Predicate& fits) const {
+  std::string successor;
+  Readiness best = Readiness::cold;
+  for (const auto& [name, entry] : peers_) {
+    if (!is_candidate(entry) || !fits(entry.status)) continue;
+    if (!successor.empty() && entry.status.readiness <= best) continue;
+    successor = name;
+    best = entry.status.readiness;
+  }
+  return successor;
+}
+
+}  // namespace wrenusher::membership
--- a/src/membership/replicated_log.cpp
+++ b/src/membership/replicated_log.cpp
@@ -1,55 +1,62 @@
 #include "wrenusher/membership/replicated_log.hpp"
 
 #include <algorithm>
-#include <tuple>
 #include <utility>
 
 namespace wrenusher::membership {
 
 namespace {
-/// A page: rows of one heartbeat, which may have 64 KiB for all that it carries, and their bytes. The next
-/// brings the rest.
+
+/// One page: rows and bytes of one heartbeat, which may have 64 KiB for all that it carries. The next
+/// heartbeat brings the rest.
 constexpr std::size_t kMaxRowsPerHeartbeat = 1000;
-constexpr std::size_t kMaxRowBytes = 16 * 1024;
-/// A row's length, before its text.
-constexpr std::size_t kRowHead = 2;
+constexpr std::size_t kMaxRowBytes = std::size_t{16} * 1024;
+/// A row's CBOR head, before its text.
+constexpr std::size_t kRowHeadBytes = 2;
 
-std::optional<std::vector<std::uint64_t>> read_counts(const Value& value, std::size_t n) {
+std::optional<std::vector<std::uint64_t>> read_counts(const Value& value, std::size_t size) {
   const Value::List* list = value.list();
-  if (list == nullptr || list->size() != n) return std::nullopt;
-  std::vector<std::uint64_t> out;
-  for (const Value& x : *list) {
-    if (!x.count()) return std::nullopt;
-    out.push_back(*x.count());
+  if (list == nullptr || list->size() != size) return std::nullopt;
+  std::vector<std::uint64_t> counts;
+  counts.reserve(size);
+  for (const Value& item : *list) {
+    if (!item.count()) return std::nullopt;
+    counts.push_back(*item.count());
   }
-  return out;
+  return counts;
+}
+
+std::string refusal(const std::string& field, const std::string& why) {
+  return field + ": " + why;
 }
 
 }  // namespace
 
-ReplicatedLog::ReplicatedLog(std::uint64_t life, const std::vector<std::string>& peers, Options options)
-    : incarnation_(life), options_(std::move(options)) {
-  for (const std::string& p : peers) peers_[p];
+ReplicatedLog::ReplicatedLog(std::uint64_t incarnation, const std::vector<std::string>& peers,
+                             Options options)
+    : incarnation_(incarnation), options_(std::move(options)) {
+  for (const std::string& peer : peers) peers_[peer];
 }
 
 void ReplicatedLog::add(std::string row, Instant now) {
   rows_.push_back({std::move(row), now});
-  trim_confirmed();
+  trim();
 }
 
 std::vector<std::string> ReplicatedLog::take_confirmed() {
   return std::exchange(confirmed_, {});
 }
 
-void ReplicatedLog::trim_confirmed() {
-  std::uint64_t all_have = last_number();
-  for (const auto& [name, p] : peers_) all_have = std::min(all_have, p.confirmed_through);
-  const auto beyond = [this] {
+void ReplicatedLog::trim() {
+  std::uint64_t confirmed_by_all = last_number();
+  for (const auto& [name, peer] : peers_)
+    confirmed_by_all = std::min(confirmed_by_all, peer.confirmed_through);
+  const auto has_surplus = [this] {
     return rows_.size() > options_.max_rows &&
            rows_.back().added_at - rows_.front().added_at >= options_.keep_younger_than;
   };
-  while (!rows_.empty() && (first_number_ <= all_have || beyond())) {
-    if (first_number_ <= all_have) confirmed_.push_back(std::move(rows_.front().text));
+  while (!rows_.empty() && (first_number_ <= confirmed_by_all || has_surplus())) {
+    if (first_number_ <= confirmed_by_all) confirmed_.push_back(std::move(rows_.front().text));
     rows_.pop_front();
     ++first_number_;
   }
@@ -63,7 +70,7 @@
   Value::List rows;
   std::size_t bytes = 0;
   for (std::size_t i = from - first_number_; i < rows_.size() && rows.size() < kMaxRowsPerHeartbeat; ++i) {
-    bytes += rows_[i].text.size() + kRowHead;
+    bytes += rows_[i].text.size() + kRowHeadBytes;
     if (bytes > kMaxRowBytes) break;
     rows.emplace_back(rows_[i].text);
   }
@@ -73,49 +80,67 @@
                    Value::List{position->second.incarnation, position->second.received_through});
 }
 
+std::string ReplicatedLog::read_rows(const Value& value, std::vector<std::string>& out) const {
+  const Value& rows = value[options_.fields.rows];
+  if (rows.is_null()) return {};
+  const std::string why = std::string("must be a list of ") + options_.row_noun;
+  if (rows.list() == nullptr) return refusal(options_.fields.rows, why);
+  for (const Value& row : *rows.list()) {
+    if (row.text() == nullptr || !options_.is_valid(*row.text())) return refusal(options_.fields.rows, why);
+    out.push_back(*row.text());
+  }
+  return {};
+}
+
+std::string ReplicatedLog::read_numbers(const Value& value, std::size_t row_count,
+                                        const PeerPosition& position, HeartbeatNumbers& out) const {
+  const FieldNames& fields = options_.fields;
+  const auto range = read_counts(value[fields.range], 3);
+  if (!range) return refusal(fields.range, "must be three numbers");
+  out.incarnation = (*range)[0];
+  out.first = (*range)[1];
+  out.last = (*range)[2];
+  if (out.incarnation == 0 || out.first == 0 || out.last < out.first - 1 ||
+      out.last - (out.first - 1) < row_count)
+    return refusal(fields.range, "its numbers don't fit the list");
+  const auto received = read_counts(value[fields.received], 2);
+  if (!received) return refusal(fields.received, "must be two numbers");
+  out.confirmed_incarnation = (*received)[0];
+  out.confirmed_through = (*received)[1];
+  if (out.confirmed_incarnation == incarnation_ && out.confirmed_through > last_number())
+    return refusal(fields.received, "names more than there is");
+  if (out.incarnation == position.incarnation && out.last < position.received_through)
+    return refusal(fields.range, "has fewer rows than it had before");
+  return {};
+}
+
 ReplicatedLog::MergeResult ReplicatedLog::merge(const std::string& peer, const Value& value) {
-  MergeResult out;
-  const auto refuse = [&](const std::string& field, const std::string& why) {
-    out.rows.clear();
-    out.error = field + ": " + why;
-    return out;
+  const auto refused = [](std::string error) {
+    MergeResult result;
+    result.error = std::move(error);
+    return result;
   };
-  const FieldNames& f = options_.fields;
   const auto it = peers_.find(peer);
-  if (it == peers_.end()) return refuse("node", "is none of the peers");
+  if (it == peers_.end()) return refused(refusal("node", "is none of the peers"));
   PeerPosition& position = it->second;
-  if (const Value& rows = value[f.rows]; !rows.is_null()) {
-    const std::string why = std::string("must be a list of ") + options_.row_noun;
-    if (rows.list() == nullptr) return refuse(f.rows, why);
-    for (const Value& r : *rows.list()) {
-      if (r.text() == nullptr || !options_.is_valid(*r.text())) return refuse(f.rows, why);
-      out.rows.push_back(*r.text());
-    }
-  }
-  if (value[f.range].is_null()) return out;  // an earlier version of the program numbers nothing
-  const auto log = read_counts(value[f.range], 3);
-  if (!log) return refuse(f.range, "must be three numbers");
-  const auto [life, from, last_told] = std::tuple((*log)[0], (*log)[1], (*log)[2]);
-  if (life == 0 || from == 0 || last_told < from - 1 || last_told - (from - 1) < out.rows.size())
-    return refuse(f.range, "its numbers don't fit the list");
-  const auto got = read_counts(value[f.received], 2);
-  if (!got) return refuse(f.received, "must be two numbers");
-  if ((*got)[0] == incarnation_ && (*got)[1] > last_number())
-    return refuse(f.received, "names more than there is");
-  if (life == position.incarnation && last_told < position.received_through)
-    return refuse(f.range, "tells fewer than it did");
-  out.numbered = true;
-  if (life != position.incarnation || from > position.received_through + 1) {
-    out.continuous = false;
-    position.incarnation = life;
-    position.received_through = from - 1;
+  MergeResult result;
+  if (std::string error = read_rows(value, result.rows); !error.empty()) return refused(std::move(error));
+  if (value[options_.fields.range].is_null()) return result;  // versions up to 0.6 number nothing
+  HeartbeatNumbers numbers;
+  if (std::string error = read_numbers(value, result.rows.size(), position, numbers); !error.empty())
+    return refused(std::move(error));
+  result.numbered = true;
+  if (numbers.incarnation != position.incarnation || numbers.first > position.received_through + 1) {
+    result.continuous = false;
+    position.incarnation = numbers.incarnation;
+    position.received_through = numbers.first - 1;
   }
-  position.received_through = std::max(position.received_through, from - 1 + out.rows.size());
-  out.complete = position.received_through >= last_told;
-  // What another life of this node had told is nothing that it has of this one's.
-  position.confirmed_through = (*got)[0] == incarnation_ ? (*got)[1] : 0;
-  trim_confirmed();
-  return out;
+  position.received_through = std::max(position.received_through, numbers.first - 1 + result.rows.size());
+  result.complete = position.received_through >= numbers.last;
+  // What the peer had confirmed to an earlier incarnation of this node says nothing about this one's rows.
+  position.confirmed_through = numbers.confirmed_incarnation == incarnation_ ? numbers.confirmed_through : 0;
+  trim();
+  return result;
 }
 
 }  // namespace wrenusher::membership
--- a/tests/cancelled_test.cpp
+++ b/tests/cancelled_test.cpp
@@ -546,8 +546,8 @@
   };
   exchange(b, "b", 10);
   b.on_read(at(20));
-  for (int i = 0; i < 2500; ++i) EXPECT_TRUE(teller.record_told("req-" + std::to_string(100000 + i), at(30)));
-  EXPECT_FALSE(teller.record_told("req-100000", at(31)));
+  for (int i = 0; i < 2500; ++i) EXPECT_TRUE(teller.record("req-" + std::to_string(100000 + i), at(30)));
+  EXPECT_FALSE(teller.record("req-100000", at(31)));
   EXPECT_EQ(exchange(b, "b", 40), 1000U);
   EXPECT_EQ(exchange(b, "b", 50), 1000U);
   EXPECT_EQ(b.known_through(), at(20));
@@ -621,7 +621,7 @@
       case 1: {
         const std::string job_id = "req-" + std::to_string(1000 + ms);
         stored.insert(job_id);
-        teller->record_told(job_id, at(ms));
+        teller->record(job_id, at(ms));
         told.emplace_back(at(ms), job_id);
         break;
       }
