--- /dev/null
+++ b/src/replica/hint_row.cpp
@@ -0,0 +1,200 @@
+#include "wrenusher/replica/hint_row.hpp"
+
+#include <xxhash.h>
+
+#include <cmath>
+#include <utility>
+
+#include "wrenusher/protocol/messages.hpp"
+#include "wrenusher/replica/row_reader.hpp"
+
+namespace wrenusher::replica {
+
+using events::JobClassHint;
+using events::JobHint;
+using events::MachineHint;
+using events::RentalHint;
+using events::RentalRequestHint;
+using protocol::kMaxTasksPerJob;
+using time::Micros;
+using time::to_seconds;
+using value::Value;
+
+namespace {
+
+// Limits beyond which a receiver refuses a row.
+/// Items in a list and counts of machines: above every machine of the largest deployment (11,000). What
+/// bounds the size of a row is its sender: a job's row has three machines at most (reconciler), a rental
+/// request fifty (PROTOCOL).
+constexpr std::size_t kMaxItems = 24000;
+constexpr double kMaxSeconds = 7 * 86400;
+constexpr double kMaxGb = 1e6;
+/// Of logarithms of (actual / expected) run times: of one machine, and summed over the tasks of a job.
+constexpr double kMaxSlowness = 3;
+constexpr double kMaxSampleSum = 1e7;
+
+/// A machine's slowness is worth publishing when it changes by 1/20.
+constexpr double kSlownessSteps = 20;
+
+std::uint64_t digest_of(const Value& value) {
+  const std::string bytes = encode(value);
+  return XXH3_64bits(bytes.data(), bytes.size());
+}
+
+Micros read_duration(RowReader& reader) {
+  return time::from_seconds(reader.number(-kMaxSeconds, kMaxSeconds));
+}
+
+/// What a read gave, unless the row is spoilt.
+template <typename Hint>
+std::optional<Hint> if_good(const RowReader& reader, Hint hint) {
+  return reader.good() ? std::optional(std::move(hint)) : std::nullopt;
+}
+
+}  // namespace
+
+std::string hint_key(HintKind kind, const std::string& name) {
+  return std::string(1, static_cast<char>(kind)) + name;
+}
+
+HintRow to_hint_row(const MachineHint& hint) {
+  Value::List images;
+  Value::List names;
+  for (const auto& image : hint.images) {
+    images.emplace_back(Value::List{image.image, image.gb});
+    names.emplace_back(image.image);
+  }
+  Value::List fetches;
+  for (const auto& fetch : hint.fetches) {
+    fetches.emplace_back(Value::List{fetch.image, fetch.size_gb, fetch.remaining_gb});
+    names.emplace_back(fetch.image);
+  }
+  Value::List failures;
+  for (const auto& failure : hint.failures) {
+    failures.emplace_back(Value::List{failure.job_id, to_seconds(failure.ago)});
+    names.emplace_back(failure.job_id);
+  }
+  // What changes all the time (how far a fetch is, which image was used last, whether there is room) goes
+  // along with the rest and is no reason to publish a row.
+  const std::uint64_t digest = digest_of(
+      Value::List{hint.address, hint.machine_type, hint.zone, hint.spot, hint.silent, hint.incarnation,
+                  std::int64_t{std::lround(hint.slowness * kSlownessSteps)},
+                  std::uint64_t{hint.images.size()}, std::uint64_t{hint.fetches.size()}, std::move(names)});
+  return {hint_key(HintKind::machine, hint.host),
+          Value::List{hint.address, hint.machine_type, hint.zone, hint.spot, hint.silent, hint.has_room,
+                      hint.incarnation, std::uint64_t(hint.speed_samples), hint.slowness, std::move(images),
+                      std::move(fetches), std::move(failures)},
+          digest};
+}
+
+HintRow to_hint_row(const JobClassHint& hint) {
+  Value::List samples;
+  samples.reserve(hint.jobs.size());
+  for (const auto& sample : hint.jobs)
+    samples.emplace_back(Value::List{sample.job_id, sample.sum, sample.tasks});
+  Value value = Value::List{std::move(samples)};
+  const std::uint64_t digest = digest_of(value);
+  return {hint_key(HintKind::job_class, hint.job_class), std::move(value), digest};
+}
+
+HintRow to_hint_row(const JobHint& hint) {
+  Value::List hosts;
+  hosts.reserve(hint.hosts.size());
+  for (const auto& host : hint.hosts) hosts.emplace_back(Value::List{host});
+  const std::uint64_t digest = digest_of(Value::List{hosts, hint.retry_count});
+  return {hint_key(HintKind::job, hint.job_id),
+          Value::List{std::move(hosts), to_seconds(hint.retry_pause), hint.retry_count}, digest};
+}
+
+HintRow to_hint_row(const RentalHint& hint) {
+  const std::uint64_t digest = digest_of(Value::List{hint.machine_type, hint.zone, hint.spot});
+  return {
+      hint_key(HintKind::rental, hint.host),
+      Value::List{hint.machine_type, hint.zone, hint.spot, to_seconds(hint.age), to_seconds(hint.report_due)},
+      digest};
+}
+
+HintRow to_hint_row(const RentalRequestHint& hint) {
+  Value value = Value::List{hint.machine_type, hint.zone, hint.spot, std::uint64_t{hint.count}};
+  const std::uint64_t digest = digest_of(value);
+  return {hint_key(HintKind::rental_request, hint.name), std::move(value), digest};
+}
+
+std::optional<MachineHint> read_machine_hint(const std::string& name, const Value& value) {
+  RowReader reader(value, 12);
+  MachineHint hint;
+  hint.host = name;
+  hint.address = reader.text();
+  hint.machine_type = reader.text();
+  hint.zone = reader.text();
+  hint.spot = reader.flag();
+  hint.silent = reader.flag();
+  hint.has_room = reader.flag();
+  hint.incarnation = reader.count();
+  hint.speed_samples = static_cast<int>(reader.count(kMaxItems));
+  hint.slowness = reader.number(-kMaxSlowness, kMaxSlowness);
+  reader.each(2, kMaxItems, [&](RowReader& item) {
+    std::string image = item.text();
+    hint.images.push_back({std::move(image), item.number(0, kMaxGb)});
+  });
+  reader.each(3, kMaxItems, [&](RowReader& item) {
+    std::string image = item.text();
+    const double size_gb = item.number(0, kMaxGb);
+    hint.fetches.push_back({std::move(image), size_gb, item.number(0, kMaxGb)});
+  });
+  reader.each(2, kMaxItems, [&](RowReader& item) {
+    std::string job_id = item.text();
+    hint.failures.push_back({std::move(job_id), read_duration(item)});
+  });
+  return if_good(reader, std::move(hint));
+}
+
+std::optional<JobClassHint> read_job_class_hint(const std::string& name, const Value& value) {
+  RowReader reader(value, 1);
+  JobClassHint hint;
+  hint.job_class = name;
+  reader.each(3, kMaxItems, [&](RowReader& item) {
+    std::string job_id = item.text();
+    const double sum = item.number(-kMaxSampleSum, kMaxSampleSum);
+    const auto tasks = static_cast<int>(item.count(kMaxTasksPerJob));
+    if (tasks == 0) return;
+    hint.jobs.push_back({std::move(job_id), sum, tasks});
+  });
+  return if_good(reader, std::move(hint));
+}
+
+std::optional<JobHint> read_job_hint(const std::string& name, const Value& value) {
+  RowReader reader(value, 3);
+  JobHint hint;
+  hint.job_id = name;
+  reader.each(1, kMaxItems, [&](RowReader& item) { hint.hosts.push_back(item.text()); });
+  hint.retry_pause = read_duration(reader);
+  hint.retry_count = static_cast<int>(reader.count(kMaxItems));
+  return if_good(reader, std::move(hint));
+}
+
+std::optional<RentalHint> read_rental_hint(const std::string& name, const Value& value) {
+  RowReader reader(value, 5);
+  RentalHint hint;
+  hint.host = name;
+  hint.machine_type = reader.text();
+  hint.zone = reader.text();
+  hint.spot = reader.flag();
+  hint.age = read_duration(reader);
+  hint.report_due = read_duration(reader);
+  return if_good(reader, std::move(hint));
+}
+
+std::optional<RentalRequestHint> read_rental_request_hint(const std::string& name, const Value& value) {
+  RowReader reader(value, 4);
+  RentalRequestHint hint;
+  hint.name = name;
+  hint.machine_type = reader.text();
+  hint.zone = reader.text();
+  hint.spot = reader.flag();
+  hint.count = static_cast<std::uint32_t>(reader.count(kMaxItems));
+  if (hint.count == 0) return std::nullopt;
+  return if_good(reader, std::move(hint));
+}
+
+}  // namespace wrenusher::replica
--- a/src/replica/record_replica.cpp
+++ b/src/replica/record_replica.cpp
@@ -1,106 +1,107 @@
 #include "wrenusher/replica/record_replica.hpp"
 
 #include <algorithm>
+#include <utility>
 
 #include "wrenusher/log/log.hpp"
 
 namespace wrenusher::replica {
 
+using kv_client::Deletion;
+using kv_client::KeyValue;
+using kv_client::ReadReply;
+using kv_client::WatchReply;
+using records::RecordSnapshot;
+using time::from_millis;
+using time::from_seconds;
+
 namespace {
 
-/// A page is decoded in one go, while users' requests wait.
-constexpr int kPage = 100;
+/// Rows of a page, which is decoded in one go while users' requests wait.
+constexpr int kPageRows = 100;
 constexpr Micros kPagePause = from_millis(100);
-constexpr Micros kRetry = from_millis(700);
-constexpr Micros kDepartedMemory = from_seconds(4);
-/// Between two follows at least, and the part of the whole pace that the two of a node may take.
-constexpr Micros kFollowPause = from_millis(400);
-constexpr double kPacePart = 0.03;
-/// After a doubt nothing is read for so long.
-constexpr Micros kDoubtPause = from_seconds(2);
-constexpr Micros kReplicaFreshness = from_seconds(8);
+constexpr Micros kRetryPause = from_millis(700);
+/// How long one watch waits for a change.
+constexpr Micros kWatchTimeout = from_seconds(4);
+/// Pause between two watches at least, and the part of the service's whole request rate that the two
+/// partitions of a node may take.
+constexpr Micros kMinWatchPause = from_millis(400);
+constexpr double kRateShare = 0.03;
+/// After the replica was discarded nothing is read for so long.
+constexpr Micros kDiscardPause = from_seconds(2);
+/// A replica that was not known to be current for so long is not complete.
+constexpr Micros kMaxAge = from_seconds(8);
+
+/// Whether the changes are those of the prefix after the revision, as was asked for.
+bool fits(const WatchReply& reply, const std::string& prefix, std::uint64_t after_revision) {
+  const auto is_expected = [&](const auto& change) {
+    return change.mod_revision > after_revision && change.mod_revision <= reply.revision &&
+           change.key.starts_with(prefix);
+  };
+  return reply.revision >= after_revision && std::all_of(reply.puts.begin(), reply.puts.end(), is_expected) &&
+         std::all_of(reply.deletes.begin(), reply.deletes.end(), is_expected);
+}
 
 }  // namespace
 
-bool apply_put(records::RecordSnapshot& snapshot, const KeyValue& row) {
-  if (const auto job_id = records::parse_job_key(row.key)) {
-    auto rec = records::read_job(row.value);
-    if (!rec) return false;
-    records::RecordSnapshot::StoredJob& root = snapshot.jobs[*job_id];
-    if (row.mod_revision >= root.mod_revision) root = {std::move(*rec), row.mod_revision};
-    return true;
-  }
-  const auto slot = records::parse_shard_key(row.key);
-  if (!slot) return false;
-  std::size_t unreadable = 0;
-  auto blocks = records::read_shard(row.value, *slot, unreadable);
-  if (!blocks || unreadable > 0) return false;
-  records::RecordSnapshot::Shard& there = snapshot.shards[*slot];
-  if (row.mod_revision >= there.mod_revision) there = {row.mod_revision, std::move(*blocks)};
-  return true;
-}
-
-void apply_delete(records::RecordSnapshot& snapshot, const std::string& key, std::uint64_t mod_revision) {
-  if (const auto job_id = records::parse_job_key(key)) {
-    const auto it = snapshot.jobs.find(*job_id);
-    if (it != snapshot.jobs.end() && it->second.mod_revision < mod_revision) snapshot.jobs.erase(it);
-  } else if (const auto slot = records::parse_shard_key(key)) {
-    const auto it = snapshot.shards.find(*slot);
-    if (it != snapshot.shards.end() && it->second.mod_revision < mod_revision) snapshot.shards.erase(it);
-  }
+std::array<RecordReplica::Partition, 2> RecordReplica::empty_partitions() {
+  std::array<Partition, 2> partitions;
+  partitions.front().prefix = records::kJobPrefix;
+  partitions.back().prefix = records::kShardPrefix;
+  return partitions;
 }
 
 void RecordReplica::start() {
   stop();
   running_ = true;
-  load_page(partitions_[0]);
+  load_page(job_partition());
 }
 
 void RecordReplica::stop() {
   ++generation_;
   running_ = false;
   data_ = {};
-  // With the data goes the word that it is all there.
-  for (Partition& partition : partitions_) partition = {partition.prefix, 0, {}, {}, false, {}, {}};
+  partitions_ = empty_partitions();
 }
 
 bool RecordReplica::complete() const {
   return running_ && std::all_of(partitions_.begin(), partitions_.end(), [this](const Partition& partition) {
-           return partition.loaded && runtime_.now() - partition.current_at < kReplicaFreshness;
+           return partition.loaded && runtime_.now() - partition.current_at < kMaxAge;
          });
 }
 
-/// Something does not fit: better nothing than a copy that is wrong.
-void RecordReplica::discard(const char* why) {
-  log::info("standby_cold", "the copy of the records is thrown away: {reason}", log::with("reason", why));
-  stop();
-  running_ = true;
-  runtime_.after(kDoubtPause, [this, generation = generation_] {
-    if (generation == generation_) start();
+void RecordReplica::after(Micros pause, std::function<void()> action) {
+  runtime_.after(pause, [this, generation = generation_, action = std::move(action)] {
+    if (generation == generation_) action();
   });
 }
 
-Micros RecordReplica::pause() const {
-  return std::max(kFollowPause, from_seconds(2 / (settings_.state_rps * kPacePart)));
+/// Something does not fit: no replica is better than a wrong one.
+void RecordReplica::discard(const char* reason) {
+  log::info("replica_discarded", "the replica of the records is discarded: {reason}",
+            log::with("reason", reason));
+  stop();
+  running_ = true;
+  after(kDiscardPause, [this] { start(); });
 }
 
+// ---------------------------------------------------------------- reading by pages
+
 void RecordReplica::load_page(Partition& partition) {
   if (!partition.first_revision) partition.asked_at = runtime_.now();
-  store_.list(partition.prefix, partition.next_key, kPage, KvClient::RequestClass::background,
+  store_.list(partition.prefix, partition.next_key, kPageRows, KvClient::RequestClass::background,
               [this, &partition, generation = generation_](const ReadReply& page) {
                 if (generation != generation_) return;
                 if (page.result == ReadReply::Result::ok) {
                   on_page(partition, page);
-                  return;
+                } else {
+                  after(kRetryPause, [this, &partition] { load_page(partition); });
                 }
-                runtime_.after(kRetry, [this, &partition, generation] {
-                  if (generation == generation_) load_page(partition);
-                });
               });
 }
 
 void RecordReplica::on_page(Partition& partition, const ReadReply& page) {
-  // What changes while the pages are read is followed from the first one's revision.
+  // Changes made while the pages are read are watched from the first one's revision on.
   if (!partition.first_revision) partition.first_revision = page.revision;
   if (page.revision < *partition.first_revision) {
     discard("the state service went back to an earlier revision");
@@ -114,67 +115,62 @@
     partition.next_key = row.key;
   }
   if (page.truncated && !page.rows.empty()) {
-    runtime_.after(kPagePause, [this, &partition, generation = generation_] {
-      if (generation == generation_) load_page(partition);
-    });
+    after(kPagePause, [this, &partition] { load_page(partition); });
     return;
   }
+  on_loaded(partition);
+}
+
+void RecordReplica::on_loaded(Partition& partition) {
   partition.loaded = true;
   partition.applied_revision = *partition.first_revision;
   partition.current_at = runtime_.now();
-  if (&partition == &partitions_[0] && on_jobs) {
+  const bool is_jobs = &partition == &job_partition();
+  if (is_jobs && cancellations_read) {
     std::vector<std::string> cancelled;
-    for (const auto& [ref, root] : data_.jobs) {
-      if (root.record.cancelled) cancelled.push_back(ref);
+    for (const auto& [job_id, job] : data_.jobs) {
+      if (job.record.cancelled) cancelled.push_back(job_id);
     }
-    on_jobs(partition.asked_at, std::move(cancelled));
+    cancellations_read(partition.asked_at, std::move(cancelled));
   }
   watch(partition);
-  if (&partition == &partitions_[0]) load_page(partitions_[1]);
+  if (is_jobs) load_page(shard_partition());
 }
 
-void RecordReplica::publish_jobs(const Partition& partition, Instant asked,
-                                 const std::vector<KeyValue>& puts) {
-  if (&partition != &partitions_[0] || !on_jobs) return;
-  std::vector<std::string> cancelled;
-  for (const KeyValue& row : puts) {
-    if (auto job_id = records::cancelled_job(row.key, row.value)) cancelled.push_back(std::move(*job_id));
-  }
-  on_jobs(asked, std::move(cancelled));
+// ---------------------------------------------------------------- watching
+
+Micros RecordReplica::watch_pause() const {
+  const auto partition_count = static_cast<double>(partitions_.size());
+  return std::max(kMinWatchPause, from_seconds(partition_count / (settings_.state_rps * kRateShare)));
 }
 
 void RecordReplica::watch(Partition& partition) {
-  store_.watch(partition.prefix, partition.applied_revision, kDepartedMemory,
-               KvClient::RequestClass::background,
-               [this, &partition, generation = generation_, asked = runtime_.now()](const WatchReply& reply) {
-                 if (generation != generation_ || !apply(partition, reply)) return;
-                 const bool good = reply.result == WatchReply::Result::ok;
-                 if (good) publish_jobs(partition, asked, reply.puts);
-                 runtime_.after(good ? pause() : kRetry, [this, &partition, generation] {
-                   if (generation == generation_) watch(partition);
-                 });
-               });
+  store_.watch(
+      partition.prefix, partition.applied_revision, kWatchTimeout, KvClient::RequestClass::background,
+      [this, &partition, generation = generation_, asked_at = runtime_.now()](const WatchReply& reply) {
+        if (generation != generation_ || !apply(partition, reply)) return;
+        const bool is_ok = reply.result == WatchReply::Result::ok;
+        if (is_ok && &partition == &job_partition()) publish_cancellations(asked_at, reply.puts);
+        after(is_ok ? watch_pause() : kRetryPause, [this, &partition] { watch(partition); });
+      });
 }
 
-/// Brings a part up to what a follow brought; false, and the copy is thrown away, when it does not fit.
 bool RecordReplica::apply(Partition& partition, const WatchReply& reply) {
-  if (reply.result == WatchReply::Result::failed) return true;
-  if (reply.result == WatchReply::Result::too_old || reply.result == WatchReply::Result::too_large) {
-    discard(reply.result == WatchReply::Result::too_old ? "the state service has the changes no more"
-                                                        : "too much has changed since it was last followed");
-    return false;
+  switch (reply.result) {
+    case WatchReply::Result::ok:
+      break;
+    case WatchReply::Result::failed:
+      return true;
+    case WatchReply::Result::too_old:
+      discard("the state service does not have the changes any more");
+      return false;
+    case WatchReply::Result::too_large:
+      discard("too much has changed since the last watch");
+      return false;
   }
-  // A service that began anew counts from an earlier revision, or tells changes that nobody asked for.
-  bool fits = reply.revision >= partition.applied_revision;
-  const auto within = [&](std::uint64_t mod_revision) {
-    return mod_revision > partition.applied_revision && mod_revision <= reply.revision;
-  };
-  for (const KeyValue& row : reply.puts)
-    fits = fits && within(row.mod_revision) && row.key.starts_with(partition.prefix);
-  for (const auto& [key, stamp] : reply.deletes)
-    fits = fits && within(stamp) && key.starts_with(partition.prefix);
-  if (!fits) {
-    discard("the state service tells changes of other revisions than were asked for");
+  if (!fits(reply, partition.prefix, partition.applied_revision)) {
+    // A service that began anew counts from an earlier revision, or sends changes that nobody asked for.
+    discard("the state service sends changes of other revisions than were asked for");
     return false;
   }
   for (const KeyValue& row : reply.puts) {
@@ -183,46 +179,63 @@
       return false;
     }
   }
-  for (const auto& [key, stamp] : reply.deletes) apply_delete(data_, key, stamp);
+  for (const Deletion& deletion : reply.deletes) apply_delete(data_, deletion.key, deletion.mod_revision);
   partition.applied_revision = reply.revision;
   partition.current_at = runtime_.now();
-  if (&partition == &partitions_[0] && on_followed) {
-    events::RecordsChanged followed;
-    for (const KeyValue& row : reply.puts) followed.put(row.key, row.value);
-    for (const auto& [key, stamp] : reply.deletes) followed.erase(key);
-    on_followed(followed);
-  }
+  if (&partition == &job_partition()) publish_changes(reply);
   return true;
 }
 
-void RecordReplica::hand_over(std::uint64_t least,
-                              std::function<void(std::shared_ptr<records::RecordSnapshot>)> done) {
+void RecordReplica::publish_changes(const WatchReply& reply) const {
+  if (!records_changed) return;
+  events::RecordsChanged changes;
+  for (const KeyValue& row : reply.puts) changes.put(row.key, row.value);
+  for (const Deletion& deletion : reply.deletes) changes.erase(deletion.key);
+  records_changed(changes);
+}
+
+void RecordReplica::publish_cancellations(Instant asked_at, const std::vector<KeyValue>& puts) const {
+  if (!cancellations_read) return;
+  std::vector<std::string> cancelled;
+  for (const KeyValue& row : puts) {
+    if (auto job_id = records::cancelled_job(row.key, row.value)) cancelled.push_back(std::move(*job_id));
+  }
+  cancellations_read(asked_at, std::move(cancelled));
+}
+
+// ---------------------------------------------------------------- handing over
+
+void RecordReplica::hand_over(std::uint64_t min_revision, const SnapshotHandler& done) {
   if (!complete()) {
     stop();
     done(nullptr);
     return;
   }
-  // Follows that are open belong to the past from here on.
-  const std::uint64_t generation = ++generation_;
+  // The replies to watches under way are not waited for.
+  ++generation_;
   running_ = false;
-  auto left = std::make_shared<int>(2);
+  const auto hand_over = std::make_shared<HandOver>(HandOver{min_revision, done, partitions_.size()});
   for (Partition& partition : partitions_) {
-    store_.watch(
-        partition.prefix, partition.applied_revision, Micros{0}, KvClient::RequestClass::scheduling,
-        [this, &partition, least, left, done, generation](const WatchReply& reply) {
-          if (generation != generation_) return;
-          if (reply.result != WatchReply::Result::ok || reply.revision < least || !apply(partition, reply)) {
-            stop();
-            done(nullptr);
-            return;
-          }
-          if (--*left > 0) return;
-          auto out = std::make_shared<records::RecordSnapshot>(std::move(data_));
-          out->revision = partitions_[0].applied_revision;
-          stop();
-          done(std::move(out));
-        });
+    store_.watch(partition.prefix, partition.applied_revision, Micros{0}, KvClient::RequestClass::scheduling,
+                 [this, &partition, hand_over, generation = generation_](const WatchReply& reply) {
+                   if (generation == generation_) on_last_changes(partition, hand_over, reply);
+                 });
+  }
+}
+
+void RecordReplica::on_last_changes(Partition& partition, const std::shared_ptr<HandOver>& hand_over,
+                                    const WatchReply& reply) {
+  const bool is_current = reply.result == WatchReply::Result::ok && reply.revision >= hand_over->min_revision;
+  if (!is_current || !apply(partition, reply)) {
+    stop();
+    hand_over->done(nullptr);
+    return;
   }
+  if (--hand_over->partitions_left > 0) return;
+  auto snapshot = std::make_shared<RecordSnapshot>(std::move(data_));
+  snapshot->revision = job_partition().applied_revision;
+  stop();
+  hand_over->done(std::move(snapshot));
 }
 
 }  // namespace wrenusher::replica
--- a/src/replica/standby_replica.cpp
+++ b/src/replica/standby_replica.cpp
@@ -1,26 +1,70 @@
 #include "wrenusher/replica/standby_replica.hpp"
 
-#include <algorithm>
+#include <set>
 #include <utility>
 
 #include "wrenusher/log/log.hpp"
 
 namespace wrenusher::replica {
 
+using events::CancellationsRead;
+using events::HeartbeatAttachment;
+using events::HeartbeatSent;
+using events::InheritedHints;
+using events::JobClassHint;
+using events::JobHint;
+using events::LeaderHints;
+using events::MachineDeparted;
+using events::MachineHint;
+using events::Readiness;
+using events::RecordsChanged;
+using events::RentalHint;
+using events::RentalHints;
+using events::RentalRequestHint;
+using events::ReplicaVerified;
+using events::SteppingDown;
+using events::TermChanged;
+using records::RecordSnapshot;
+using settings::PeerAddress;
+using time::from_millis;
+using time::from_seconds;
+using time::to_seconds;
+using value::Value;
+
 namespace {
 
 constexpr Micros kTick = from_millis(500);
-/// Hints that nobody confirmed to be all there are for so long are not all any more.
-constexpr Micros kHintsHold = from_seconds(5);
-/// A node that stays cold for so long says so, and again after as long.
-constexpr Micros kColdTooLong = from_seconds(60);
-/// Confirmations of one heartbeat; what is not confirmed comes again.
-constexpr std::size_t kMaxConfirmed = 8;
-/// Of an earlier life's hints nothing is worth more than this: images move, machines go.
-constexpr Micros kHintsLast = from_seconds(300);
+/// Hints that the leader has not called complete for so long are not complete any more; at the beginning of a
+/// term the former leader is silent, and they have twice as long.
+constexpr Micros kMaxHintAge = from_seconds(5);
+/// A node that stays cold for so long warns, and again after as long.
+constexpr Micros kColdWarning = from_seconds(60);
+/// Confirmations in one heartbeat; a message that is not confirmed comes again.
+constexpr std::size_t kMaxConfirmations = 8;
+/// Older hints of machines are not inherited: images move, machines go.
+constexpr Micros kMaxMachineHintAge = from_seconds(300);
 
-const char* readiness_name(Readiness event) {
-  return event == Readiness::warm ? "warm" : event == Readiness::part ? "half warm" : "cold";
+const char* readiness_name(Readiness readiness) {
+  switch (readiness) {
+    case Readiness::warm:
+      return "warm";
+    case Readiness::part:
+      return "partly warm";
+    case Readiness::cold:
+      break;
+  }
+  return "cold";
+}
+
+/// The numbers in a list; empty when it is none.
+std::vector<std::uint64_t> read_counts(const Value& value) {
+  std::vector<std::uint64_t> counts;
+  const Value::List* list = value.list();
+  if (list == nullptr) return counts;
+  for (const Value& item : *list) {
+    if (const auto count = item.count()) counts.push_back(*count);
+  }
+  return counts;
 }
 
 }  // namespace
@@ -31,188 +75,139 @@
       incarnation_(runtime.random()() | 1U),
       replica_(runtime, settings, store),
       verifier_(runtime, settings, store),
-      cold_since_(runtime.now()) {}
+      not_warm_since_(runtime.now()) {}
 
 void StandbyReplica::start() {
   if (!settings_.has_standby()) return;
-  replica_.on_jobs = [this](Instant asked, std::vector<std::string> cancelled) {
-    cancellations_read(CancellationsRead{asked, std::move(cancelled)});
+  replica_.cancellations_read = [this](Instant asked_at, std::vector<std::string> job_ids) {
+    cancellations_read(CancellationsRead{asked_at, std::move(job_ids)});
   };
-  replica_.on_followed = [this](const RecordsChanged& event) { records_changed(event); };
+  replica_.records_changed = [this](const RecordsChanged& event) { records_changed(event); };
   replica_.start();
   tick();
 }
 
+// ---------------------------------------------------------------- readiness
+
 Readiness StandbyReplica::readiness() const {
   if (term_.leading) return Readiness::warm;
-  const bool records = replica_.complete();
-  const bool hints = complete_from_ != 0 && runtime_.now() - complete_at_ < kHintsHold;
-  return records && hints ? Readiness::warm : records || hints ? Readiness::part : Readiness::cold;
+  const bool has_records = replica_.complete();
+  const bool has_hints = complete_from_ != 0 && runtime_.now() - complete_at_ < kMaxHintAge;
+  if (has_records && has_hints) return Readiness::warm;
+  return has_records || has_hints ? Readiness::part : Readiness::cold;
 }
 
 void StandbyReplica::tick() {
+  const Readiness current = readiness();
+  if (current != published_readiness_) publish_readiness(current);
+  warn_if_cold(current);
+  runtime_.after(kTick, [this] { tick(); });
+}
+
+void StandbyReplica::publish_readiness(Readiness readiness) {
+  published_readiness_ = readiness;
+  readiness_changed(readiness);
+  if (term_.leading) return;
+  log::info(
+      "standby_readiness",
+      "this standby is {state}: replica of {jobs} jobs and {shards} shards, hints of {machines} machines",
+      log::with("state", readiness_name(readiness)), log::with("jobs", replica_.jobs()),
+      log::with("shards", replica_.shards()), log::with("machines", hints_.machines()));
+}
+
+void StandbyReplica::warn_if_cold(Readiness readiness) {
   const Instant now = runtime_.now();
-  const Readiness event = readiness();
-  if (event != published_readiness_) {
-    published_readiness_ = event;
-    readiness_changed(event);
-    if (!term_.leading) {
-      log::info(
-          "standby",
-          "this node is {state}: {jobs} jobs and {slots} values of the records, hints of {machines} machines",
-          log::with("state", readiness_name(event)), log::with("jobs", replica_.jobs()),
-          log::with("slots", replica_.shards()), log::with("machines", hints_.machines()));
-    }
-  }
-  if (event == Readiness::warm) {
-    cold_since_ = now;
-  } else if (now - cold_since_ > kColdTooLong && now > warn_cold_at_) {
-    warn_cold_at_ = now + kColdTooLong;
-    log::warn("standby_behind",
-              "this node has been {state} for {seconds:.0f} s: records {records}, hints {hints}",
-              log::with("state", readiness_name(event)), log::with("seconds", to_seconds(now - cold_since_)),
-              log::with("records", replica_.complete() ? "copied" : "not copied"),
-              log::with("hints", complete_from_ != 0 ? "told" : "not told"));
+  if (readiness == Readiness::warm) {
+    not_warm_since_ = now;
+    return;
   }
-  runtime_.after(kTick, [this] { tick(); });
+  if (now - not_warm_since_ <= kColdWarning || now <= next_warning_) return;
+  next_warning_ = now + kColdWarning;
+  log::warn("standby_not_warm",
+            "this standby has been {state} for {seconds:.0f} s: records {records}, hints {hints}",
+            log::with("state", readiness_name(readiness)),
+            log::with("seconds", to_seconds(now - not_warm_since_)),
+            log::with("records", replica_.complete() ? "complete" : "incomplete"),
+            log::with("hints", complete_from_ != 0 ? "complete" : "incomplete"));
 }
 
 // ---------------------------------------------------------------- terms
 
 void StandbyReplica::on_term(const TermChanged& term) {
   if (!settings_.has_standby()) return;
-  const bool begins = term.leading && !(term_.leading && term_.fencing_token == term.fencing_token);
+  const bool begins = term.leading && !is_term(term.fencing_token);
   const bool ends = term_.leading && !term.leading;
   term_ = term;
   if (begins) {
     begin_term();
   } else if (ends) {
-    verifier_.stop();
-    // What it knew as leader is the newest hint there is, until the next leader tells it better.
-    hints_ = publisher_.table();
-    publisher_.end();
-    complete_from_ = 0;
-    replica_.start();
+    end_term();
   }
 }
 
-/// Hands over what is at hand, and has the records checked.
+/// Publishes the hints at hand, and has the records verified.
 void StandbyReplica::begin_term() {
   const Instant now = runtime_.now();
-  auto all = std::make_shared<InheritedHints>(hints_.inherited_hints(now));
-  std::erase_if(all->machines, [](const auto& m) { return m.second.age > kHintsLast; });
-  all->term = term_.fencing_token;
-  all->complete = complete_from_ != 0 && now - complete_at_ < kHintsHold * 2;
-  hints_inherited(std::move(all));
-  std::map<std::string, std::uint64_t> even;
-  for (const auto& [name, p] : peers_) {
-    if (complete_from_ != 0 && p.complete_from == complete_from_) even[name] = p.incarnation;
-  }
-  publisher_.begin(term_.fencing_token, incarnation_, hints_, even, now);
+  publish_inherited_hints(now);
+  publisher_.begin(term_.fencing_token, incarnation_, hints_, synchronized_peers(), now);
   hints_ = {};
   replica_.hand_over(term_.mod_revision, [this, fencing_token = term_.fencing_token](
-                                             std::shared_ptr<records::RecordSnapshot> snapshot) {
-    if (!term_.leading || term_.fencing_token != fencing_token) return;
-    if (!snapshot) {
-      replica_verified(ReplicaVerified{fencing_token, nullptr});
-      return;
-    }
-    verifier_.verify(snapshot, [this, fencing_token, snapshot](const ReplicaVerifier::Result& result) {
-      if (!term_.leading || term_.fencing_token != fencing_token) return;
-      log::say(result.verified && result.reread == 0 ? spdlog::level::debug : spdlog::level::warn,
-               "records_checked",
-               "the copy of the records: {keys} keys compared, {anew} read anew, {verdict}",
-               log::with("keys", result.compared), log::with("anew", result.reread),
-               log::with("verdict", result.verified ? "good" : "not believed"));
-      replica_verified(ReplicaVerified{fencing_token, result.verified ? snapshot : nullptr});
-    });
+                                             const std::shared_ptr<RecordSnapshot>& snapshot) {
+    if (is_term(fencing_token)) verify_records(snapshot);
   });
 }
 
-// ---------------------------------------------------------------- what is told
-
-void StandbyReplica::on_heartbeat_sent(const HeartbeatSent&) {
-  send_all_hints();
+void StandbyReplica::end_term() {
+  verifier_.stop();
+  // What this node knew as leader is the newest hint there is, until the next leader publishes its own.
+  hints_ = publisher_.table();
+  publisher_.end();
+  complete_from_ = 0;
+  replica_.start();
 }
 
-/// Its last words, before it is asked no more.
-void StandbyReplica::on_stepping_down(const SteppingDown&) {
-  send_all_hints();
+void StandbyReplica::publish_inherited_hints(Instant now) {
+  auto hints = std::make_shared<InheritedHints>(hints_.inherited_hints(now));
+  std::erase_if(hints->machines, [](const auto& machine) { return machine.second.age > kMaxMachineHintAge; });
+  hints->term = term_.fencing_token;
+  hints->complete = complete_from_ != 0 && now - complete_at_ < kMaxHintAge * 2;
+  hints_inherited(std::move(hints));
 }
 
-void StandbyReplica::send_all_hints() {
-  if (!settings_.has_standby()) return;
-  for (const PeerAddress& peer : settings_.peers) send_hints(peer.name);
-}
-
-void StandbyReplica::send_hints(const std::string& peer) {
-  Value::List got;
-  PeerState& state = peers_[peer];
-  for (const std::uint64_t n : std::exchange(state.to_confirm, {})) got.emplace_back(n);
-  Value::Map out{{"life", incarnation_},
-                 {"got", std::move(got)},
-                 {"told_by", term_.leading ? incarnation_ : complete_from_}};
-  if (term_.leading) {
-    if (Value hints = publisher_.next(peer, runtime_.now()); !hints.is_null()) {
-      out.emplace_back("hints", std::move(hints));
-    } else if (publisher_.up_to_date(peer, state.incarnation)) {
-      // Nothing new is news as well: what that life of the peer knows is all there is.
-      out.emplace_back("even", state.incarnation);
-    }
+/// The peers, with their incarnations, that have all hints of the same leader as this node.
+std::map<std::string, std::uint64_t> StandbyReplica::synchronized_peers() const {
+  std::map<std::string, std::uint64_t> result;
+  if (complete_from_ == 0) return result;
+  for (const auto& [name, peer] : peers_) {
+    if (peer.complete_from == complete_from_) result[name] = peer.incarnation;
   }
-  attachment(HeartbeatAttachment{peer, std::move(out)});
+  return result;
 }
 
-void StandbyReplica::on_attachment(const HeartbeatAttachment& event) {
-  if (!settings_.has_standby()) return;
-  PeerState& state = peers_[event.peer];
-  const auto life = event.value["life"].count();
-  if (!life) return;
-  if (state.incarnation != *life) state = {};
-  state.incarnation = *life;
-  state.complete_from = event.value["told_by"].count().value_or(0);
-  if (term_.leading) {
-    std::vector<std::uint64_t> got;
-    if (const Value::List* list = event.value["got"].list()) {
-      for (const Value& n : *list) {
-        if (n.count()) got.push_back(*n.count());
-      }
-    }
-    publisher_.on_confirmed(event.peer, state.incarnation, got, runtime_.now());
+/// `snapshot`: null if the replica was not complete; then the new leader reads all records itself.
+void StandbyReplica::verify_records(const std::shared_ptr<RecordSnapshot>& snapshot) {
+  const std::uint64_t fencing_token = term_.fencing_token;
+  if (!snapshot) {
+    replica_verified(ReplicaVerified{fencing_token, nullptr});
     return;
   }
-  if (!event.value["hints"].is_null()) merge_hints(event.value["hints"], state);
-  if (event.value["even"].count() == incarnation_) {
-    complete_from_ = state.incarnation;
-    complete_at_ = runtime_.now();
-  }
+  verifier_.verify(snapshot, [this, fencing_token, snapshot](const ReplicaVerifier::Result& result) {
+    if (is_term(fencing_token)) on_verified(result, snapshot);
+  });
 }
 
-void StandbyReplica::merge_hints(const Value& value, PeerState& from) {
-  const std::uint64_t term = value["term"].count().value_or(0);
-  const std::uint64_t beat = value["n"].count().value_or(0);
-  const Value::List* rows = value["rows"].list();
-  if (term < term_.fencing_token || beat == 0 || rows == nullptr) return;
-  const Instant now = runtime_.now();
-  // A teller that began from nothing with us owes everything: what we had from before is void.
-  if (const std::uint64_t since = value["since"].count().value_or(0); since > from.since) {
-    from.since = since;
-    hints_.drop_before(term, since);
-  }
-  for (const Value& row : *rows) {
-    const Value::List* list = row.list();
-    if (list == nullptr || list->size() != 3 || (*list)[0].text() == nullptr) continue;
-    hints_.put({*(*list)[0].text(), (*list)[1], (*list)[2].count().value_or(0)}, now, term, beat);
-  }
-  if (from.to_confirm.size() < kMaxConfirmed) from.to_confirm.push_back(beat);
-  if (value["left"].count() == std::uint64_t{0}) {
-    complete_from_ = from.incarnation;
-    complete_at_ = now;
-  } else if (complete_from_ != from.incarnation) {
-    complete_from_ = 0;
-  }
+void StandbyReplica::on_verified(const ReplicaVerifier::Result& result,
+                                 const std::shared_ptr<RecordSnapshot>& snapshot) {
+  const bool is_expected = result.verified && result.reread == 0;
+  log::say(is_expected ? spdlog::level::debug : spdlog::level::warn, "replica_verified",
+           "the replica of the records is {verdict}: {keys} keys compared, {reread} read again",
+           log::with("keys", result.compared), log::with("reread", result.reread),
+           log::with("verdict", result.verified ? "verified" : "rejected"));
+  replica_verified(ReplicaVerified{term_.fencing_token, result.verified ? snapshot : nullptr});
 }
 
+// ---------------------------------------------------------------- hints, as leader
+
 void StandbyReplica::on_leader_hints(const std::shared_ptr<const LeaderHints>& hints) {
   if (!term_.leading) return;
   const Instant now = runtime_.now();
@@ -230,18 +225,19 @@
 void StandbyReplica::on_rental_hints(const std::shared_ptr<const RentalHints>& hints) {
   if (!term_.leading) return;
   const Instant now = runtime_.now();
-  std::set<std::string> there;
+  std::set<std::string> present;
   for (const RentalHint& hint : hints->rentals) {
-    there.insert(hint_key(HintKind::rental, hint.host));
+    present.insert(hint_key(HintKind::rental, hint.host));
     publisher_.put(to_hint_row(hint), now);
   }
   for (const RentalRequestHint& hint : hints->requests) {
-    there.insert(hint_key(HintKind::booking, hint.name));
+    present.insert(hint_key(HintKind::rental_request, hint.name));
     publisher_.put(to_hint_row(hint), now);
   }
-  for (const HintKind kind : {HintKind::rental, HintKind::booking}) {
+  for (const HintKind kind : {HintKind::rental, HintKind::rental_request}) {
     for (const std::string& name : publisher_.names(kind)) {
-      if (!there.contains(hint_key(kind, name))) publisher_.erase(hint_key(kind, name), now);
+      const std::string key = hint_key(kind, name);
+      if (!present.contains(key)) publisher_.erase(key, now);
     }
   }
 }
@@ -250,4 +246,83 @@
   if (term_.leading) publisher_.erase(hint_key(HintKind::machine, event.host), runtime_.now());
 }
 
+// ---------------------------------------------------------------- hints, in the heartbeats
+
+void StandbyReplica::on_heartbeat_sent(const HeartbeatSent&) {
+  send_all_hints();
+}
+
+/// The last hints of the term.
+void StandbyReplica::on_stepping_down(const SteppingDown&) {
+  send_all_hints();
+}
+
+void StandbyReplica::send_all_hints() {
+  if (!settings_.has_standby()) return;
+  for (const PeerAddress& peer : settings_.peers) send_hints(peer.name);
+}
+
+void StandbyReplica::send_hints(const std::string& peer) {
+  PeerState& state = peers_[peer];
+  Value::List confirmed;
+  for (const std::uint64_t message : std::exchange(state.to_confirm, {})) confirmed.emplace_back(message);
+  Value::Map out{{"life", incarnation_},
+                 {"got", std::move(confirmed)},
+                 {"told_by", term_.leading ? incarnation_ : complete_from_}};
+  if (term_.leading) {
+    if (Value message = publisher_.next(peer, runtime_.now()); !message.is_null()) {
+      out.emplace_back("hints", std::move(message));
+    } else if (publisher_.up_to_date(peer, state.incarnation)) {
+      // The peer has to know that there is nothing new: what that incarnation of it has is complete.
+      out.emplace_back("even", state.incarnation);
+    }
+  }
+  attachment(HeartbeatAttachment{peer, std::move(out)});
+}
+
+void StandbyReplica::on_attachment(const HeartbeatAttachment& event) {
+  if (!settings_.has_standby()) return;
+  PeerState& peer = peers_[event.peer];
+  const auto incarnation = event.value["life"].count();
+  if (!incarnation) return;
+  if (peer.incarnation != *incarnation) peer = {};
+  peer.incarnation = *incarnation;
+  peer.complete_from = event.value["told_by"].count().value_or(0);
+  if (term_.leading) {
+    publisher_.on_confirmed(event.peer, peer.incarnation, read_counts(event.value["got"]), runtime_.now());
+    return;
+  }
+  if (!event.value["hints"].is_null()) merge_hints(event.value["hints"], peer);
+  if (event.value["even"].count() == incarnation_) {
+    complete_from_ = peer.incarnation;
+    complete_at_ = runtime_.now();
+  }
+}
+
+void StandbyReplica::merge_hints(const Value& message, PeerState& sender) {
+  const HintVersion version{message["term"].count().value_or(0), message["n"].count().value_or(0)};
+  const Value::List* rows = message["rows"].list();
+  if (version.term < term_.fencing_token || version.message == 0 || rows == nullptr) return;
+  const Instant now = runtime_.now();
+  // A leader that began from nothing with this node sends everything: what it had sent before is void.
+  const std::uint64_t first_message = message["since"].count().value_or(0);
+  if (first_message > sender.first_message) {
+    sender.first_message = first_message;
+    hints_.drop_before(version.term, first_message);
+  }
+  for (const Value& row : *rows) {
+    const Value::List* columns = row.list();
+    if (columns == nullptr || columns->size() != 3 || (*columns)[0].text() == nullptr) continue;
+    hints_.put({*(*columns)[0].text(), (*columns)[1], (*columns)[2].count().value_or(0)}, now, version.term,
+               version.message);
+  }
+  if (sender.to_confirm.size() < kMaxConfirmations) sender.to_confirm.push_back(version.message);
+  if (message["left"].count() == std::uint64_t{0}) {
+    complete_from_ = sender.incarnation;
+    complete_at_ = now;
+  } else if (complete_from_ != sender.incarnation) {
+    complete_from_ = 0;
+  }
+}
+
 }  // namespace wrenusher::replica
--- a/tests/capacity_test.cpp
+++ b/tests/capacity_test.cpp
@@ -17,7 +17,7 @@
 #include "wrenusher/membership/peer.hpp"
 #include "wrenusher/net/open_files.hpp"
 #include "wrenusher/provisioner/provisioner.hpp"
-#include "wrenusher/replica/hints.hpp"
+#include "wrenusher/replica/hint_table.hpp"
 #include "wrenusher/replica/record_replica.hpp"
 #include "wrenusher/scheduling_cycle/scheduling_cycle.hpp"
 #include "wrenusher/testbed/live_transport.hpp"
--- a/tests/golden_test.cpp
+++ b/tests/golden_test.cpp
@@ -11,6 +11,7 @@
 
 #include "golden_values.hpp"
 #include "manual_runtime.hpp"
+#include "wrenusher/membership/leadership.hpp"
 #include "wrenusher/membership/peer.hpp"
 #include "wrenusher/replica/standby_replica.hpp"
 
--- a/tests/golden_values.cpp
+++ b/tests/golden_values.cpp
@@ -4,6 +4,7 @@
 #include <stdexcept>
 
 #include "manual_runtime.hpp"
+#include "wrenusher/membership/leadership.hpp"
 #include "wrenusher/membership/peer.hpp"
 #include "wrenusher/replica/standby_replica.hpp"
 
