--- a/src/reconciler/include/wrenusher/reconciler/reconciler.hpp
+++ b/src/reconciler/include/wrenusher/reconciler/reconciler.hpp
@@ -1,67 +1,111 @@
 #pragma once
-// Package reconciler: what a worker's newest word means for the book and the machines, and what the worker is
-// to do. It owns only the count of reports, by which it tells what the newest one did not show. This is where
-// claims end: nothing but a newer report, or the cloud's return of the machine, proves a task gone. It may
-// depend on base, protocol, mail, book, machines, estimates and accounts.
+// Package reconciler: reconciles a worker's heartbeat with the job table and the machine inventory, and
+// derives the commands for that worker. This is where assignments end: only a newer heartbeat, or the cloud's
+// confirmation that the machine is gone, proves that a task is off its machine. It may depend on time, value,
+// runtime, protocol, events, job_table, machine_inventory, estimates, usage_metrics and log.
 
+#include <cstdint>
 #include <vector>
 
 #include "wrenusher/estimates/estimator.hpp"
 #include "wrenusher/events/workers.hpp"
 #include "wrenusher/job_table/job_table.hpp"
+#include "wrenusher/machine_inventory/machine_inventory.hpp"
+#include "wrenusher/protocol/messages.hpp"
+#include "wrenusher/runtime/runtime.hpp"
+#include "wrenusher/time/time.hpp"
 #include "wrenusher/usage_metrics/usage_metrics.hpp"
 
 namespace wrenusher::reconciler {
 
-using namespace time;
-using namespace value;
-using namespace runtime;
-using namespace protocol;
-using namespace events;
+using events::DirectCommands;
+using events::MachineCordoned;
 using job_table::Job;
 using job_table::JobTable;
 using job_table::TaskAssignment;
 using job_table::TaskState;
 using machine_inventory::Machine;
 using machine_inventory::MachineInventory;
+using protocol::JobSpec;
+using protocol::TaskReport;
+using protocol::WorkerCommand;
+using protocol::WorkerReport;
+using runtime::Runtime;
+using time::Micros;
 
+/// Applies heartbeats to the leader's state. Single-threaded: called from the runtime's loop only. It owns
+/// two counters; everything passed to the constructor belongs to the leader and must outlive it.
 class Reconciler {
  public:
   Reconciler(Runtime& runtime, JobTable& jobs, MachineInventory& machines, estimates::Estimator& estimator,
-             usage_metrics::StartLatencyMetrics& waits)
-      : runtime_(runtime), book_(jobs), machines_(machines), estimator_(estimator), waits_(waits) {}
+             usage_metrics::StartLatencyMetrics& start_latency)
+      : runtime_(runtime),
+        jobs_(jobs),
+        machines_(machines),
+        estimator_(estimator),
+        start_latency_(start_latency) {}
 
+  /// What the leader has to do after a heartbeat.
   struct Result {
-    bool usable_changed = false;  ///< the machine may get tasks now, or no more
-    bool tasks_left = false;      ///< tasks have left the machine
-    std::vector<DirectCommands> stops;
-    std::vector<MachineCordoned> suspects;
+    bool usable_changed = false;            ///< the machine became usable, or stopped being so
+    bool tasks_left = false;                ///< fewer tasks are assigned to the machine than before
+    std::vector<DirectCommands> stops;      ///< to be sent at once
+    std::vector<MachineCordoned> suspects;  ///< machines on which tasks of several jobs fail
   };
-  /// Brings book and machines up to a report. `current`: the worker has taken this term's epoch; `settled`: a
-  /// report, not the answer to /orders, so that every start sent before it has shown or never will.
-  Result apply(const WorkerReport& report, bool current, bool settled);
-  /// What the worker is to do, given its newest report.
-  std::vector<WorkerCommand> commands_for(const Machine& machine, const WorkerReport& report) const;
-  /// Whether a commit under way or due would add orders to the answer.
-  bool awaits_commit(const Machine& machine, const WorkerReport& report) const;
-  /// Tasks claimed in this term that a report has shown on their machines, so far.
+  /// Brings job table and inventory in line with a heartbeat.
+  /// @param token_accepted the worker has accepted this term's fencing token
+  /// @param settled the report is a heartbeat, not the reply to /orders, so that every start sent before it
+  ///        either shows in it or will never take effect
+  Result apply(const WorkerReport& report, bool token_accepted, bool settled);
+  /// The commands for the worker, given its newest report.
+  [[nodiscard]] std::vector<WorkerCommand> commands_for(const Machine& machine,
+                                                        const WorkerReport& report) const;
+  /// Whether a commit in progress or due would add commands to the reply.
+  [[nodiscard]] bool awaits_commit(const Machine& machine, const WorkerReport& report) const;
+  /// How many tasks assigned in this term have been seen on their machines, since this object was made.
   std::uint64_t shown_starts() const { return shown_starts_; }
 
  private:
-  void apply_present(Machine& machine, const WorkerReport& report, std::uint64_t mark);
-  void apply_exited(Machine& machine, const WorkerReport& report, Result& out);
-  void apply_missing(Machine& machine, bool settled, std::uint64_t mark);
-  void apply_task(Job& job, TaskAssignment& assignment, Machine& machine, const TaskReport& task);
+  /// One heartbeat while it is being applied.
+  struct Update {
+    Machine& machine;
+    const WorkerReport& report;
+    bool settled;            ///< as passed to `apply`
+    std::uint64_t sequence;  ///< number of this report, marks the assignments that it shows
+    Result result;
+  };
+  /// A task of a job in the table.
+  struct TaskRef {
+    Job* job;
+    std::uint32_t task;
+  };
+
+  void apply_present(Update& update);
+  bool adopt_unassigned(Job& job, const TaskReport& task, Machine& machine);
+  void apply_task(Job& job, TaskAssignment& assignment, const TaskReport& task);
   void record_start(const JobSpec& spec, std::uint32_t task, const TaskAssignment& assignment);
-  void fail_task(Job& job, Machine& machine, const TaskReport& task, Result& out);
-  void apply_eviction_notice(Machine& machine, Micros left, Result& out);
+
+  void apply_exited(Update& update);
+  void finish_task(Job& job, const TaskReport& task, const Machine& machine, bool assigned_here);
+  void release_exited(Job& job, const TaskReport& task, Update& update);
+  void record_refused_start(Machine& machine, const TaskReport& task);
+  void record_failure(Job& job, const TaskReport& task, Update& update);
+  void pause_failing_job(Job& job);
+  int count_jobs_failing_only_on(const Machine& machine) const;
+
+  void apply_missing(const Update& update);
+  void release_missing(Job& job, std::uint32_t task, const Update& update);
+
+  void apply_eviction_notice(Update& update, Micros left);
+  Micros estimate_remaining(const JobSpec& spec, const TaskAssignment& assignment) const;
+  void stop_before_eviction(const TaskRef& ref, Micros grace_period, Result& result);
 
   Runtime& runtime_;
-  JobTable& book_;
+  JobTable& jobs_;
   MachineInventory& machines_;
   estimates::Estimator& estimator_;
-  usage_metrics::StartLatencyMetrics& waits_;
-  std::uint64_t report_count_ = 0;
+  usage_metrics::StartLatencyMetrics& start_latency_;
+  std::uint64_t report_count_ = 0;  ///< reports applied so far
   std::uint64_t shown_starts_ = 0;
 };
 
--- a/src/reconciler/reconciler.cpp
+++ b/src/reconciler/reconciler.cpp
@@ -1,130 +1,126 @@
+// How a heartbeat changes the job table: tasks that it shows, tasks that ended, assignments that it lacks,
+// and the notice that the machine will be taken away. Commands are derived in commands.cpp.
 #include "wrenusher/reconciler/reconciler.hpp"
 
 #include <algorithm>
+#include <utility>
 
 #include "wrenusher/log/log.hpp"
 
 namespace wrenusher::reconciler {
 
+using protocol::JobType;
+using protocol::MachineType;
+using protocol::task_name;
+using protocol::TaskStatus;
+using time::from_seconds;
+using time::Instant;
+using time::to_seconds;
+
 namespace {
 
-constexpr Micros kErrorMemory = from_seconds(180);
-constexpr std::size_t kErrorHosts = 3;
+/// A failure counts against its machine for this long.
+constexpr Micros kFailureMemory = from_seconds(180);
+/// A job that failed on this many machines is to blame itself.
+constexpr std::size_t kMaxFailedHosts = 3;
+/// A machine is blamed once this many jobs have failed on it and nowhere else.
+constexpr int kJobsToSuspectMachine = 2;
+/// A job avoids a machine on which it failed for this long.
+constexpr Micros kAvoidMachine = from_seconds(60);
+/// The pause of a job that fails everywhere doubles from the first to the second, with each retry.
+constexpr Micros kMinJobPause = from_seconds(5);
+constexpr Micros kMaxJobPause = from_seconds(60);
+constexpr int kMaxPauseDoublings = 4;
+/// A machine that refused a start for lack of room gets no new tasks for this long.
 constexpr Micros kNoRoomPause = from_seconds(3);
+/// A running task is never estimated to end sooner than this.
+constexpr Micros kMinRemaining = from_seconds(1);
+
+/// What a worker's exit reason means for the assignment.
+enum class ExitKind {
+  done,           ///< the task has finished; a service never does
+  failed,         ///< the task itself failed
+  start_refused,  ///< the machine has no room, or runs the task already
+  interrupted     ///< anything else: it is to be started again
+};
+
+ExitKind classify_exit(const std::string& reason) {
+  if (reason == "done") return ExitKind::done;
+  if (reason == "error") return ExitKind::failed;
+  if (reason == "no_room" || reason == "in_use") return ExitKind::start_refused;
+  return ExitKind::interrupted;
+}
+
+TaskState state_of(TaskStatus status) {
+  switch (status) {
+    case TaskStatus::fetching_image:
+      return TaskState::fetching_image;
+    case TaskStatus::waiting_for_gang:
+      return TaskState::waiting_for_gang;
+    case TaskStatus::checkpointing:
+      return TaskState::checkpointing;
+    default:
+      return TaskState::running;
+  }
+}
 
 }  // namespace
 
-Reconciler::Result Reconciler::apply(const WorkerReport& report, bool current, bool settled) {
+Reconciler::Result Reconciler::apply(const WorkerReport& report, bool token_accepted, bool settled) {
   Machine& machine = machines_.get_or_add(report.host);
   if (machine.incarnation != 0 && report.incarnation > machine.incarnation)
-    log::info("machine_tenure", "machine {machine} began tenure {tenure}: its tasks are gone",
-              log::with("machine", report.host), log::with("tenure", report.incarnation));
+    log::info("machine_new_incarnation",
+              "machine {machine} started incarnation {incarnation}: its earlier tasks are gone",
+              log::with("machine", report.host), log::with("incarnation", report.incarnation));
   const bool was_usable = machine.usable();
-  machines_.update_from_report(machine, report, current);
-  Result out;
-  out.usable_changed = machine.usable() != was_usable;
-  const std::uint64_t mark = ++report_count_;
-  const std::uint32_t before = machine.use.assignments;
-  // First what is on the machine, then what has left it: a refused start must not hide an older attempt.
-  apply_present(machine, report, mark);
-  if (report.eviction_notice) apply_eviction_notice(machine, *report.eviction_notice, out);
-  apply_exited(machine, report, out);
-  apply_missing(machine, settled, mark);
-  out.tasks_left = machine.use.assignments < before;
-  return out;
+  machines_.update_from_report(machine, report, token_accepted);
+  Update update{machine, report, settled, ++report_count_, {}};
+  update.result.usable_changed = machine.usable() != was_usable;
+  const std::uint32_t assigned_before = machine.use.assignments;
+  // Present tasks before exited ones: a refused start must not hide an older attempt.
+  apply_present(update);
+  if (report.eviction_notice) apply_eviction_notice(update, *report.eviction_notice);
+  apply_exited(update);
+  apply_missing(update);
+  update.result.tasks_left = machine.use.assignments < assigned_before;
+  return std::move(update.result);
 }
 
-void Reconciler::apply_present(Machine& machine, const WorkerReport& report, std::uint64_t mark) {
-  for (const TaskReport& task : report.tasks) {
+// ---------------------------------------------------------------- tasks on the machine
+
+void Reconciler::apply_present(Update& update) {
+  for (const TaskReport& task : update.report.tasks) {
     if (task.status == TaskStatus::exited) continue;
-    Job* job = book_.find(task.job_id);
+    Job* job = jobs_.find(task.job_id);
     if (job == nullptr || task.task >= job->spec().task_count || job->done.contains(task.task)) continue;
-    if (!job->is_assigned(task.task, machine, task.attempt)) {
-      const auto it = job->assignments.find(task.task);
-      if (it != job->assignments.end() &&
-          (it->second.machine != &machine || it->second.state != TaskState::assigned))
-        continue;
-      // No claim stands for it, yet it is here: what is on a machine must be booked, or it could be started a
-      // second time elsewhere. A report of before this term may be a copy that comes late, of what has long
-      // left; the machine's first word under this term tells.
-      if (!machine.token_accepted) continue;
-      log::warn("task_adopted", "task {task} is on {machine} without a claim: adopted",
-                log::with("task", task_name(task.job_id, task.task)), log::with("machine", report.host));
-      book_.assign(*job, task.task, machine, task.attempt, TaskState::recovered);
-    }
+    if (!job->is_assigned(task.task, update.machine, task.attempt) &&
+        !adopt_unassigned(*job, task, update.machine))
+      continue;
     TaskAssignment& assignment = job->assignments.at(task.task);
-    assignment.last_shown = mark;
-    apply_task(*job, assignment, machine, task);
-    if (job->record.cancelled && !assignment.stopping) book_.stop_task(assignment, assignment.grace_period);
+    assignment.last_shown = update.sequence;
+    apply_task(*job, assignment, task);
+    if (job->record.cancelled && !assignment.stopping) jobs_.stop_task(assignment, assignment.grace_period);
   }
 }
 
-void Reconciler::apply_exited(Machine& machine, const WorkerReport& report, Result& out) {
-  for (const TaskReport& task : report.tasks) {
-    if (task.status != TaskStatus::exited) continue;
-    Job* job = book_.find(task.job_id);
-    if (job == nullptr || task.task >= job->spec().task_count) continue;
-    const bool holds = job->is_assigned(task.task, machine, task.attempt);
-    if (task.exit_reason == "done" && job->spec().type != JobType::service) {
-      // It has been started once more elsewhere: there it ends as soon as it has its image, and that it has
-      // ended there is what frees the place.
-      if (!holds && job->assignments.contains(task.task)) continue;
-      if (holds) {
-        const TaskAssignment& assignment = job->assignments.at(task.task);
-        if (assignment.state == TaskState::running && assignment.running_since != Instant{})
-          estimator_.record_run(job->spec(), report.host, runtime_.now() - assignment.running_since);
-      }
-      book_.finish_task(*job, task.task);
-    } else if (holds && machine.token_accepted) {
-      if (task.exit_reason == "error") fail_task(*job, machine, task, out);
-      if (task.exit_reason == "no_room" || task.exit_reason == "in_use") {
-        machine.full_until = runtime_.now() + kNoRoomPause;
-        machines_.mark_changed(machine);
-        log::info("start_refused", "machine {machine} refused {task}: {reason}",
-                  log::with("machine", report.host), log::with("task", task_name(task.job_id, task.task)),
-                  log::with("reason", task.exit_reason));
-      }
-      book_.release(*job, task.task, task.exit_reason.c_str());
-    }
-  }
+/// Assigns a task to the machine that shows it without an assignment; otherwise it could be started a second
+/// time elsewhere. False where another assignment stands, or where the report may be a late copy from before
+/// this term, of a task that left long ago: only reports after the worker accepted the token count.
+bool Reconciler::adopt_unassigned(Job& job, const TaskReport& task, Machine& machine) {
+  const auto it = job.assignments.find(task.task);
+  if (it != job.assignments.end() &&
+      (it->second.machine != &machine || it->second.state != TaskState::assigned))
+    return false;
+  if (!machine.token_accepted) return false;
+  log::warn("task_adopted", "task {task} is on {machine} without an assignment: adopted",
+            log::with("task", task_name(task.job_id, task.task)), log::with("machine", machine.name));
+  jobs_.assign(job, task.task, machine, task.attempt, TaskState::recovered);
+  return true;
 }
 
-/// Claims that the report does not show. A report of before this term may be a copy that comes late, and a
-/// gang's task may have come back under the same attempt since: like what it says has ended, what it does not
-/// show proves nothing.
-void Reconciler::apply_missing(Machine& machine, bool settled, std::uint64_t mark) {
-  if (!machine.token_accepted) return;
-  std::vector<std::pair<Job*, std::uint32_t>> missing;
-  for (const auto& [id, job] : book_.assignments_on(machine)) {
-    if (job->assignments.at(id.second).last_shown != mark) missing.emplace_back(job, id.second);
-  }
-  for (const auto& [job, task] : missing) {
-    const auto it = job->assignments.find(task);
-    if (it == job->assignments.end()) continue;
-    const TaskAssignment& assignment = it->second;
-    if (assignment.state == TaskState::assigned) {
-      // Starts go out in responses to reports alone, so this report settles every earlier one; the answer to
-      // /orders does not.
-      if (settled && (assignment.stopping || !machine.usable()))
-        book_.release(*job, task, "not started", true);
-    } else if (assignment.state == TaskState::recovered) {
-      // Claimed under an earlier term: only a worker that has taken this term's epoch cannot be told to start
-      // it any more. This leader never orders it either, so its answer to /orders settles it as well, unless
-      // it was ordered before the records were read anew.
-      if (settled || !assignment.start_in_flight)
-        book_.release(*job, task, "never started, or lost before this term", true);
-    } else {
-      book_.release(*job, task, "gone from its machine", true);
-    }
-  }
-}
-
-/// A report shows the claimed task on its machine.
-void Reconciler::apply_task(Job& job, TaskAssignment& assignment, Machine& machine, const TaskReport& task) {
-  const TaskState state = task.status == TaskStatus::fetching_image     ? TaskState::fetching_image
-                          : task.status == TaskStatus::waiting_for_gang ? TaskState::waiting_for_gang
-                          : task.status == TaskStatus::checkpointing    ? TaskState::checkpointing
-                                                                        : TaskState::running;
+/// Takes over the state of an assigned task that a report shows on its machine.
+void Reconciler::apply_task(Job& job, TaskAssignment& assignment, const TaskReport& task) {
+  const TaskState state = state_of(task.status);
   const Instant now = runtime_.now();
   if (assignment.state == TaskState::assigned) ++shown_starts_;
   if (state == TaskState::fetching_image && assignment.fetching_since == Instant{})
@@ -132,137 +128,202 @@
   if (state == TaskState::waiting_for_gang && assignment.gang_wait_since == Instant{})
     assignment.gang_wait_since = now;
   if (state == TaskState::fetching_image && !assignment.counted_as_fetching) {
-    machines_.record_image_eviction(machine, job.spec());
-    book_.begin_fetch(job, assignment);
+    machines_.record_image_eviction(*assignment.machine, job.spec());
+    jobs_.begin_fetch(job, assignment);
   } else if (state != TaskState::fetching_image && state != assignment.state) {
     if (state == TaskState::running) {
       assignment.running_since = now;
       record_start(job.spec(), task.task, assignment);
     }
-    book_.end_fetch(job, assignment);
-    machines_.record_image_use(machine, job.spec());
+    jobs_.end_fetch(job, assignment);
+    machines_.record_image_use(*assignment.machine, job.spec());
   }
-  book_.set_state(job, assignment, state);
+  jobs_.set_state(job, assignment, state);
 }
 
+/// Adds a task that has just begun to run to the start latencies.
 void Reconciler::record_start(const JobSpec& spec, std::uint32_t task, const TaskAssignment& assignment) {
   const Instant ready =
       assignment.gang_wait_since != Instant{} ? assignment.gang_wait_since : assignment.running_since;
-  const Instant ordered = assignment.fetching_since != Instant{} ? assignment.fetching_since : ready;
-  waits_.started(spec.job_class, {ordered - assignment.assigned_at, ready - ordered,
-                                  assignment.running_since - ready, assignment.fetching_since != Instant{}});
-  log::debug(
-      "task_runs",
-      "task {task} runs on {machine}: order {order:.1f} s, fetch {fetch:.1f} s, gathered {gathered:.1f} s",
-      log::with("task", task_name(spec.job_id, task)), log::with("machine", assignment.machine->name),
-      log::with("order", to_seconds(ordered - assignment.assigned_at)),
-      log::with("fetch", to_seconds(ready - ordered)),
-      log::with("gathered", to_seconds(assignment.running_since - ready)));
+  const Instant commanded = assignment.fetching_since != Instant{} ? assignment.fetching_since : ready;
+  const Micros command_wait = commanded - assignment.assigned_at;
+  const Micros fetch_wait = ready - commanded;
+  const Micros gang_wait = assignment.running_since - ready;
+  start_latency_.started(spec.job_class,
+                         {command_wait, fetch_wait, gang_wait, assignment.fetching_since != Instant{}});
+  log::debug("task_running",
+             "task {task} runs on {machine}: waited {command_wait:.1f} s for the command, {fetch_wait:.1f} s "
+             "for the image, {gang_wait:.1f} s for its gang",
+             log::with("task", task_name(spec.job_id, task)), log::with("machine", assignment.machine->name),
+             log::with("command_wait", to_seconds(command_wait)),
+             log::with("fetch_wait", to_seconds(fetch_wait)), log::with("gang_wait", to_seconds(gang_wait)));
 }
 
-void Reconciler::fail_task(Job& job, Machine& machine, const TaskReport& task, Result& out) {
+// ---------------------------------------------------------------- tasks that have ended
+
+void Reconciler::apply_exited(Update& update) {
+  for (const TaskReport& task : update.report.tasks) {
+    if (task.status != TaskStatus::exited) continue;
+    Job* job = jobs_.find(task.job_id);
+    if (job == nullptr || task.task >= job->spec().task_count) continue;
+    const bool assigned_here = job->is_assigned(task.task, update.machine, task.attempt);
+    if (classify_exit(task.exit_reason) == ExitKind::done && job->spec().type != JobType::service) {
+      finish_task(*job, task, update.machine, assigned_here);
+    } else if (assigned_here && update.machine.token_accepted) {
+      release_exited(*job, task, update);
+    }
+  }
+}
+
+void Reconciler::finish_task(Job& job, const TaskReport& task, const Machine& machine, bool assigned_here) {
+  // It was started again elsewhere. It ends there as well once the image has arrived, and only the end of
+  // that attempt frees its capacity.
+  if (!assigned_here && job.assignments.contains(task.task)) return;
+  if (assigned_here) {
+    const TaskAssignment& assignment = job.assignments.at(task.task);
+    if (assignment.state == TaskState::running && assignment.running_since != Instant{})
+      estimator_.record_run(job.spec(), machine.name, runtime_.now() - assignment.running_since);
+  }
+  jobs_.finish_task(job, task.task);
+}
+
+/// The task ended without being done, so it is to be started again.
+void Reconciler::release_exited(Job& job, const TaskReport& task, Update& update) {
+  const ExitKind kind = classify_exit(task.exit_reason);
+  if (kind == ExitKind::failed) record_failure(job, task, update);
+  if (kind == ExitKind::start_refused) record_refused_start(update.machine, task);
+  jobs_.release(job, task.task, task.exit_reason.c_str());
+}
+
+void Reconciler::record_refused_start(Machine& machine, const TaskReport& task) {
+  machine.full_until = runtime_.now() + kNoRoomPause;
+  machines_.mark_changed(machine);
+  log::info("start_refused", "machine {machine} refused to start {task}: {reason}",
+            log::with("machine", machine.name), log::with("task", task_name(task.job_id, task.task)),
+            log::with("reason", task.exit_reason));
+}
+
+/// Decides whether the job or the machine is to blame for a task that failed.
+void Reconciler::record_failure(Job& job, const TaskReport& task, Update& update) {
   const Instant now = runtime_.now();
-  const std::string& host = machine.name;
-  const std::string& job_id = job.spec().job_id;
-  log::info("task_failed", "task {task} failed on {machine}", log::with("task", task_name(job_id, task.task)),
-            log::with("machine", host));
-  job.error_hosts.insert(host);
-  job.avoided_machines[host] = now + from_seconds(60);
-  if (job.error_hosts.size() >= kErrorHosts) {
-    // It fails wherever it is put: the job is to blame, not the machines.
-    const Micros pause = std::min(from_seconds(60), from_seconds(5) * (1 << std::min(job.retry_count, 4)));
-    ++job.retry_count;
-    job.not_before = now + pause;
-    job.error_hosts.clear();
-    job.avoided_machines.clear();
-    log::warn("job_fails", "job {job} fails on every machine, next try in {seconds:.0f} s",
-              log::with("job", job_id), log::with("seconds", to_seconds(pause)));
+  Machine& machine = update.machine;
+  log::info("task_failed", "task {task} failed on {machine}",
+            log::with("task", task_name(task.job_id, task.task)), log::with("machine", machine.name));
+  job.error_hosts.insert(machine.name);
+  job.avoided_machines[machine.name] = now + kAvoidMachine;
+  if (job.error_hosts.size() >= kMaxFailedHosts) {
+    pause_failing_job(job);
     return;
   }
-  machine.errors[job_id] = now;
-  int only_here = 0;
-  for (const auto& [id, at] : machine.errors) {
-    const Job* other = book_.find(id);
+  machine.errors[task.job_id] = now;
+  if (count_jobs_failing_only_on(machine) >= kJobsToSuspectMachine && !machine.cordoned)
+    update.result.suspects.push_back({machine.name, "tasks of several jobs failed on it"});
+}
+
+/// The job fails wherever it is placed, so its machines are not to blame.
+void Reconciler::pause_failing_job(Job& job) {
+  const Micros pause =
+      std::min(kMaxJobPause, kMinJobPause * (1 << std::min(job.retry_count, kMaxPauseDoublings)));
+  ++job.retry_count;
+  job.not_before = runtime_.now() + pause;
+  job.error_hosts.clear();
+  job.avoided_machines.clear();
+  log::warn("job_failing", "job {job} fails on every machine, next attempt in {seconds:.0f} s",
+            log::with("job", job.spec().job_id), log::with("seconds", to_seconds(pause)));
+}
+
+/// Jobs that failed on the machine recently and on no other.
+int Reconciler::count_jobs_failing_only_on(const Machine& machine) const {
+  int count = 0;
+  for (const auto& [job_id, failed_at] : machine.errors) {
+    const Job* job = jobs_.find(job_id);
     const bool elsewhere =
-        other != nullptr && (other->error_hosts.size() != 1 || !other->error_hosts.contains(host));
-    if (now - at < kErrorMemory && !elsewhere) ++only_here;
+        job != nullptr && (job->error_hosts.size() != 1 || !job->error_hosts.contains(machine.name));
+    if (runtime_.now() - failed_at < kFailureMemory && !elsewhere) ++count;
+  }
+  return count;
+}
+
+// ---------------------------------------------------------------- assignments that the report lacks
+
+/// Until the worker has accepted this term's token, what a report lacks proves nothing: it may be a late
+/// copy, and a gang's task may have come back under the same attempt since.
+void Reconciler::apply_missing(const Update& update) {
+  if (!update.machine.token_accepted) return;
+  // Collected first: releasing one task of a gang may release others.
+  std::vector<TaskRef> missing;
+  for (const auto& [key, job] : jobs_.assignments_on(update.machine)) {
+    const auto& [job_number, task] = key;
+    if (job->assignments.at(task).last_shown != update.sequence) missing.push_back({job, task});
+  }
+  for (const TaskRef& ref : missing) release_missing(*ref.job, ref.task, update);
+}
+
+void Reconciler::release_missing(Job& job, std::uint32_t task, const Update& update) {
+  const auto it = job.assignments.find(task);
+  if (it == job.assignments.end()) return;
+  const TaskAssignment& assignment = it->second;
+  switch (assignment.state) {
+    case TaskState::assigned:
+      // Starts are sent only in replies to heartbeats, so a heartbeat settles every earlier start; the reply
+      // to /orders does not.
+      if (update.settled && (assignment.stopping || !update.machine.usable()))
+        jobs_.release(job, task, "not started", true);
+      break;
+    case TaskState::recovered:
+      // Assigned in an earlier term: a worker that has accepted this term's token cannot be made to start it
+      // any more, and this leader never commands it, so the reply to /orders settles it as well. The
+      // exception is a start sent in this term, before the records were read again.
+      if (update.settled || !assignment.start_in_flight)
+        jobs_.release(job, task, "never started, or lost before this term", true);
+      break;
+    default:
+      jobs_.release(job, task, "gone from its machine", true);
   }
-  if (only_here >= 2 && !machine.cordoned)
-    out.suspects.push_back({host, "tasks of several jobs failed on it"});
 }
 
-/// The machine will be taken away: what cannot finish in time is stopped now, so that it can save or start
-/// again elsewhere early.
-void Reconciler::apply_eviction_notice(Machine& machine, Micros left, Result& out) {
-  machines_.advance_fetches(machine);
-  for (const auto& [id, job] : book_.assignments_on(machine)) {
-    const std::uint32_t task = id.second;
-    TaskAssignment& assignment = job->assignments.at(task);
+// ---------------------------------------------------------------- eviction notice
+
+/// The machine will be taken away `left` from now. Tasks that cannot finish by then are stopped at once, so
+/// that they can save a checkpoint or start early elsewhere.
+void Reconciler::apply_eviction_notice(Update& update, Micros left) {
+  machines_.advance_fetches(update.machine);
+  for (const auto& [key, job] : jobs_.assignments_on(update.machine)) {
+    const auto& [job_number, task] = key;
+    const TaskAssignment& assignment = job->assignments.at(task);
     if (assignment.stopping || assignment.state == TaskState::assigned ||
         assignment.state == TaskState::recovered)
       continue;
     const JobSpec& spec = job->spec();
-    Micros remaining = estimator_.estimate(spec);
-    if (assignment.state == TaskState::running) {
-      remaining = std::max(from_seconds(1), remaining - (runtime_.now() - assignment.running_since));
-    } else if (const MachineType* machine_type = machines_.type_of(machine)) {
-      remaining += placement::fetch_time(machines_.to_plan_machine(machine, *machine_type), spec);
-    }
-    if (spec.type == JobType::array && remaining < left) continue;
+    if (spec.type == JobType::array && estimate_remaining(spec, assignment) < left) continue;
     const Micros grace_period = spec.has_checkpoints() ? std::max(spec.checkpoint_time, left / 2) : Micros{0};
-    if (spec.type == JobType::gang) {
-      for (auto& [host, list] : book_.stop_job(*job, grace_period))
-        out.stops.push_back({host, std::move(list)});
-    } else {
-      book_.stop_task(assignment, grace_period);
-    }
-    log::debug("task_leaves", "task {task} leaves {machine} before it is taken",
-               log::with("task", task_name(spec.job_id, task)), log::with("machine", machine.name));
+    stop_before_eviction({job, task}, grace_period, update.result);
   }
 }
 
-std::vector<WorkerCommand> Reconciler::commands_for(const Machine& machine,
-                                                    const WorkerReport& report) const {
-  std::vector<WorkerCommand> commands;
-  for (const TaskReport& task : report.tasks) {
-    const Job* job = book_.find(task.job_id);
-    if (task.status == TaskStatus::exited) {
-      // Until `done` is committed the worker must go on telling it.
-      if (job != nullptr && job->uncommitted_done.contains(task.task)) continue;
-      if (job != nullptr && job->is_assigned(task.task, machine, task.attempt)) continue;
-      commands.push_back({WorkerCommand::Verb::forget, task.job_id, task.task, task.attempt, Micros{0}});
-    } else if (job == nullptr || !job->is_assigned(task.task, machine, task.attempt)) {
-      commands.push_back({WorkerCommand::Verb::stop, task.job_id, task.task, task.attempt, Micros{0}});
-    } else if (const TaskAssignment& assignment = job->assignments.at(task.task);
-               assignment.stopping &&
-               (assignment.state != TaskState::checkpointing || assignment.grace_period.count() == 0)) {
-      commands.push_back(
-          {WorkerCommand::Verb::stop, task.job_id, task.task, task.attempt, assignment.grace_period});
-    }
-  }
-  if (!machine.usable()) return commands;
-  for (const auto& [id, job] : book_.assignments_on(machine)) {
-    const std::uint32_t task = id.second;
-    const TaskAssignment& assignment = job->assignments.at(task);
-    if (assignment.state != TaskState::assigned || assignment.stopping ||
-        !job->committed(task, assignment.version))
-      continue;
-    commands.push_back({WorkerCommand::Verb::start, job->spec().job_id, task, assignment.attempt, Micros{0}});
-  }
-  return commands;
+/// How long the task still needs on its machine, the fetch of its image included.
+Micros Reconciler::estimate_remaining(const JobSpec& spec, const TaskAssignment& assignment) const {
+  const Micros run_time = estimator_.estimate(spec);
+  if (assignment.state == TaskState::running)
+    return std::max(kMinRemaining, run_time - (runtime_.now() - assignment.running_since));
+  const Machine& machine = *assignment.machine;
+  const MachineType* machine_type = machines_.type_of(machine);
+  if (machine_type == nullptr) return run_time;
+  return run_time + placement::fetch_time(machines_.to_plan_machine(machine, *machine_type), spec);
 }
 
-bool Reconciler::awaits_commit(const Machine& machine, const WorkerReport& report) const {
-  for (const auto& [id, job] : book_.assignments_on(machine)) {
-    const TaskAssignment& assignment = job->assignments.at(id.second);
-    if (assignment.state == TaskState::assigned && !assignment.stopping &&
-        !job->committed(id.second, assignment.version))
-      return true;
+void Reconciler::stop_before_eviction(const TaskRef& ref, Micros grace_period, Result& result) {
+  TaskAssignment& assignment = ref.job->assignments.at(ref.task);
+  const JobSpec& spec = ref.job->spec();
+  if (spec.type == JobType::gang) {
+    for (auto& [host, commands] : jobs_.stop_job(*ref.job, grace_period))
+      result.stops.push_back({host, std::move(commands)});
+  } else {
+    jobs_.stop_task(assignment, grace_period);
   }
-  return std::any_of(report.tasks.begin(), report.tasks.end(), [&](const TaskReport& task) {
-    const Job* job = task.status == TaskStatus::exited ? book_.find(task.job_id) : nullptr;
-    return job != nullptr && job->uncommitted_done.contains(task.task);
-  });
+  log::debug("task_evicted", "task {task} is stopped on {machine} ahead of the machine's eviction",
+             log::with("task", task_name(spec.job_id, ref.task)),
+             log::with("machine", assignment.machine->name));
 }
 
 }  // namespace wrenusher::reconciler
