--- /dev/null
+++ b/src/scheduling_cycle/preemption.cpp
@@ -0,0 +1,135 @@
+#include "wrenusher/scheduling_cycle/preemption.hpp"
+
+#include <algorithm>
+#include <iterator>
+#include <utility>
+
+#include "wrenusher/log/log.hpp"
+
+namespace wrenusher::scheduling_cycle {
+
+using events::DirectCommands;
+using placement::RunningTask;
+using placement::Shortage;
+using protocol::JobSpec;
+using protocol::JobType;
+using protocol::MachineType;
+using protocol::Priority;
+using protocol::task_name;
+using protocol::WorkerCommand;
+using time::from_seconds;
+
+namespace {
+
+/// Others are stopped for an urgent job once it must start within this time to meet its objective.
+constexpr Micros kLatestStartMargin = from_seconds(15);
+constexpr Micros kPreemptionInterval = from_seconds(1);
+/// Beyond the time that a checkpoint takes, a stopped task has this long.
+constexpr Micros kCheckpointMargin = from_seconds(1);
+
+/// What `choose_preemptions` looks at; renumbers the shortages by their jobs in it.
+placement::PreemptionView make_view(std::vector<Shortage>& shortages,
+                                    std::vector<placement::PlanMachine> machines,
+                                    const placement::PlacementIndex& index) {
+  placement::PreemptionView view;
+  view.machines = std::move(machines);
+  for (Shortage& shortage : shortages) {
+    view.jobs.push_back(index.job(static_cast<IndexUpdater::Slot>(shortage.job)));
+    shortage.job = view.jobs.size() - 1;
+  }
+  return view;
+}
+
+}  // namespace
+
+std::vector<DirectCommands> Preemptor::preempt(const placement::Plan& plan, const IndexUpdater& updater) {
+  std::vector<Shortage> urgent;
+  std::copy_if(plan.shortages.begin(), plan.shortages.end(), std::back_inserter(urgent),
+               [&](const Shortage& shortage) { return is_urgent(shortage, updater); });
+  if (urgent.empty() || runtime_.now() - last_preemption_ <= kPreemptionInterval) return {};
+  last_preemption_ = runtime_.now();
+  Candidates candidates = collect_candidates();
+  const placement::PreemptionView view = make_view(urgent, std::move(candidates.machines), updater.index());
+  std::vector<DirectCommands> commands;
+  job_table::CommandsByMachine task_stops;
+  for (const std::size_t chosen : placement::choose_preemptions(view, urgent, candidates.tasks)) {
+    TaskAssignment& assignment = *candidates.assignments[chosen];
+    const RunningTask& task = candidates.tasks[chosen];
+    if (assignment.stopping) continue;
+    const Micros grace_period =
+        task.spec->has_checkpoints() ? task.spec->checkpoint_time + kCheckpointMargin : Micros{0};
+    if (task.spec->type == JobType::gang) {
+      stop_gang(*task.spec, grace_period, commands);
+    } else {
+      stop_task(task, assignment, grace_period, task_stops);
+    }
+  }
+  for (auto& [host, stops] : task_stops) commands.push_back({host, std::move(stops)});
+  return commands;
+}
+
+/// Whether others may be stopped for the shortage.
+bool Preemptor::is_urgent(const Shortage& shortage, const IndexUpdater& updater) const {
+  const auto slot = static_cast<IndexUpdater::Slot>(shortage.job);
+  const placement::PlanJob& job = updater.index().job(slot);
+  // A service is missed from the first moment, and no new machine boots sooner than a task is stopped.
+  if (job.spec->type == JobType::service && job.spec->priority == Priority::prod) return true;
+  const WallTime now = runtime_.wall_time();
+  if (job.spec->priority >= Priority::normal || now - job.accepted_at < updater.patience_at(slot))
+    return false;
+  // Others are stopped only for what would otherwise come too late and can still come in time.
+  const placement::Slack slack = updater.index().deadline_slack(slot, now);
+  return slack.status == placement::DeadlineStatus::pressed && slack.pressed_for < kLatestStartMargin;
+}
+
+Preemptor::Candidates Preemptor::collect_candidates() {
+  Candidates candidates;
+  for (auto& [host, machine] : machines_.all()) {
+    const MachineType* machine_type = machines_.type_of(machine);
+    if (!machine.schedulable() || machine_type == nullptr) continue;
+    candidates.machines.push_back(machines_.to_plan_machine(machine, *machine_type));
+    add_candidates(machine, candidates.machines.size() - 1, candidates);
+  }
+  return candidates;
+}
+
+void Preemptor::add_candidates(Machine& machine, std::size_t machine_index, Candidates& candidates) {
+  const Job* estimated_job = nullptr;  // assignments are ordered by job: one estimate serves all of its tasks
+  Micros estimate{};
+  for (const auto& [key, job] : jobs_.assignments_on(machine)) {
+    const auto& [job_number, task] = key;
+    TaskAssignment& assignment = job->assignments.at(task);
+    const JobSpec& spec = job->spec();
+    // Whether a recovered task exists at all is not known yet; replicas of services are not stopped for
+    // others.
+    if (assignment.state == TaskState::recovered || (spec.type == JobType::service && !assignment.stopping))
+      continue;
+    if (job != estimated_job) estimate = estimator_.estimate(spec);
+    estimated_job = job;
+    const Micros age =
+        assignment.state == TaskState::running ? runtime_.now() - assignment.running_since : Micros{0};
+    candidates.tasks.push_back({machine_index, &spec, task, age, estimate - age, assignment.stopping});
+    candidates.assignments.push_back(&assignment);
+  }
+}
+
+/// A gang is stopped as a whole.
+void Preemptor::stop_gang(const JobSpec& spec, Micros grace_period, std::vector<DirectCommands>& commands) {
+  log::info("gang_preempted", "gang {job} is stopped for more urgent work", log::with("job", spec.job_id));
+  for (auto& [host, stops] : jobs_.stop_job(*jobs_.find(spec.job_id), grace_period))
+    commands.push_back({host, std::move(stops)});
+}
+
+void Preemptor::stop_task(const RunningTask& task, TaskAssignment& assignment, Micros grace_period,
+                          job_table::CommandsByMachine& commands) {
+  const JobSpec& spec = *task.spec;
+  jobs_.stop_task(assignment, grace_period);
+  if (assignment.state != TaskState::assigned)
+    commands[assignment.machine->name].push_back(
+        {WorkerCommand::Verb::stop, spec.job_id, task.task, assignment.attempt, assignment.grace_period});
+  log::info("task_preempted", "task {task} on {machine} is stopped for more urgent work",
+            log::with("task", task_name(spec.job_id, task.task)),
+            log::with("machine", assignment.machine->name));
+}
+
+}  // namespace wrenusher::scheduling_cycle
