--- a/src/reconciler/reconciler.cpp
+++ b/src/reconciler/reconciler.cpp
@@ -37,18 +37,18 @@
 constexpr Micros kMinRemaining = from_seconds(1);
 
 /// What a worker's exit reason means for the assignment.
-enum class ExitKind {
+enum class ExitOutcome {
   done,           ///< the task has finished; a service never does
   failed,         ///< the task itself failed
   start_refused,  ///< the machine has no room, or runs the task already
   interrupted     ///< anything else: it is to be started again
 };
 
-ExitKind classify_exit(const std::string& reason) {
-  if (reason == "done") return ExitKind::done;
-  if (reason == "error") return ExitKind::failed;
-  if (reason == "no_room" || reason == "in_use") return ExitKind::start_refused;
-  return ExitKind::interrupted;
+ExitOutcome classify_exit(const std::string& reason) {
+  if (reason == "done") return ExitOutcome::done;
+  if (reason == "error") return ExitOutcome::failed;
+  if (reason == "no_room" || reason == "in_use") return ExitOutcome::start_refused;
+  return ExitOutcome::interrupted;
 }
 
 TaskState state_of(TaskStatus status) {
@@ -167,7 +167,7 @@
     Job* job = jobs_.find(task.job_id);
     if (job == nullptr || task.task >= job->spec().task_count) continue;
     const bool assigned_here = job->is_assigned(task.task, update.machine, task.attempt);
-    if (classify_exit(task.exit_reason) == ExitKind::done && job->spec().type != JobType::service) {
+    if (classify_exit(task.exit_reason) == ExitOutcome::done && job->spec().type != JobType::service) {
       finish_task(*job, task, update.machine, assigned_here);
     } else if (assigned_here && update.machine.token_accepted) {
       release_exited(*job, task, update);
@@ -189,9 +189,9 @@
 
 /// The task ended without being done, so it is to be started again.
 void Reconciler::release_exited(Job& job, const TaskReport& task, Update& update) {
-  const ExitKind kind = classify_exit(task.exit_reason);
-  if (kind == ExitKind::failed) record_failure(job, task, update);
-  if (kind == ExitKind::start_refused) record_refused_start(update.machine, task);
+  const ExitOutcome outcome = classify_exit(task.exit_reason);
+  if (outcome == ExitOutcome::failed) record_failure(job, task, update);
+  if (outcome == ExitOutcome::start_refused) record_refused_start(update.machine, task);
   jobs_.release(job, task.task, task.exit_reason.c_str());
 }
 
