--- /dev/null
+++ b/src/placement/machine_fit.cpp
@@ -0,0 +1,151 @@
+#include "wrenusher/placement/machine_fit.hpp"
+
+#include <algorithm>
+
+namespace wrenusher::placement {
+
+bool fits_machine_type(const JobSpec& spec, const MachineType& machine_type) {
+  return spec.resources.fits(machine_type.capacity) &&
+         std::any_of(machine_type.zones.begin(), machine_type.zones.end(),
+                     [&](const std::string& zone) { return spec.allows(machine_type.name, zone, false); });
+}
+
+std::set<std::string> fitting_machine_types(const JobSpec& spec, const Catalog& catalog) {
+  std::set<std::string> out;
+  for (const auto& [name, machine_type] : catalog) {
+    if (fits_machine_type(spec, machine_type)) out.insert(name);
+  }
+  return out;
+}
+
+bool accepts(const PlanMachine& machine, const PlanJob& job) {
+  if (machine.reserved_for_devices &&
+      std::none_of(machine.place->devices.begin(), machine.place->devices.end(),
+                   [&](const auto& device) { return job.spec->devices().contains(device.first); }))
+    return false;
+  return job.spec->allows(machine.machine_type->name, machine.zone, machine.spot) &&
+         !job.excluded_types.contains(machine.machine_type->name);
+}
+
+std::uint32_t count_fitting(const JobSpec& spec, const FreeCapacity& free, std::uint32_t limit) {
+  std::uint32_t n = count_fitting(spec.resources, free.resources, limit);
+  for (const auto& [name, each] : spec.devices()) {
+    const auto it = free.devices.find(name);
+    n = std::min(n, it == free.devices.end() ? 0 : it->second / each);
+  }
+  return n;
+}
+
+std::uint32_t zone_allowance(const JobSpec& spec, const std::map<std::string, std::uint32_t>& zones,
+                             const std::string& zone) {
+  std::uint32_t allowed = spec.task_count;
+  if (spec.single_zone) {
+    for (const auto& [other, tasks] : zones) {
+      if (tasks > 0 && other != zone) return 0;
+    }
+  }
+  if (spec.spread_zones) {
+    const std::uint32_t half = (spec.task_count + 1) / 2;
+    const auto it = zones.find(zone);
+    const std::uint32_t there = it == zones.end() ? 0 : it->second;
+    allowed = there >= half ? 0 : half - there;
+  }
+  return allowed;
+}
+
+std::uint32_t layout_allowance(const PlanLayout& layout, const PlanMachine& machine, std::uint32_t task_count,
+                               bool preferences) {
+  if (layout.impossible) return 0;
+  std::uint32_t allowed = task_count;
+  if (layout.spread >= 0 && (layout.spread_required || preferences)) {
+    const auto it = layout.spread_at.find(machine.domain(layout.spread));
+    const std::uint32_t there = it == layout.spread_at.end() ? 0 : it->second;
+    allowed = there >= layout.max_tasks ? 0 : layout.max_tasks - there;
+  }
+  if (layout.colocation >= 0 && (layout.colocation_required || preferences)) {
+    for (const auto& [domain, tasks] : layout.colocated_at) {
+      if (tasks > 0 && domain != machine.domain(layout.colocation)) return 0;
+    }
+  }
+  return allowed;
+}
+
+void layout_add(PlanLayout& layout, const PlanMachine& machine, std::uint32_t tasks) {
+  if (layout.spread >= 0) layout.spread_at[machine.domain(layout.spread)] += tasks;
+  if (layout.colocation >= 0) layout.colocated_at[machine.domain(layout.colocation)] += tasks;
+}
+
+void FreeCapacity::reserve(const JobSpec& spec, std::uint32_t tasks) {
+  resources -= spec.resources * tasks;
+  for (const auto& [name, n] : spec.devices()) devices[name] -= n * tasks;
+}
+
+void FreeCapacity::release(const JobSpec& spec) {
+  resources += spec.resources;
+  for (const auto& [name, n] : spec.devices()) devices[name] += n;
+}
+
+double misfit(const PlanMachine& machine, const Resources& need) {
+  const Resources& capacity = machine.machine_type->capacity;
+  return capacity.cores > 0 ? static_cast<double>(machine.free.resources.cores - need.cores) /
+                                  static_cast<double>(capacity.cores)
+                            : 0;
+}
+
+Amount core_equivalents(const Resources& need, const MachineType& machine_type) {
+  const auto share = [](Amount amount, Amount total) {
+    return total > 0 ? static_cast<double>(amount) / static_cast<double>(total) : 0.0;
+  };
+  const double largest =
+      std::max({share(need.cores, machine_type.capacity.cores), share(need.gpus, machine_type.capacity.gpus),
+                share(need.memory, machine_type.capacity.memory)});
+  return static_cast<Amount>(largest * static_cast<double>(machine_type.capacity.cores));
+}
+
+bool has_image(const PlanMachine& machine, const std::string& image) {
+  return machine.images != nullptr && machine.images->contains(image);
+}
+
+const PlannedFetch* find_fetch(const PlanMachine& machine, const std::string& image) {
+  const auto it = std::find_if(machine.fetches.begin(), machine.fetches.end(),
+                               [&](const PlannedFetch& fetch) { return fetch.image == image; });
+  return it == machine.fetches.end() ? nullptr : &*it;
+}
+
+Micros fetch_time(const PlanMachine& machine, const JobSpec& spec) {
+  if (has_image(machine, spec.image)) return Micros{0};
+  const PlannedFetch* own = find_fetch(machine, spec.image);
+  const double left = own != nullptr ? own->remaining_gb : spec.image_gb;
+  // Of a rate shared evenly each other fetch takes as much as this one until one of the two ends.
+  double total_gb = left;
+  for (const PlannedFetch& fetch : machine.fetches) {
+    if (&fetch != own) total_gb += std::min(fetch.remaining_gb, left);
+  }
+  return from_seconds(total_gb / machine.machine_type->fetch_gb_per_s);
+}
+
+std::optional<Micros> fetch_delay_imposed(const PlanMachine& machine, const JobSpec& spec) {
+  if (has_image(machine, spec.image) || find_fetch(machine, spec.image) != nullptr) return Micros{0};
+  double total_gb = 0;
+  for (const PlannedFetch& fetch : machine.fetches) {
+    if (fetch.priority == Priority::prod && spec.priority != Priority::prod) return std::nullopt;
+    total_gb += std::min(fetch.remaining_gb, spec.image_gb);
+  }
+  return from_seconds(total_gb / machine.machine_type->fetch_gb_per_s);
+}
+
+Micros run_time(const PlanMachine& machine, const PlanJob& job) {
+  return Micros{static_cast<std::int64_t>(static_cast<double>(job.estimate.count()) / machine.speed)};
+}
+
+Micros finish_time(const PlanMachine& machine, const PlanJob& job) {
+  return fetch_time(machine, *job.spec) + run_time(machine, job);
+}
+
+Micros time_until_free(const EndingTask& ending, const PlanMachine& machine, Instant now) {
+  Micros in = ending.ends_at ? std::max(*ending.ends_at - now, ending.min_remaining) : ending.min_remaining;
+  if (ending.awaited_image != nullptr) in += fetch_time(machine, *ending.awaited_image);
+  return in;
+}
+
+}  // namespace wrenusher::placement
--- /dev/null
+++ b/src/placement/preemption.cpp
@@ -0,0 +1,201 @@
+#include "wrenusher/placement/preemption.hpp"
+
+#include <algorithm>
+#include <compare>
+#include <map>
+#include <optional>
+#include <string>
+#include <utility>
+
+#include "wrenusher/placement/machine_fit.hpp"
+
+namespace wrenusher::placement {
+
+namespace {
+
+/// A task that ends within this time by itself is not stopped for another.
+constexpr Micros kEndsByItself = from_seconds(10);
+
+/// What stopping the task would lose: work that is not saved, and the time that a checkpoint takes.
+Micros work_lost(const RunningTask& task) {
+  if (!task.spec->has_checkpoints()) return task.age;
+  return std::min(task.age, task.spec->checkpoint_time);
+}
+
+/// Whether the task may be stopped for another. One without checkpoints is stopped only while it has more
+/// before it than behind it.
+bool may_be_preempted(const RunningTask& task) {
+  return !task.stopping && task.remaining > kEndsByItself &&
+         (task.spec->has_checkpoints() || task.age < task.remaining);
+}
+
+/// In which order the tasks on a machine are stopped: the lowest priority first, and what loses least.
+struct VictimRank {
+  int negative_priority = 0;
+  bool lacks_checkpoints = false;
+  Micros lost{};
+  std::size_t index = 0;
+  // NOLINTNEXTLINE(modernize-use-nullptr): false positive on a defaulted comparison
+  auto operator<=>(const VictimRank&) const = default;
+};
+
+VictimRank victim_rank(const RunningTask& task, std::size_t index) {
+  return {-static_cast<int>(task.spec->priority), !task.spec->has_checkpoints(), work_lost(task), index};
+}
+
+/// A machine where tasks can be stopped for a job.
+struct Candidate {
+  Micros cost;  ///< time to the image, and work lost
+  std::size_t victims = 0;
+  std::size_t machine = 0;
+  // NOLINTNEXTLINE(modernize-use-nullptr): false positive on a defaulted comparison
+  auto operator<=>(const Candidate&) const = default;
+};
+
+/// Where the tasks of one job are, with those that are made room for.
+struct JobSpread {
+  std::map<std::string, std::uint32_t> zones;
+  std::optional<PlanLayout> layout;
+};
+
+/// One run of `choose_preemptions`. Single-threaded; lives for that call only.
+class PreemptionPlanner {
+ public:
+  PreemptionPlanner(const PreemptionView& view, const std::vector<RunningTask>& running)
+      : view_(view), running_(running), victims_(view.machines.size()), preempted_(running.size(), 0) {
+    collect_room();
+    collect_victims();
+  }
+
+  void serve(const Shortage& shortage);
+  std::vector<std::size_t> chosen() && { return std::move(chosen_); }
+
+ private:
+  void collect_room();
+  void collect_victims();
+  std::optional<std::vector<std::size_t>> victims_for(const Shortage& shortage, std::size_t machine) const;
+  std::vector<Candidate> candidates(const Shortage& shortage) const;
+  bool make_room(const Shortage& shortage, std::size_t machine, JobSpread& spread);
+  void preempt(std::size_t victim);
+
+  const PreemptionView& view_;
+  const std::vector<RunningTask>& running_;
+  std::vector<FreeCapacity> room_;                 ///< by machine, once all chosen tasks have stopped
+  std::vector<std::vector<std::size_t>> victims_;  ///< by machine, the first to be stopped in front
+  std::map<const JobSpec*, std::vector<std::size_t>> gangs_;  ///< the running tasks of each
+  std::vector<char> preempted_;                               ///< by running task: chosen already
+  std::vector<std::size_t> chosen_;
+};
+
+void PreemptionPlanner::collect_room() {
+  room_.reserve(view_.machines.size());
+  for (const PlanMachine& machine : view_.machines) room_.push_back(machine.free);
+  for (const RunningTask& task : running_) {
+    if (task.stopping) room_[task.machine].release(*task.spec);
+  }
+}
+
+void PreemptionPlanner::collect_victims() {
+  for (std::size_t i = 0; i < running_.size(); ++i) {
+    const RunningTask& task = running_[i];
+    if (task.spec->type == JobType::gang) gangs_[task.spec].push_back(i);
+    if (may_be_preempted(task)) victims_[task.machine].push_back(i);
+  }
+  for (std::vector<std::size_t>& there : victims_) {
+    std::sort(there.begin(), there.end(), [this](std::size_t a, std::size_t b) {
+      return victim_rank(running_[a], a) < victim_rank(running_[b], b);
+    });
+  }
+}
+
+/// The tasks on the machine that make room for one more of the job; nothing where they cannot.
+std::optional<std::vector<std::size_t>> PreemptionPlanner::victims_for(const Shortage& shortage,
+                                                                       std::size_t machine) const {
+  const JobSpec& spec = *view_.jobs[shortage.job].spec;
+  std::vector<std::size_t> out;
+  FreeCapacity free = room_[machine];
+  for (const std::size_t victim : victims_[machine]) {
+    if (count_fitting(spec, free, 1) > 0) break;
+    const RunningTask& task = running_[victim];
+    if (preempted_[victim] != 0 || task.spec->priority <= spec.priority) continue;
+    FreeCapacity freed = free;
+    freed.release(*task.spec);
+    // Not a large task for a small one.
+    const std::uint32_t gain = count_fitting(spec, freed, shortage.tasks);
+    if ((spec.resources * std::max(gain, 1U)).cores * 2 < task.spec->resources.cores) continue;
+    free = std::move(freed);
+    out.push_back(victim);
+  }
+  if (count_fitting(spec, free, 1) == 0) return std::nullopt;
+  return out;
+}
+
+/// The machines where room can be made for the job, the cheapest first.
+std::vector<Candidate> PreemptionPlanner::candidates(const Shortage& shortage) const {
+  const PlanJob& job = view_.jobs[shortage.job];
+  std::vector<Candidate> out;
+  for (std::size_t i = 0; i < view_.machines.size(); ++i) {
+    const PlanMachine& machine = view_.machines[i];
+    if (!accepts(machine, job)) continue;
+    const auto victims = victims_for(shortage, i);
+    if (!victims) continue;
+    // A service may also leave room unused where its image would have to be fetched.
+    Micros cost = victims->empty() && !job.near_image ? Micros{0} : fetch_time(machine, *job.spec);
+    for (const std::size_t victim : *victims) cost += work_lost(running_[victim]);
+    out.push_back({cost, victims->size(), i});
+  }
+  std::sort(out.begin(), out.end());
+  return out;
+}
+
+/// Chooses the task, and with a task of a gang all of it: a gang stops as a whole, and leaves room wherever
+/// it is.
+void PreemptionPlanner::preempt(std::size_t victim) {
+  const auto gang = gangs_.find(running_[victim].spec);
+  const std::vector<std::size_t> members =
+      gang == gangs_.end() ? std::vector<std::size_t>{victim} : gang->second;
+  for (const std::size_t i : members) {
+    if (preempted_[i] != 0 || running_[i].stopping) continue;
+    preempted_[i] = 1;
+    chosen_.push_back(i);
+    room_[running_[i].machine].release(*running_[i].spec);
+  }
+}
+
+/// Makes room for one more task of the job on the machine, and reserves it. False where that cannot be done.
+bool PreemptionPlanner::make_room(const Shortage& shortage, std::size_t machine, JobSpread& spread) {
+  const JobSpec& spec = *view_.jobs[shortage.job].spec;
+  const PlanMachine& there = view_.machines[machine];
+  if (zone_allowance(spec, spread.zones, there.zone) == 0) return false;
+  if (spread.layout && layout_allowance(*spread.layout, there, spec.task_count, true) == 0) return false;
+  const auto victims = victims_for(shortage, machine);
+  if (!victims) return false;
+  for (const std::size_t victim : *victims) preempt(victim);
+  room_[machine].reserve(spec, 1);
+  if (spread.layout) layout_add(*spread.layout, there, 1);
+  ++spread.zones[there.zone];
+  return true;
+}
+
+void PreemptionPlanner::serve(const Shortage& shortage) {
+  const PlanJob& job = view_.jobs[shortage.job];
+  if (job.spec->type == JobType::gang) return;
+  JobSpread spread{job.zones, job.layout};
+  std::uint32_t unserved = shortage.tasks;
+  for (const Candidate& candidate : candidates(shortage)) {
+    while (unserved > 0 && make_room(shortage, candidate.machine, spread)) --unserved;
+    if (unserved == 0) break;
+  }
+}
+
+}  // namespace
+
+std::vector<std::size_t> choose_preemptions(const PreemptionView& view,
+                                            const std::vector<Shortage>& shortages,
+                                            const std::vector<RunningTask>& running) {
+  PreemptionPlanner planner(view, running);
+  for (const Shortage& shortage : shortages) planner.serve(shortage);
+  return std::move(planner).chosen();
+}
+
+}  // namespace wrenusher::placement
