--- a/src/provisioner/include/wrenusher/provisioner/rental_planner.hpp
+++ b/src/provisioner/include/wrenusher/provisioner/rental_planner.hpp
@@ -29,6 +29,7 @@
   std::function<bool(const events::Workload::Demand&)> may_rent;
 };
 
+/// What to rent.
 struct RentalPlan {
   std::map<MachineClass, std::uint32_t> machines;  ///< to be requested, in this order
   /// Demands with a layout for which machines are rented; they point into the input.
