--- a/src/leader/leader_records.cpp
+++ b/src/leader/leader_records.cpp
@@ -24,7 +24,7 @@
 
 /// Whether the stored root record of a job says that a user cancelled it.
 bool is_cancelled(const KeyValue& row) {
-  return row.value["wd"].boolean().value_or(false);
+  return records::cancelled_job(row.key, row.value).has_value();
 }
 
 }  // namespace
@@ -45,7 +45,7 @@
 }
 
 void LeaderActor::find_missed_jobs(const std::string& from, std::uint64_t fencing_token) {
-  store_.list("job/", from, kMissedJobsPageSize, KvClient::RequestClass::background,
+  store_.list(records::kJobPrefix, from, kMissedJobsPageSize, KvClient::RequestClass::background,
               [this, from, fencing_token](const ReadReply& page) {
                 if (!serving_term(fencing_token)) return;
                 std::string last = from;
@@ -97,7 +97,7 @@
 
 void LeaderActor::watch_records(std::uint64_t from, std::uint64_t fencing_token) {
   store_.watch(
-      "job/", from, kWatchWait, KvClient::RequestClass::lease,
+      records::kJobPrefix, from, kWatchWait, KvClient::RequestClass::lease,
       [this, from, fencing_token, requested_at = runtime_.now()](const WatchReply& reply) {
         if (!serving_term(fencing_token)) return;
         if (reply.result == WatchReply::Result::too_old || reply.result == WatchReply::Result::too_large) {
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -382,7 +382,7 @@
     c.reports.apply(r, true, true);
     EXPECT_EQ(needs(c), c.spec.resources * 2);
     if (!withdrawn) c.book.cancel(c.the_job());
-    c.book.stop_job(c.the_job(), Micros{0});
+    static_cast<void>(c.book.stop_job(c.the_job(), Micros{0}));
     EXPECT_EQ(needs(c), c.spec.resources * 2);
     EXPECT_FALSE(c.book.finished_jobs().contains(c.spec.job_id));
     c.machines.get_or_add("m-1").silent = c.machines.get_or_add("m-1").cordoned = true;
