--- a/src/worker_gateway/include/wrenusher/worker_gateway/worker_gateway.hpp
+++ b/src/worker_gateway/include/wrenusher/worker_gateway/worker_gateway.hpp
@@ -116,7 +116,7 @@
   void challenge_position(WorkerState& worker, const protocol::WorkerReport& old_report);
   void on_challenge_result(const std::string& host, std::uint64_t fencing_token,
                            const runtime::CallResult& result);
-  void cordon(const std::string& host, WorkerState& worker, const char* reason);
+  void cordon(const std::string& host, WorkerState& worker, const char* reason) const;
 
   void tick();
   void compensate_stall(time::Instant now);
@@ -124,7 +124,7 @@
   void check_delivery(time::Micros limit);
   void check_domains();
   void check_silence(time::Instant now, time::Micros limit);
-  void report_silent(const std::string& host, time::Micros silence, bool domain_lost);
+  void report_silent(const std::string& host, time::Micros silence, bool domain_lost) const;
   time::Micros silence_limit() const;
   time::Micros report_lateness() const;
 
--- a/src/worker_gateway/worker_gateway.cpp
+++ b/src/worker_gateway/worker_gateway.cpp
@@ -262,7 +262,7 @@
 
 /// Nothing more is placed there, and the machine is returned: whatever it says or doesn't say of its tasks,
 /// only that proves them gone.
-void WorkerGateway::cordon(const std::string& host, WorkerState& worker, const char* reason) {
+void WorkerGateway::cordon(const std::string& host, WorkerState& worker, const char* reason) const {
   if (std::exchange(worker.cordoned, true)) return;
   log::info("machine_unreachable", "machine {machine} is to be returned: {reason}",
             log::with("machine", host), log::with("reason", reason));
@@ -417,7 +417,7 @@
 }
 
 /// `domain_lost`: one log line tells of the whole domain already.
-void WorkerGateway::report_silent(const std::string& host, Micros silence, bool domain_lost) {
+void WorkerGateway::report_silent(const std::string& host, Micros silence, bool domain_lost) const {
   log::say(domain_lost ? spdlog::level::debug : spdlog::level::info, "machine_silent",
            "machine {machine} is silent for {seconds:.1f} s", log::with("machine", host),
            log::with("seconds", to_seconds(silence)));
