--- a/tests/docs_check.cmake
+++ b/tests/docs_check.cmake
@@ -9,8 +9,10 @@
 #           value, runtime and log go without saying.
 #   fields  every field that src/ reads from or writes into a message, a record or a settings file stands in
 #           docs/GLOSSARY.md, so that it leads from there to the code.
+#   names   every constant and qualified name of the code that a page shows in backticks, like `kMaxItems` or
+#           `Leadership::campaign`, stands in src/ or testbed/.
 #
-# cmake -DROOT=<repository> -DCASE=events|links|packages|fields -P docs_check.cmake
+# cmake -DROOT=<repository> -DCASE=events|links|packages|fields|names -P docs_check.cmake
 
 cmake_minimum_required(VERSION 3.22)
 set(faults "")
@@ -72,9 +74,10 @@
   endif()
   # A row begins with the name, or with status and name. Rows of other tables name no file.
   foreach(row IN LISTS rows)
-    if(row MATCHES "^\n[|] (4[0-9][0-9] [|] |503 [|] )?`([a-z_0-9]+)` [|].*(src/[a-z_/]+[.]cpp|apps/[a-z_/]+[.]cpp)")
+    if(row MATCHES "^\n[|] (4[0-9][0-9] [|] |503 [|] )?`([a-z_0-9]+)` [|].*[|]([^|]*(src|apps)/[a-z_/]+[.]cpp[^|]*)[|]$")
       set(name ${CMAKE_MATCH_2})
-      string(REGEX MATCHALL "(src|apps)/[a-z_/]+[.]cpp" files "${row}")
+      # The last column says who writes it.
+      string(REGEX MATCHALL "(src|apps)/[a-z_/]+[.]cpp" files "${CMAKE_MATCH_3}")
       list(REMOVE_DUPLICATES files)
       foreach(source IN LISTS files)
         if(NOT "${name}|${source}" IN_LIST written)
@@ -176,8 +179,39 @@
   if(count LESS 100)
     string(APPEND faults "  only ${count} fields were found in the code: is this script right?\n")
   endif()
+elseif(CASE STREQUAL "names")
+  file(GLOB_RECURSE sources ${ROOT}/src/*.cpp ${ROOT}/src/*.hpp ${ROOT}/testbed/*.cpp ${ROOT}/testbed/*.hpp)
+  set(code "")
+  foreach(source IN LISTS sources)
+    file(READ ${source} text)
+    string(APPEND code "${text}")
+  endforeach()
+  file(GLOB pages ${ROOT}/docs/*.md ${ROOT}/README.md)
+  set(count 0)
+  foreach(page IN LISTS pages)
+    file(RELATIVE_PATH shown ${ROOT} ${page})
+    read_plain(${page} text)
+    # The glossary's last part is of names that are gone.
+    string(REGEX REPLACE "\n## Earlier names\n.*" "" text "${text}")
+    string(REGEX MATCHALL "`(k[A-Z][A-Za-z0-9]+|[A-Za-z_]+(::[A-Za-z_]+)+)`" names "${text}")
+    list(REMOVE_DUPLICATES names)
+    foreach(quoted IN LISTS names)
+      if(quoted MATCHES "wrenusher::NAME")
+        continue()
+      endif()
+      math(EXPR count "${count} + 1")
+      string(REGEX REPLACE "^`(.*::)?([A-Za-z0-9_]+)`$" "\\2" name ${quoted})
+      string(REGEX MATCH "[^A-Za-z0-9_]${name}[^A-Za-z0-9_]" at "${code}")
+      if(at STREQUAL "")
+        string(APPEND faults "  ${shown}: ${quoted} is not in the code\n")
+      endif()
+    endforeach()
+  endforeach()
+  if(count LESS 50)
+    string(APPEND faults "  only ${count} names were found in the pages: is this script right?\n")
+  endif()
 else()
-  set(faults "CASE must be events, links, packages or fields\n")
+  set(faults "CASE must be events, links, packages, fields or names\n")
 endif()
 
 if(NOT faults STREQUAL "")
