--- a/bench/plan_bench.cpp
+++ b/bench/plan_bench.cpp
@@ -28,11 +28,11 @@
 using namespace wrenusher::value;
 using namespace wrenusher::runtime;
 using namespace wrenusher::protocol;
-namespace book = wrenusher::book;
 namespace estimates = wrenusher::estimates;
-namespace machines = wrenusher::machines;
+namespace job_table = wrenusher::job_table;
+namespace machine_inventory = wrenusher::machine_inventory;
 namespace records = wrenusher::records;
-namespace rounds = wrenusher::rounds;
+namespace scheduling_cycle = wrenusher::scheduling_cycle;
 namespace topology = wrenusher::topology;
 using wrenusher::StillRuntime;
 
@@ -45,12 +45,12 @@
 
 /// A leader's rooms in the middle of a burst.
 struct Burst {
-  StillRuntime rt;
+  StillRuntime runtime;
   wrenusher::settings::Settings settings;
   estimates::Estimator estimator;
-  machine_inventory::Machines machines_there{rt, estimator};
-  job_table::Book jobs{rt, machines_there};
-  scheduling_cycle::Rounds planner{rt, settings, jobs, machines_there, estimator};
+  machine_inventory::MachineInventory inventory{runtime, estimator};
+  job_table::JobTable jobs{runtime, inventory};
+  scheduling_cycle::SchedulingCycle cycle{runtime, settings, jobs, inventory, estimator};
   std::vector<std::pair<job_table::Job*, std::uint32_t>> running;
   std::map<std::string, std::pair<job_table::Job*, std::uint32_t>>
       running_jobs;  ///< by type, and its next task
@@ -62,18 +62,20 @@
     auto catalog = std::make_shared<Catalog>();
     catalog->emplace(
         "small",
-        Flavor{"small", {to_amount(16), 0, to_amount(64)}, 60, 0.5, 1, 0.3, from_seconds(20), {"a", "b"}});
+        MachineType{
+            "small", {to_amount(16), 0, to_amount(64)}, 60, 0.5, 1, 0.3, from_seconds(20), {"a", "b"}});
     catalog->emplace(
         "large",
-        Flavor{"large", {to_amount(64), 0, to_amount(256)}, 60, 0.5, 4, 1.1, from_seconds(30), {"a", "b"}});
-    machines_there.take_catalog(catalog);
-    if (layouts) machines_there.take_topology(racks(m));
+        MachineType{
+            "large", {to_amount(64), 0, to_amount(256)}, 60, 0.5, 4, 1.1, from_seconds(30), {"a", "b"}});
+    inventory.set_catalog(catalog);
+    if (layouts) inventory.set_topology(racks(m));
     jobs.begin(1);
     for (std::size_t i = 0; i < m; ++i) add_machine(i);
-    for (std::size_t i = 0; i < j; ++i) add_job(Shape::sweep, kTasks);
+    for (std::size_t i = 0; i < j; ++i) add_job(JobType::array, kTasks);
   }
 
-  int pick(int n) { return std::uniform_int_distribution<int>(0, n - 1)(rt.random()); }
+  int pick(int n) { return std::uniform_int_distribution<int>(0, n - 1)(runtime.random()); }
   static std::string name(std::size_t i) { return "m-" + std::to_string(1000000 + i); }
 
   /// Racks by address.
@@ -92,64 +94,64 @@
     WorkerReport r;
     r.host = name(i);
     const std::size_t rack = i / kRack;
-    r.addr = "10." + std::to_string(rack / 256) + "." + std::to_string(rack % 256) + "." +
-             std::to_string(i % kRack) + ":80";
-    r.flavor = pick(2) == 0 ? "small" : "large";
-    r.site = pick(2) == 0 ? "a" : "b";
-    r.standby = true;
-    r.tenure = r.serial = 1;
-    machine_inventory::Machine& m = machines_there.at(r.host);
-    machines_there.seen(m, r, true);
+    r.address = "10." + std::to_string(rack / 256) + "." + std::to_string(rack % 256) + "." +
+                std::to_string(i % kRack) + ":80";
+    r.machine_type = pick(2) == 0 ? "small" : "large";
+    r.zone = pick(2) == 0 ? "a" : "b";
+    r.spot = true;
+    r.incarnation = r.sequence = 1;
+    machine_inventory::Machine& m = inventory.get_or_add(r.host);
+    inventory.update_from_report(m, r, true);
     for (int k = 0; k < 4; ++k) m.images["image-" + std::to_string(pick(kImages))] = 1;
     if (i % kFree == 0) return;
     // Full, with four tasks of a job that runs on some machines of its type.
-    auto& [current, next] = running_jobs[r.flavor];
+    auto& [current, next] = running_jobs[r.machine_type];
     if (current == nullptr || next == kRunning) {
-      current = &add_job(Shape::sweep, kRunning, r.flavor == "small" ? to_amount(4) : to_amount(16));
+      current = &add_job(JobType::array, kRunning, r.machine_type == "small" ? to_amount(4) : to_amount(16));
       next = 0;
     }
     job_table::Job& job = *current;
     for (std::uint32_t n = 0; n < kOnEach; ++n) {
       const std::uint32_t t = next++;
-      jobs.claim(job, t, m, 1, job_table::Phase::loaded);
-      jobs.set_phase(job, job.claims.at(t), job_table::Phase::running);
-      job.claims.at(t).running_since = rt.now() - from_seconds(pick(40));
+      jobs.assign(job, t, m, 1, job_table::TaskState::recovered);
+      jobs.set_state(job, job.assignments.at(t), job_table::TaskState::running);
+      job.assignments.at(t).running_since = runtime.now() - from_seconds(pick(40));
       running.emplace_back(&job, t);
     }
   }
 
-  job_table::Job& add_job(Shape shape, std::uint32_t tasks, Amount cores = 0) {
+  job_table::Job& add_job(JobType type, std::uint32_t tasks, Amount cores = 0) {
     records::JobRecord rec;
     JobSpec& spec = rec.spec;
-    spec.ref = "req-" + std::to_string(10000000 + made++);
-    spec.queue = "queue-" + std::to_string(made % 8);
-    spec.owner = "team";
-    spec.shape = shape;
-    spec.units = tasks;
-    spec.needs = {cores > 0 ? cores : to_amount(1 + pick(8)), 0, to_amount(4)};
-    spec.bundle = "image-" + std::to_string(pick(kImages));
+    spec.job_id = "req-" + std::to_string(10000000 + made++);
+    spec.job_class = "queue-" + std::to_string(made % 8);
+    spec.team = "team";
+    spec.type = type;
+    spec.task_count = tasks;
+    spec.resources = {cores > 0 ? cores : to_amount(1 + pick(8)), 0, to_amount(4)};
+    spec.image = "image-" + std::to_string(pick(kImages));
     spec.image_gb = 2;
-    spec.standby = true;
-    spec.expected = from_seconds(60 + pick(40));
-    spec.due = from_seconds(60 + pick(300));
+    spec.spot_allowed = true;
+    spec.expected_runtime = from_seconds(60 + pick(40));
+    spec.deadline = from_seconds(60 + pick(300));
     if (layouts && cores == 0 && made % 4 == 0)
       spec.layout = Layout{Layout::Spread{"rack", 5, 0, true}, {}, {}};
-    rec.accepted = rt.wall() - from_seconds(pick(60));
-    rec.block = 400;
-    const std::string ref = spec.ref;
-    return jobs.accept(ref, std::move(rec), 1);
+    rec.accepted_at = runtime.wall_time() - from_seconds(pick(60));
+    rec.tasks_per_block = 400;
+    const std::string ref = spec.job_id;
+    return jobs.add(ref, std::move(rec), 1);
   }
 
   /// What the cold round placed has its image and runs.
   void settle() {
     for (int i = 0; i < 3; ++i) plan();
     for (auto& [ref, job] : jobs.jobs()) {
-      for (auto& [task, c] : job.claims) {
-        if (c.phase == job_table::Phase::running) continue;
-        jobs.end_pull(job, c);
-        machines_there.use_image(*c.at, job.spec());
-        jobs.set_phase(job, c, job_table::Phase::running);
-        c.running_since = rt.now();
+      for (auto& [task, c] : job.assignments) {
+        if (c.state == job_table::TaskState::running) continue;
+        jobs.end_fetch(job, c);
+        inventory.record_image_use(*c.machine, job.spec());
+        jobs.set_state(job, c, job_table::TaskState::running);
+        c.running_since = runtime.now();
       }
     }
     plan();
@@ -157,7 +159,7 @@
 
   double plan() {
     const auto began = std::chrono::steady_clock::now();
-    planner.plan();
+    cycle.plan();
     return std::chrono::duration<double>(std::chrono::steady_clock::now() - began).count();
   }
 };
@@ -168,10 +170,10 @@
                                  static_cast<std::size_t>(state.range(1)), state.range(2) == 1);
 }
 
-void tell_looked(benchmark::State& state, const Burst& b) {
-  state.counters["jobs"] = static_cast<double>(b.planner.looked().jobs);
-  state.counters["hosts"] = static_cast<double>(b.planner.looked().hosts);
-  state.counters["places"] = static_cast<double>(b.planner.looked().places);
+void report_statistics(benchmark::State& state, const Burst& b) {
+  state.counters["jobs"] = static_cast<double>(b.cycle.statistics().jobs);
+  state.counters["machines"] = static_cast<double>(b.cycle.statistics().machines);
+  state.counters["futures"] = static_cast<double>(b.cycle.statistics().futures);
 }
 
 void cold_round(benchmark::State& state) {
@@ -181,7 +183,7 @@
     state.SetIterationTime(b->plan());
     state.counters["bytes_a_machine"] =
         static_cast<double>(mallinfo2().uordblks - before) / static_cast<double>(state.range(0));
-    tell_looked(state, *b);
+    report_statistics(state, *b);
   }
 }
 
@@ -191,18 +193,18 @@
   b->plan();
   b->settle();
   for (auto _ : state) {
-    b->rt.clock += millis(200);
+    b->runtime.clock += from_millis(200);
     change(*b);
     state.SetIterationTime(b->plan());
   }
-  tell_looked(state, *b);
+  report_statistics(state, *b);
 }
 
 void round_after_one_change(benchmark::State& state) {
   rounds_after(state, [](Burst& b) {
     const auto [job, task] = b.running.back();
     b.running.pop_back();
-    b.jobs.finish(*job, task);
+    b.jobs.finish_task(*job, task);
   });
 }
 
@@ -210,21 +212,21 @@
   rounds_after(state, [](Burst& b) {
     const auto [job, task] = b.running.back();
     b.running.pop_back();
-    b.jobs.set_phase(*job, job->claims.at(task), job_table::Phase::saving);
+    b.jobs.set_state(*job, job->assignments.at(task), job_table::TaskState::checkpointing);
   });
 }
 
 void round_after_new_job(benchmark::State& state) {
-  rounds_after(state, [](Burst& b) { b.add_job(Shape::sweep, kTasks); });
+  rounds_after(state, [](Burst& b) { b.add_job(JobType::array, kTasks); });
 }
 
 void round_after_lost_rack(benchmark::State& state) {
   std::size_t rack = 0;
   rounds_after(state, [&rack, m = static_cast<std::size_t>(state.range(0))](Burst& b) {
     for (std::size_t i = 0; i < kRack; ++i) {
-      machine_inventory::Machine& x = *b.machines_there.find(Burst::name((rack * kRack + i) % m));
-      x.quiet = !x.quiet;
-      b.machines_there.touch(x);
+      machine_inventory::Machine& x = *b.inventory.find(Burst::name((rack * kRack + i) % m));
+      x.silent = !x.silent;
+      b.inventory.mark_changed(x);
     }
     ++rack;
   });
