--- a/src/events/include/wrenusher/events/capacity.hpp
+++ b/src/events/include/wrenusher/events/capacity.hpp
@@ -48,7 +48,7 @@
     bool spot = false;
     bool usable = false;            ///< new tasks may be placed on it
     std::uint32_t assignments = 0;  ///< tasks
-    // Resources as cores, see placement::in_cores.
+    // Resources as cores, see placement::core_equivalents.
     protocol::Amount reserved = 0;      ///< by all tasks assigned to it
     protocol::Amount running = 0;       ///< by those that run
     protocol::Amount service_load = 0;  ///< by services, which don't end
--- a/src/usage_metrics/include/wrenusher/usage_metrics/usage_metrics.hpp
+++ b/src/usage_metrics/include/wrenusher/usage_metrics/usage_metrics.hpp
@@ -44,7 +44,7 @@
 /// What was spent on each kind of machine (type; spot or not), by what it was spent on.
 class CostMetrics {
  public:
-  /// A machine in the time since the last reckoning; amounts as cores, see placement::in_cores.
+  /// A machine in the time since the last reckoning; amounts as cores, see placement::core_equivalents.
   struct Use {
     bool up = false;
     Amount reserved = 0;
