--- a/src/config_reader/config_reader.cpp
+++ b/src/config_reader/config_reader.cpp
@@ -92,7 +92,11 @@
     }
     std::string message = place(file_, field.first.Mark().line + 1);
     if (!name_.empty()) message += name_ + ": ";
-    message += "unknown field '" + key + "' (known: " + names + ")";
+    message += "unknown field '";
+    message += key;
+    message += "' (known: ";
+    message += names;
+    message += ")";
     throw ConfigError(message);
   }
 }
