--- a/bench/standby_bench.cpp
+++ b/bench/standby_bench.cpp
@@ -1,12 +1,12 @@
 // What a standby costs, and a takeover with and without one, by machines, claims and changes. One core;
 // figures of one run are to be compared with each other only.
 //
-//   follow_one_write/CLAIMS       one slot with so many claims, as a follow brings it: decoded and applied
-//   read_records/MACHINES/CLAIMS  all records as pages bring them: decoded, and taken into book and writer
-//   take_copy/MACHINES/CLAIMS     a copy that was followed, taken into book and writer
-//   conditions/MACHINES/CLAIMS    what the check compares: keys, and requests of 64 conditions
-//   tell/MACHINES/CHANGES         one heartbeat of a leader of which so many machines changed, to two peers
-//   heard/MACHINES/CHANGES        the same at a peer
+//   follow_one_write/CLAIMS       one shard with so many assignments, as a follow brings it: decoded and
+//   applied read_records/MACHINES/CLAIMS  all records as pages bring them: decoded, and loaded into job table
+//   and commit batcher load_replica/MACHINES/CLAIMS     a copy that was followed, loaded into job table and
+//   commit batcher verification_conditions/MACHINES/CLAIMS    what the check compares: keys, and requests of
+//   64 conditions publish_hints/MACHINES/CHANGES one heartbeat of a leader of which so many machines changed,
+//   to two peers receive_hints/MACHINES/CHANGES the same at a peer
 //
 // Jobs of 50 tasks, one claim a task, four images a machine. Counters: bytes of the copy a claim, of the
 // picture a machine, and of one heartbeat.
@@ -31,12 +31,12 @@
 using namespace wrenusher::protocol;
 namespace job_table = wrenusher::job_table;
 namespace estimates = wrenusher::estimates;
-namespace ledger = wrenusher::ledger;
-namespace machines = wrenusher::machines;
+namespace leader = wrenusher::leader;
+namespace machine_inventory = wrenusher::machine_inventory;
 namespace records = wrenusher::records;
-namespace standby = wrenusher::standby;
-namespace store = wrenusher::store;
-namespace writer = wrenusher::writer;
+namespace replica = wrenusher::replica;
+namespace kv_client = wrenusher::kv_client;
+namespace commit_batcher = wrenusher::commit_batcher;
 using wrenusher::StillRuntime;
 
 constexpr std::uint32_t kTasks = 50;
@@ -48,20 +48,20 @@
 
 JobSpec job(std::size_t n) {
   JobSpec s;
-  s.ref = "req-" + std::to_string(100000 + n);
-  s.queue = "work";
-  s.owner = "team";
-  s.units = kTasks;
-  s.needs = {to_amount(1), 0, to_amount(1)};
-  s.bundle = "img-" + std::to_string(n % 200);
+  s.job_id = "req-" + std::to_string(100000 + n);
+  s.job_class = "work";
+  s.team = "team";
+  s.task_count = kTasks;
+  s.resources = {to_amount(1), 0, to_amount(1)};
+  s.image = "img-" + std::to_string(n % 200);
   s.image_gb = 2;
-  s.expected = from_seconds(40);
+  s.expected_runtime = from_seconds(40);
   return s;
 }
 
 /// Live jobs and slots as the state service holds them.
-std::vector<kv_client::Row> rows(std::size_t machines, std::size_t claims) {
-  std::vector<kv_client::Row> out;
+std::vector<kv_client::KeyValue> rows(std::size_t machines, std::size_t claims) {
+  std::vector<kv_client::KeyValue> out;
   Value::List blocks;
   std::size_t bytes = 0;
   std::uint32_t slot = 0;
@@ -69,20 +69,20 @@
   const auto close = [&] {
     if (blocks.empty()) return;
     out.push_back(
-        {records::slot_key(slot), records::write_slot(slot, std::exchange(blocks, {})), ++stamp, 0});
+        {records::shard_key(slot), records::write_shard(slot, std::exchange(blocks, {})), ++stamp, 0});
     ++slot;
     bytes = 0;
   };
   for (std::size_t n = 0; n * kTasks < claims; ++n) {
     const JobSpec spec = job(n);
-    out.push_back({records::job_key(spec.ref), records::new_job(spec, WallTime{}, kTasks), ++stamp, 0});
-    std::vector<records::ClaimRow> there;
+    out.push_back({records::job_key(spec.job_id), records::write_job(spec, WallTime{}, kTasks), ++stamp, 0});
+    std::vector<records::AssignmentRow> there;
     for (std::uint32_t t = 0; t < kTasks; ++t) {
       RangeSet task;
       task.add(t);
       there.push_back({host((n * kTasks + t) * 7919 % machines), 1, task});
     }
-    Value row = records::write_block({spec.ref, 0, n + 1}, 1, {}, there, 0, kTasks - 1);
+    Value row = records::write_block({spec.job_id, 0, n + 1}, 1, {}, there, 0, kTasks - 1);
     const std::size_t size = row.json_size() + 1;
     if (bytes + size > kSlotBytes) close();
     bytes += size;
@@ -92,23 +92,23 @@
   return out;
 }
 
-records::Snapshot snapshot(const std::vector<kv_client::Row>& all) {
-  records::Snapshot s;
-  for (const kv_client::Row& r : all) replica::apply_put(s, r);
+records::RecordSnapshot snapshot(const std::vector<kv_client::KeyValue>& all) {
+  records::RecordSnapshot s;
+  for (const kv_client::KeyValue& r : all) replica::apply_put(s, r);
   return s;
 }
 
 /// What a takeover reads into.
-struct Rooms {
+struct LeaderState {
   StillRuntime rt;
   wrenusher::settings::Settings settings;
   estimates::Estimator estimator;
-  kv_client::Store service{rt, settings};
-  machine_inventory::Machines there{rt, estimator};
-  job_table::Book jobs{rt, there};
-  commit_batcher::Writer slots{rt, settings, service, jobs};
-  leader::Takeover takeover{rt, service, jobs, slots};
-  Rooms() {
+  kv_client::KvClient service{rt, settings};
+  machine_inventory::MachineInventory there{rt, estimator};
+  job_table::JobTable jobs{rt, there};
+  commit_batcher::CommitBatcher slots{rt, settings, service, jobs};
+  leader::Failover failover{rt, service, jobs, slots};
+  LeaderState() {
     jobs.begin(2);
     slots.begin(9);
   }
@@ -119,11 +119,11 @@
   std::vector<std::string> bytes;
   std::vector<std::string> keys;
   for (const auto& r : all) {
-    if (!records::parse_slot_key(r.key)) continue;
+    if (!records::parse_shard_key(r.key)) continue;
     bytes.push_back(encode(r.value));
     keys.push_back(r.key);
   }
-  records::Snapshot s = snapshot(all);
+  records::RecordSnapshot s = snapshot(all);
   std::size_t n = 0;
   for (auto _ : state) {
     const std::size_t i = n++ % keys.size();
@@ -134,48 +134,49 @@
 
 void read_records(benchmark::State& state) {
   const auto all = rows(static_cast<std::size_t>(state.range(0)), static_cast<std::size_t>(state.range(1)));
-  std::vector<std::pair<kv_client::Row, std::string>> wire;
-  for (const auto& r : all) wire.emplace_back(kv_client::Row{r.key, {}, r.stamp, 0}, encode(r.value));
+  std::vector<std::pair<kv_client::KeyValue, std::string>> wire;
+  for (const auto& r : all)
+    wire.emplace_back(kv_client::KeyValue{r.key, {}, r.mod_revision, 0}, encode(r.value));
   for (auto _ : state) {
     state.PauseTiming();
-    auto rooms = std::make_unique<Rooms>();
-    auto s = std::make_unique<records::Snapshot>();
+    auto state_of_leader = std::make_unique<LeaderState>();
+    auto s = std::make_unique<records::RecordSnapshot>();
     state.ResumeTiming();
     for (auto& [row, bytes] : wire) {
       row.value = *decode(bytes);
       replica::apply_put(*s, row);
     }
-    rooms->takeover.take(*s);
+    state_of_leader->failover.load_replica(*s);
     state.PauseTiming();
-    rooms.reset();
+    state_of_leader.reset();
     s.reset();
     state.ResumeTiming();
   }
 }
 
-void take_copy(benchmark::State& state) {
+void load_replica(benchmark::State& state) {
   const auto all = rows(static_cast<std::size_t>(state.range(0)), static_cast<std::size_t>(state.range(1)));
   const std::size_t before = mallinfo2().uordblks;
-  const records::Snapshot s = snapshot(all);
+  const records::RecordSnapshot s = snapshot(all);
   state.counters["bytes_a_claim"] =
       static_cast<double>(mallinfo2().uordblks - before) / static_cast<double>(state.range(1));
   for (auto _ : state) {
     state.PauseTiming();
-    auto rooms = std::make_unique<Rooms>();
+    auto state_of_leader = std::make_unique<LeaderState>();
     state.ResumeTiming();
-    rooms->takeover.take(s);
+    state_of_leader->failover.load_replica(s);
     state.PauseTiming();
-    rooms.reset();
+    state_of_leader.reset();
     state.ResumeTiming();
   }
 }
 
-void conditions(benchmark::State& state) {
+void verification_conditions(benchmark::State& state) {
   const auto all = rows(static_cast<std::size_t>(state.range(0)), static_cast<std::size_t>(state.range(1)));
-  const records::Snapshot s = snapshot(all);
+  const records::RecordSnapshot s = snapshot(all);
   std::size_t keys = 0;
   for (auto _ : state) {
-    keys = replica::conditions_of(s).size();
+    keys = replica::verification_conditions(s).size();
     benchmark::DoNotOptimize(keys);
   }
   state.counters["keys"] = static_cast<double>(keys);
@@ -185,47 +186,47 @@
 MachineHint hint(std::size_t n, std::uint64_t change) {
   MachineHint m;
   m.host = host(n);
-  m.addr = "10.1." + std::to_string(n / 250) + "." + std::to_string(n % 250) + ":9000";
-  m.flavor = "small";
-  m.site = "a";
-  m.tenure = 1;
+  m.address = "10.1." + std::to_string(n / 250) + "." + std::to_string(n % 250) + ":9000";
+  m.machine_type = "small";
+  m.zone = "a";
+  m.incarnation = 1;
   for (std::uint64_t i = 0; i < 4; ++i)
     m.images.push_back({"img-" + std::to_string((n + change + i) % 200), 2});
   return m;
 }
 
-struct Told {
+struct PublishingLeader {
   Instant now{from_seconds(1000)};
-  replica::Teller teller;
-  replica::Picture picture;
+  replica::HintPublisher publisher;
+  replica::HintTable table;
   std::uint64_t change = 0;
   std::size_t machines;
-  explicit Told(std::size_t n) : machines(n) {
-    teller.begin(3, 1, {}, {}, now);
-    for (std::size_t i = 0; i < n; ++i) teller.put(replica::to_row(hint(i, 0)), now);
-    for (const char* peer : {"one", "two"}) teller.heard(peer, 5, {}, now);
-    while (teller.open("one") + teller.open("two") > 0) beat();
+  explicit PublishingLeader(std::size_t n) : machines(n) {
+    publisher.begin(3, 1, {}, {}, now);
+    for (std::size_t i = 0; i < n; ++i) publisher.put(replica::to_hint_row(hint(i, 0)), now);
+    for (const char* peer : {"one", "two"}) publisher.on_confirmed(peer, 5, {}, now);
+    while (publisher.unconfirmed("one") + publisher.unconfirmed("two") > 0) beat();
   }
   std::vector<std::string> beat() {
-    now += millis(500);
+    now += from_millis(500);
     std::vector<std::string> out;
     for (const char* peer : {"one", "two"}) {
-      const Value v = teller.next(peer, now);
+      const Value v = publisher.next(peer, now);
       if (v.is_null()) continue;
       out.push_back(encode(v));
-      teller.heard(peer, 5, {*v["n"].count()}, now);
+      publisher.on_confirmed(peer, 5, {*v["n"].count()}, now);
     }
     return out;
   }
   void changed(std::size_t n) {
     ++change;
     for (std::size_t i = 0; i < n; ++i)
-      teller.put(replica::to_row(hint((change * n + i) * 7919 % machines, change)), now);
+      publisher.put(replica::to_hint_row(hint((change * n + i) * 7919 % machines, change)), now);
   }
 };
 
-void tell(benchmark::State& state) {
-  Told t(static_cast<std::size_t>(state.range(0)));
+void publish_hints(benchmark::State& state) {
+  PublishingLeader t(static_cast<std::size_t>(state.range(0)));
   std::size_t bytes = 0;
   std::size_t beats = 0;
   for (auto _ : state) {
@@ -236,16 +237,16 @@
   state.counters["bytes"] = static_cast<double>(bytes) / static_cast<double>(beats * 2);
 }
 
-void heard(benchmark::State& state) {
-  Told t(static_cast<std::size_t>(state.range(0)));
+void receive_hints(benchmark::State& state) {
+  PublishingLeader t(static_cast<std::size_t>(state.range(0)));
   std::vector<std::string> messages;
   for (int i = 0; i < 20; ++i) {
     t.changed(static_cast<std::size_t>(state.range(1)));
     messages.push_back(t.beat().front());
   }
   const std::size_t before = mallinfo2().uordblks;
-  replica::Picture p;
-  for (std::size_t i = 0; i < t.machines; ++i) p.put(replica::to_row(hint(i, 0)), t.now, 3, 1);
+  replica::HintTable p;
+  for (std::size_t i = 0; i < t.machines; ++i) p.put(replica::to_hint_row(hint(i, 0)), t.now, 3, 1);
   state.counters["bytes_a_machine"] =
       static_cast<double>(mallinfo2().uordblks - before) / static_cast<double>(t.machines);
   std::uint64_t n = 1;
@@ -261,15 +262,15 @@
 
 BENCHMARK(follow_one_write)->Arg(10000)->Unit(benchmark::kMicrosecond);
 BENCHMARK(read_records)->Args({1000, 10000})->Args({10000, 100000})->Unit(benchmark::kMillisecond);
-BENCHMARK(take_copy)->Args({1000, 10000})->Args({10000, 100000})->Unit(benchmark::kMillisecond);
-BENCHMARK(conditions)->Args({1000, 10000})->Args({10000, 100000})->Unit(benchmark::kMillisecond);
-BENCHMARK(tell)
+BENCHMARK(load_replica)->Args({1000, 10000})->Args({10000, 100000})->Unit(benchmark::kMillisecond);
+BENCHMARK(verification_conditions)->Args({1000, 10000})->Args({10000, 100000})->Unit(benchmark::kMillisecond);
+BENCHMARK(publish_hints)
     ->Args({1000, 10})
     ->Args({10000, 10})
     ->Args({1000, 100})
     ->Args({10000, 100})
     ->Unit(benchmark::kMicrosecond);
-BENCHMARK(heard)->Args({1000, 100})->Args({10000, 100})->Unit(benchmark::kMicrosecond);
+BENCHMARK(receive_hints)->Args({1000, 100})->Args({10000, 100})->Unit(benchmark::kMicrosecond);
 
 }  // namespace
 
