--- a/bench/plan_bench.cpp
+++ b/bench/plan_bench.cpp
@@ -70,7 +70,7 @@
             "large", {to_amount(64), 0, to_amount(256)}, 60, 0.5, 4, 1.1, from_seconds(30), {"a", "b"}});
     inventory.set_catalog(catalog);
     if (layouts) inventory.set_topology(racks(m));
-    jobs.begin(1);
+    jobs.reset(1);
     for (std::size_t i = 0; i < m; ++i) add_machine(i);
     for (std::size_t i = 0; i < j; ++i) add_job(JobType::array, kTasks);
   }
@@ -173,7 +173,7 @@
 void report_statistics(benchmark::State& state, const Burst& b) {
   state.counters["jobs"] = static_cast<double>(b.cycle.statistics().jobs);
   state.counters["machines"] = static_cast<double>(b.cycle.statistics().machines);
-  state.counters["futures"] = static_cast<double>(b.cycle.statistics().futures);
+  state.counters["futures"] = static_cast<double>(b.cycle.statistics().future_places);
 }
 
 void cold_round(benchmark::State& state) {
--- a/bench/standby_bench.cpp
+++ b/bench/standby_bench.cpp
@@ -109,8 +109,8 @@
   commit_batcher::CommitBatcher slots{rt, settings, service, jobs};
   leader::Failover failover{rt, service, jobs, slots};
   LeaderState() {
-    jobs.begin(2);
-    slots.begin(9);
+    jobs.reset(2);
+    slots.reset(9);
   }
 };
 
@@ -205,13 +205,13 @@
     publisher.begin(3, 1, {}, {}, now);
     for (std::size_t i = 0; i < n; ++i) publisher.put(replica::to_hint_row(hint(i, 0)), now);
     for (const char* peer : {"one", "two"}) publisher.on_confirmed(peer, 5, {}, now);
-    while (publisher.unconfirmed("one") + publisher.unconfirmed("two") > 0) beat();
+    while (publisher.unconfirmed_row_count("one") + publisher.unconfirmed_row_count("two") > 0) beat();
   }
   std::vector<std::string> beat() {
     now += from_millis(500);
     std::vector<std::string> out;
     for (const char* peer : {"one", "two"}) {
-      const Value v = publisher.next(peer, now);
+      const Value v = publisher.next_message(peer, now);
       if (v.is_null()) continue;
       out.push_back(encode(v));
       publisher.on_confirmed(peer, 5, {*v["n"].count()}, now);
--- a/src/commit_batcher/commit_batcher.cpp
+++ b/src/commit_batcher/commit_batcher.cpp
@@ -34,7 +34,7 @@
 
 }  // namespace
 
-void CommitBatcher::begin(std::uint64_t leader_revision) {
+void CommitBatcher::reset(std::uint64_t leader_revision) {
   ++generation_;
   leader_revision_ = leader_revision;
   committing_ = false;
@@ -262,8 +262,8 @@
 /// A conflict, or the outcome is not known: what the batch depends on must be read again.
 void CommitBatcher::on_uncertain(const Batch& batch) {
   for (const std::uint32_t shard_number : batch.shards) refresh_shard(shard_number);
-  for (const std::string& job_id : batch.assigning_jobs) on_job_uncertain(job_id);
-  for (const std::string& job_id : batch.finished_jobs) on_job_uncertain(job_id);
+  for (const std::string& job_id : batch.assigning_jobs) on_job_refresh_needed(job_id);
+  for (const std::string& job_id : batch.finished_jobs) on_job_refresh_needed(job_id);
 }
 
 /// Reads a shard's revision again. What is stored in it does not matter any more: a copy of a block that was
@@ -283,7 +283,7 @@
                shard.mod_revision = reply.rows.empty() ? 0 : reply.rows[0].mod_revision;
                shard.uncertain = false;
                --uncertain_shards_;
-               on_ready();
+               on_shard_refreshed();
              });
 }
 
--- a/src/commit_batcher/include/wrenusher/commit_batcher/commit_batcher.hpp
+++ b/src/commit_batcher/include/wrenusher/commit_batcher/commit_batcher.hpp
@@ -31,7 +31,7 @@
 
 /// Writes the job table's changes to the state service, one transaction at a time. Owns the shards; the
 /// referenced objects must outlive it. Single-threaded: called from the runtime's loop only. The callbacks
-/// are set once, before the first `begin`, and called from the reply to a transaction or read.
+/// are set once, before the first `reset`, and called from the reply to a transaction or read.
 class CommitBatcher {
  public:
   CommitBatcher(Runtime& runtime, const Settings& settings, KvClient& store, JobTable& jobs)
@@ -39,7 +39,7 @@
 
   /// A new term, or none, or the records are read again: nothing is known of the shards, and the replies to
   /// what is under way are dropped. `leader_revision`: of the `leader` key, a condition of every write.
-  void begin(std::uint64_t leader_revision);
+  void reset(std::uint64_t leader_revision);
   /// A shard found at failover.
   void restore_shard(std::uint32_t shard_number, std::uint64_t mod_revision);
   /// A block whose newest copy is in this shard, which was restored before.
@@ -53,9 +53,9 @@
   /// A transaction has been committed.
   std::function<void()> on_committed;
   /// A shard of uncertain content has been read again: more can be written.
-  std::function<void()> on_ready;
+  std::function<void()> on_shard_refreshed;
   /// The job's root record must be read again before more of the job is written.
-  std::function<void(const std::string& job_id)> on_job_uncertain;
+  std::function<void(const std::string& job_id)> on_job_refresh_needed;
   /// Another node leads.
   std::function<void()> on_leadership_lost;
 
--- a/src/containers/include/wrenusher/containers/aged_set.hpp
+++ b/src/containers/include/wrenusher/containers/aged_set.hpp
@@ -24,12 +24,12 @@
   }
 
   /// Forgets every member that was inserted more than `max_age` before `now`.
-  void forget_older_than(time::Micros max_age, time::Instant now) {
+  void erase_older_than(time::Micros max_age, time::Instant now) {
     while (!insertions_.empty() && now - insertions_.front().at > max_age) forget_oldest();
   }
 
   /// Forgets the oldest members until at most `max_size` are left.
-  void forget_beyond(std::size_t max_size) {
+  void shrink_to(std::size_t max_size) {
     while (insertions_.size() > max_size) forget_oldest();
   }
 
--- a/src/domain_failure_detector/domain_failure_detector.cpp
+++ b/src/domain_failure_detector/domain_failure_detector.cpp
@@ -51,7 +51,7 @@
 void DomainFailureDetector::evaluate(Instant now, Micros lateness, const std::vector<DomainMember>& members) {
   if (!topology_) return;
   const bool any_heard = std::any_of(members.begin(), members.end(), [&](const DomainMember& member) {
-    return now - member.heard_at <= lateness;
+    return now - member.last_report_at <= lateness;
   });
   // Where nobody at all is heard, the fault may well be this node's.
   if (any_heard) update_domains(now, count(now, lateness, members));
@@ -63,7 +63,7 @@
     Instant now, Micros lateness, const std::vector<DomainMember>& members) const {
   std::vector<Tally> tallies(topology_->domains().size());
   for (const DomainMember& member : members) {
-    const bool is_late = now - member.heard_at > lateness;
+    const bool is_late = now - member.last_report_at > lateness;
     for (const DomainId id : member.location->by_level) {
       if (id == topology::kNowhere) continue;
       ++tallies[id].machines;
@@ -148,7 +148,8 @@
       continue;
     }
     for (const DomainId id : member.location->by_level) {
-      if (domains_.contains(id) && now - member.heard_at <= lateness) heard_again[id].push_back(&member);
+      if (domains_.contains(id) && now - member.last_report_at <= lateness)
+        heard_again[id].push_back(&member);
     }
   }
   for (auto& [id, heard] : heard_again) suspect_untrusted(domains_.at(id), now, heard);
--- a/src/domain_failure_detector/include/wrenusher/domain_failure_detector/domain_failure_detector.hpp
+++ b/src/domain_failure_detector/include/wrenusher/domain_failure_detector/domain_failure_detector.hpp
@@ -23,7 +23,7 @@
 struct DomainMember {
   const std::string* host = nullptr;
   const topology::MachineLocation* location = nullptr;
-  Instant heard_at{};
+  Instant last_report_at{};
 };
 
 /// A domain of at least three machines is lost when all its machines are late at the same time. Once some of
--- a/src/estimates/include/wrenusher/estimates/estimator.hpp
+++ b/src/estimates/include/wrenusher/estimates/estimator.hpp
@@ -26,7 +26,7 @@
   double speed(const std::string& host) const;
   /// Rises with every change of what tasks of the queue are estimated to take.
   std::uint64_t version(const std::string& job_class) const;
-  void forget_host(const std::string& host) { hosts_.erase(host); }
+  void remove_host(const std::string& host) { hosts_.erase(host); }
 
   /// What the tasks of one job showed, as logarithms of (seen / expected).
   struct JobSample {
@@ -37,7 +37,7 @@
   };
   /// The queues of which something was seen.
   std::vector<std::string> job_classes() const;
-  const std::deque<JobSample>& jobs_of(const std::string& job_class) const {
+  const std::deque<JobSample>& job_samples(const std::string& job_class) const {
     return job_classes_.at(job_class).jobs;
   }
   /// How many tasks told of the machine's speed, and the median of what they said as a logarithm.
--- a/src/events/include/wrenusher/events/capacity.hpp
+++ b/src/events/include/wrenusher/events/capacity.hpp
@@ -32,11 +32,11 @@
   /// Tasks of one job that wait for a machine.
   struct Demand {
     protocol::JobSpec spec;
-    std::uint32_t tasks = 0;               ///< that wait
-    std::uint32_t expected_soon = 0;       ///< of those: expected to be placed on a machine that there is
-    time::Micros estimate{};               ///< of the run time of a task
-    time::Micros slack{};                  ///< how long it may wait for its start
-    std::set<std::string> excluded_types;  ///< machine types reserved for jobs that fit nowhere else
+    std::uint32_t tasks = 0;                 ///< that wait
+    std::uint32_t expected_on_existing = 0;  ///< of those: expected to be placed on a machine that there is
+    time::Micros estimate{};                 ///< of the run time of a task
+    time::Micros slack{};                    ///< how long it may wait for its start
+    std::set<std::string> excluded_types;    ///< machine types reserved for jobs that fit nowhere else
     /// Pairs of machine type and zone where a machine could satisfy the job's layout; nothing: any.
     std::optional<std::set<std::pair<std::string, std::string>>> eligible_placements;
   };
--- a/src/events/include/wrenusher/events/hints.hpp
+++ b/src/events/include/wrenusher/events/hints.hpp
@@ -51,8 +51,8 @@
   /// One finished job.
   struct JobSample {
     std::string job_id;
-    double sum = 0;  ///< over its tasks, of the logarithm of (actual / estimated run time)
-    int tasks = 0;   ///< how many those were
+    double log_ratio_sum = 0;  ///< over its tasks, of the logarithm of (actual / estimated run time)
+    int tasks = 0;             ///< how many those were
   };
   std::string job_class;
   std::vector<JobSample> jobs;
--- a/src/events/include/wrenusher/events/jobs.hpp
+++ b/src/events/include/wrenusher/events/jobs.hpp
@@ -53,7 +53,7 @@
 
 /// The key-value store has answered with every cancellation of a live job that it had when it was asked.
 struct CancellationsRead {
-  time::Instant asked_at{};
+  time::Instant request_sent_at{};
   std::vector<std::string> job_ids;  ///< those that are new to the reader
 };
 
@@ -73,7 +73,7 @@
     std::uint64_t running = 0;
   };
   /// The range of jobs that a page covers, by identifier.
-  struct Part {
+  struct JobRange {
     std::string after;    ///< exclusive
     std::string through;  ///< inclusive; empty: to the end
     bool contains(const std::string& job_id) const {
@@ -81,7 +81,7 @@
     }
   };
   std::vector<Row> rows;
-  std::optional<Part> part;  ///< nothing: the rows cover all live jobs
+  std::optional<JobRange> job_range;  ///< nothing: the rows cover all live jobs
 };
 
 }  // namespace wrenusher::events
--- a/src/events/include/wrenusher/events/membership.hpp
+++ b/src/events/include/wrenusher/events/membership.hpp
@@ -20,7 +20,7 @@
   std::uint64_t mod_revision = 0;
   std::string leader;  ///< its node; empty: not known
   /// While leading: when the expiry of the previous lease was noticed here. Zero: there was none.
-  time::Instant vacancy_noticed{};
+  time::Instant lease_expiry_noticed{};
   /// While leading: when the previous leader was last heard. Zero: never.
   time::Instant last_heartbeat{};
 };
@@ -32,9 +32,9 @@
 
 /// How much of what the leader knows a standby has.
 enum class Readiness {
-  cold,  ///< nothing
-  part,  ///< the records or the hints, not both
-  warm   ///< both
+  cold,     ///< nothing
+  partial,  ///< the records or the hints, not both
+  warm      ///< both
 };
 
 /// What a peer says of itself in a heartbeat. From the peers' actor.
@@ -52,7 +52,7 @@
   bool abstains = false;  ///< it has stepped down and does not want to lead again yet
   /// When the heartbeat went out that this answers: the peer was alive later than that. Nothing: the peer
   /// sent this by itself.
-  std::optional<time::Instant> asked_at;
+  std::optional<time::Instant> request_sent_at;
   std::string successor;  ///< the node that it wants to lead next; empty: none
   /// Everything that it had announced to this node has been received with this; otherwise more follows.
   bool announcements_complete = true;
--- a/src/events/include/wrenusher/events/workers.hpp
+++ b/src/events/include/wrenusher/events/workers.hpp
@@ -18,7 +18,7 @@
   bool token_accepted = false;
   /// A report by the worker itself, not the answer to a call: the answer to its previous report has arrived
   /// by now, or never will.
-  bool settled = false;
+  bool worker_initiated = false;
   /// Takes the commands for the worker; to be called exactly once.
   std::function<void(std::vector<protocol::WorkerCommand>)> reply;
 };
--- a/src/job_api/job_api.cpp
+++ b/src/job_api/job_api.cpp
@@ -46,12 +46,12 @@
       cancellations_(store, lookup_, responder_) {}
 
 void JobApi::on_peer_status(const events::PeerStatus& status) {
-  if (!status.asked_at) return;
+  if (!status.request_sent_at) return;
   PeerState& peer = peers_[status.node];
-  peer.asked_at = std::max(peer.asked_at, *status.asked_at);
+  peer.asked_at = std::max(peer.asked_at, *status.request_sent_at);
   peer.kv_reachable = status.kv_reachable;
   if (status.announcements_complete)
-    peer.announcements_through = std::max(peer.announcements_through, *status.asked_at);
+    peer.announcements_through = std::max(peer.announcements_through, *status.request_sent_at);
   if (peers_.size() < settings_.peers.size()) return;
   // The peers' announcements arrived as events before this one.
   Instant through = Instant::max();
--- a/src/job_api/job_lookup.cpp
+++ b/src/job_api/job_lookup.cpp
@@ -53,8 +53,8 @@
 }
 
 void JobLookup::on_progress(const Progress& progress) {
-  if (progress.part) {
-    std::erase_if(task_counts_, [&](const auto& entry) { return progress.part->contains(entry.first); });
+  if (progress.job_range) {
+    std::erase_if(task_counts_, [&](const auto& entry) { return progress.job_range->contains(entry.first); });
   } else {
     task_counts_.clear();
   }
--- a/src/job_table/include/wrenusher/job_table/job_table.hpp
+++ b/src/job_table/include/wrenusher/job_table/job_table.hpp
@@ -93,7 +93,7 @@
   bool gang_started = false;    ///< gang: a report has shown a task of the attempt run
   Instant incomplete_since{};   ///< gang: a task was lost before the start and is to be replaced; 0: none
   std::map<std::string, Instant> avoided_machines;  ///< host -> until when it gets no task of this job
-  std::set<std::string> error_hosts;                ///< hosts where a task failed since the last retry pause
+  std::set<std::string> failed_hosts;               ///< hosts where a task failed since the last retry pause
   Instant not_before{};                             ///< no task is assigned before then
   Instant near_image_until{};  ///< a service waits until then for room where its image is
   int retry_count = 0;         ///< pauses after failures on several hosts; each is longer than the one before
@@ -141,7 +141,7 @@
 
   /// A new term, or the records are read again within one: empties the table. Versions go on above those of
   /// before. The owner clears the machine inventory with it.
-  void begin(std::uint64_t fencing_token);
+  void reset(std::uint64_t fencing_token);
 
   /// Null when the job is not known.
   Job* find(const std::string& job_id);
--- a/src/job_table/job_table.cpp
+++ b/src/job_table/job_table.cpp
@@ -11,7 +11,7 @@
   return it != assignments.end() && it->second.machine == &machine && it->second.attempt == attempt;
 }
 
-void JobTable::begin(std::uint64_t fencing_token) {
+void JobTable::reset(std::uint64_t fencing_token) {
   jobs_.clear();
   by_machine_.clear();
   teams_.clear();
--- a/src/leader/failover_timer.cpp
+++ b/src/leader/failover_timer.cpp
@@ -8,7 +8,7 @@
 
 /// What has not happened by then is reported as missing.
 constexpr Micros kMaxFailoverTime = time::from_seconds(25);
-/// The share of the machines after whose reports `most_machines` is measured.
+/// The share of the machines after whose reports `ninety_percent_machines` is measured.
 constexpr double kMostMachinesShare = 0.9;
 
 /// In seconds, or "-" for what has not happened.
@@ -23,8 +23,9 @@
   began_ = now;
   times_so_far_ = {};
   times_so_far_.term = term.fencing_token;
-  if (term.last_heartbeat != Instant{}) times_so_far_.silence = now - term.last_heartbeat;
-  if (term.vacancy_noticed != Instant{}) times_so_far_.vacancy = now - term.vacancy_noticed;
+  if (term.last_heartbeat != Instant{}) times_so_far_.since_last_heartbeat = now - term.last_heartbeat;
+  if (term.lease_expiry_noticed != Instant{})
+    times_so_far_.since_lease_expiry = now - term.lease_expiry_noticed;
   expected_machines_.clear();
   report_times_.clear();
 }
@@ -62,11 +63,11 @@
 }
 
 void FailoverTimer::summarize_machines() {
-  times_so_far_.machines = static_cast<std::uint32_t>(report_times_.size());
-  times_so_far_.missing = static_cast<std::uint32_t>(expected_machines_.size());
+  times_so_far_.machines_reported = static_cast<std::uint32_t>(report_times_.size());
+  times_so_far_.machines_missing = static_cast<std::uint32_t>(expected_machines_.size());
   if (report_times_.empty()) return;
   times_so_far_.last_machine = report_times_.back();
-  times_so_far_.most_machines = report_times_[static_cast<std::size_t>(
+  times_so_far_.ninety_percent_machines = report_times_[static_cast<std::size_t>(
       kMostMachinesShare * static_cast<double>(report_times_.size() - 1))];
 }
 
@@ -79,17 +80,18 @@
       "s, "
       "first start {first_start} s, nine in ten of {machines} machines {most} s, the last {last} s, all "
       "assignments located {located} s; machines that have not reported: {missing}",
-      log::with("term", times_so_far_.term), log::with("silence", seconds_text(times_so_far_.silence)),
-      log::with("vacancy", seconds_text(times_so_far_.vacancy)),
+      log::with("term", times_so_far_.term),
+      log::with("silence", seconds_text(times_so_far_.since_last_heartbeat)),
+      log::with("vacancy", seconds_text(times_so_far_.since_lease_expiry)),
       log::with("records", seconds_text(times_so_far_.records_read)),
       log::with("source", times_so_far_.from_replica ? "replica" : "store"),
       log::with("first_machine", seconds_text(times_so_far_.first_machine)),
       log::with("first_start", seconds_text(times_so_far_.first_start)),
-      log::with("machines", times_so_far_.machines),
-      log::with("most", seconds_text(times_so_far_.most_machines)),
+      log::with("machines", times_so_far_.machines_reported),
+      log::with("most", seconds_text(times_so_far_.ninety_percent_machines)),
       log::with("last", seconds_text(times_so_far_.last_machine)),
       log::with("located", seconds_text(times_so_far_.all_located)),
-      log::with("missing", times_so_far_.missing));
+      log::with("missing", times_so_far_.machines_missing));
 }
 
 }  // namespace wrenusher::leader
--- a/src/leader/hint_adopter.cpp
+++ b/src/leader/hint_adopter.cpp
@@ -43,7 +43,7 @@
   machine_hints_ = hints.machines;
   for (const events::JobClassHint& hint : hints.job_classes) {
     std::deque<estimates::Estimator::JobSample> jobs;
-    for (const auto& sample : hint.jobs) jobs.push_back({sample.job_id, sample.sum, sample.tasks});
+    for (const auto& sample : hint.jobs) jobs.push_back({sample.job_id, sample.log_ratio_sum, sample.tasks});
     estimator_.adopt_class(hint.job_class, std::move(jobs));
   }
   for (const auto& [host, hint] : machine_hints_) {
@@ -74,7 +74,8 @@
   if (hint.machine_type != report.machine_type || hint.address != report.address) return false;
   machine_inventory::Machine& machine = machines_.get_or_add(report.host);
   machines_.adopt_images(machine, inherited_images(hint, machines_.find_type(report.machine_type)));
-  for (const auto& failure : hint.failures) machine.errors[failure.job_id] = runtime_.now() - failure.ago;
+  for (const auto& failure : hint.failures)
+    machine.task_failures[failure.job_id] = runtime_.now() - failure.ago;
   return true;
 }
 
@@ -89,7 +90,7 @@
     job->retry_count = std::min(hint.retry_count, kMaxInheritedRetries);
     if (hint.retry_pause.count() > 0)
       job->not_before = runtime_.now() + std::min(hint.retry_pause, kMaxInheritedRetryPause);
-    for (const std::string& host : hint.hosts) job->error_hosts.insert(host);
+    for (const std::string& host : hint.hosts) job->failed_hosts.insert(host);
   }
   failure_hints_.clear();
 }
--- a/src/leader/hint_collector.cpp
+++ b/src/leader/hint_collector.cpp
@@ -70,7 +70,7 @@
   }
   for (const auto& [image, fetch] : machine.fetches)
     hint.fetches.push_back({image, fetch.size_gb, fetch.remaining_gb});
-  for (const auto& [job_id, failed_at] : machine.errors)
+  for (const auto& [job_id, failed_at] : machine.task_failures)
     hint.failures.push_back({job_id, runtime_.now() - failed_at});
   return hint;
 }
@@ -82,7 +82,7 @@
     if (sent == version) continue;
     sent = version;
     events::JobClassHint hint{job_class, {}};
-    for (const auto& sample : estimator_.jobs_of(job_class))
+    for (const auto& sample : estimator_.job_samples(job_class))
       hint.jobs.push_back({sample.job_id, sample.sum, sample.tasks});
     hints.job_classes.push_back(std::move(hint));
   }
@@ -91,10 +91,10 @@
 void HintCollector::collect_failing_jobs(events::LeaderHints& hints, Instant now) {
   std::set<std::string> failing;
   for (const auto& [job_id, job] : jobs_.jobs()) {
-    if (job.error_hosts.empty() && job.retry_count == 0) continue;
+    if (job.failed_hosts.empty() && job.retry_count == 0) continue;
     failing.insert(job_id);
     hints.jobs.push_back({job_id,
-                          {job.error_hosts.begin(), job.error_hosts.end()},
+                          {job.failed_hosts.begin(), job.failed_hosts.end()},
                           std::max(time::Micros{0}, job.not_before - now),
                           job.retry_count});
   }
--- a/src/leader/leader_actor.cpp
+++ b/src/leader/leader_actor.cpp
@@ -22,8 +22,8 @@
     reply_pending();
     wake();
   };
-  batcher_.on_ready = [this] { wake(); };
-  batcher_.on_job_uncertain = [this](const std::string& job_id) { refresh_job(job_id); };
+  batcher_.on_shard_refreshed = [this] { wake(); };
+  batcher_.on_job_refresh_needed = [this](const std::string& job_id) { refresh_job(job_id); };
   batcher_.on_leadership_lost = [this] { leadership_lost(events::LeadershipLost{0}); };
 }
 
@@ -55,9 +55,9 @@
 void LeaderActor::begin() {
   records_loaded_ = false;
   pending_replies_.reply_all_empty();
-  jobs_.begin(term_.fencing_token);
+  jobs_.reset(term_.fencing_token);
   machines_.clear();
-  batcher_.begin(term_.mod_revision);
+  batcher_.reset(term_.mod_revision);
   failover_.stop();
   term_began_ = runtime_.now();
   hint_adopter_.begin();
@@ -103,7 +103,7 @@
   pending_replies_.reply_ready([this](const std::string& host, const pending_replies::PendingReply& pending)
                                    -> std::optional<std::vector<protocol::WorkerCommand>> {
     const Machine& machine = machines_.get_or_add(host);
-    const bool ready = pending.plans_before < scheduler_.plan_count() &&
+    const bool ready = pending.plan_count_at_report < scheduler_.plan_count() &&
                        !reconciler_.awaits_commit(machine, *pending.report);
     if (!ready && runtime_.now() < pending.deadline) return std::nullopt;
     return reconciler_.commands_for(machine, *pending.report);
--- a/src/leader/leader_machines.cpp
+++ b/src/leader/leader_machines.cpp
@@ -32,20 +32,21 @@
   const reconciler::Reconciler::Result result = reconcile(event);
   if (result.usable_changed) scheduler_.request_plan();
   send_direct(result.stops);
-  for (const events::MachineCordoned& cordoned : result.suspects) machine_suspect(cordoned);
-  reply_or_wait(event, result.tasks_left);
+  for (const events::MachineCordoned& cordoned : result.machines_to_cordon) machine_suspect(cordoned);
+  reply_or_wait(event, result.tasks_released);
 }
 
 /// Applies the report to the job table and the inventory, and notes what it shows of a failover.
 reconciler::Reconciler::Result LeaderActor::reconcile(const events::WorkerReported& event) {
   const protocol::WorkerReport& report = *event.report;
   const bool adopted = hint_adopter_.adopt_machine(report);
-  const std::uint64_t shown_before = reconciler_.shown_starts();
-  reconciler::Reconciler::Result result = reconciler_.apply(report, event.token_accepted, event.settled);
+  const std::uint64_t shown_before = reconciler_.confirmed_start_count();
+  reconciler::Reconciler::Result result =
+      reconciler_.apply(report, event.token_accepted, event.worker_initiated);
   // A fetch that the report did not show to be under way is not.
   if (adopted) machines_.get_or_add(report.host).inherited_fetches.clear();
   if (event.token_accepted) failover_timer_.on_machine_reported(report.host, runtime_.now());
-  if (reconciler_.shown_starts() != shown_before) failover_timer_.on_first_start(runtime_.now());
+  if (reconciler_.confirmed_start_count() != shown_before) failover_timer_.on_first_start(runtime_.now());
   return result;
 }
 
@@ -54,7 +55,7 @@
 void LeaderActor::reply_or_wait(const events::WorkerReported& event, bool tasks_left) {
   const protocol::WorkerReport& report = *event.report;
   const Machine& machine = machines_.get_or_add(report.host);
-  if (event.settled && machine.token_accepted && lease_valid() &&
+  if (event.worker_initiated && machine.token_accepted && lease_valid() &&
       (tasks_left || reconciler_.awaits_commit(machine, report))) {
     pending_replies_.add(report.host, {event.report, event.reply,
                                        runtime_.now() + std::min(kMaxReplyDelay, settings_.worker_lease / 8),
@@ -94,7 +95,7 @@
   for (const auto& [key, job] : released) jobs_.release(*job, key.task, "its machine has departed", true);
   pending_replies_.reply_empty(event.host);
   machines_.erase(event.host);
-  estimator_.forget_host(event.host);
+  estimator_.remove_host(event.host);
   scheduler_.request_plan();
 }
 
--- a/src/machine_inventory/include/wrenusher/machine_inventory/machine.hpp
+++ b/src/machine_inventory/include/wrenusher/machine_inventory/machine.hpp
@@ -41,25 +41,25 @@
   static constexpr std::uint32_t kNoSlot = ~0U;
 
   std::string name;
-  std::string address;              ///< as its worker reported it
-  std::string machine_type;         ///< name in the catalog
-  topology::MachineLocation place;  ///< its failure domains and named devices in the active topology
-  std::string zone;                 ///< empty until its worker has reported in this term
-  bool spot = false;                ///< the cloud may take it away
-  bool token_accepted = false;      ///< its worker has accepted this term's fencing token
-  bool silent = false;              ///< its worker has sent no heartbeat for long
-  bool cordoned = false;            ///< it gets no new tasks, since it is about to be returned
-  bool evicting = false;            ///< its worker has reported an eviction notice
-  bool suspected = false;           ///< its failure domain is lost, or has only just come back
-  std::uint64_t incarnation = 0;    ///< of its worker; rises when the worker begins anew without its tasks
-  Instant full_until{};             ///< it refused a start for lack of room: no new tasks before this
+  std::string address;                 ///< as its worker reported it
+  std::string machine_type;            ///< name in the catalog
+  topology::MachineLocation location;  ///< its failure domains and named devices in the active topology
+  std::string zone;                    ///< empty until its worker has reported in this term
+  bool spot = false;                   ///< the cloud may take it away
+  bool token_accepted = false;         ///< its worker has accepted this term's fencing token
+  bool silent = false;                 ///< its worker has sent no heartbeat for long
+  bool cordoned = false;               ///< it gets no new tasks, since it is about to be returned
+  bool evicting = false;               ///< its worker has reported an eviction notice
+  bool suspected = false;              ///< its failure domain is lost, or has only just come back
+  std::uint64_t incarnation = 0;       ///< of its worker; rises when the worker begins anew without its tasks
+  Instant full_until{};                ///< it refused a start for lack of room: no new tasks before this
   ResourceUse use;
   std::map<std::string, ImageFetch> fetches;        ///< under way, by image
   Instant fetches_as_of{};                          ///< when `remaining_gb` of its fetches was estimated
   std::map<std::string, std::uint64_t> images;      ///< cached images: order of last use, rising
   std::map<std::string, double> image_gb;           ///< sizes of the cached images
   std::map<std::string, double> inherited_fetches;  ///< image -> GB left, as the last term's leader knew it
-  std::map<std::string, Instant> errors;            ///< job -> when a task of it failed here
+  std::map<std::string, Instant> task_failures;     ///< job -> when a task of it failed here
   std::uint32_t slot = kNoSlot;                     ///< in the placement index
   bool changed = false;                             ///< since the last MachineInventory::take_changed
   bool hint_pending = false;                        ///< changed since the last hint to the standbys
--- a/src/machine_inventory/machine_inventory.cpp
+++ b/src/machine_inventory/machine_inventory.cpp
@@ -56,7 +56,7 @@
   machine.token_accepted = token_accepted;
   machine.silent = false;
   machine.evicting = report.eviction_notice.has_value();
-  if (moved && topology_) machine.place = locate(machine);
+  if (moved && topology_) machine.location = locate(machine);
 }
 
 topology::MachineLocation MachineInventory::locate(const Machine& machine) const {
@@ -76,14 +76,14 @@
   // The failure domains of every job's tasks are others from now on.
   ++generation_;
   for (auto& [host, machine] : machines_)
-    machine.place = topology_ && !machine.zone.empty() ? locate(machine) : topology::MachineLocation{};
+    machine.location = topology_ && !machine.zone.empty() ? locate(machine) : topology::MachineLocation{};
 }
 
 void MachineInventory::set_wanted_devices(std::set<std::string> names) {
   if (names == wanted_devices_) return;
   wanted_devices_ = std::move(names);
   for (auto& [host, machine] : machines_) {
-    if (!machine.place.devices.empty()) mark_changed(machine);
+    if (!machine.location.devices.empty()) mark_changed(machine);
   }
 }
 
@@ -147,8 +147,8 @@
   planned.images = &machine.images;
   planned.fetches = fetches_of(machine);
   if (!topology_) return planned;
-  planned.place = &machine.place;
-  for (const auto& [device, count] : machine.place.devices) {
+  planned.location = &machine.location;
+  for (const auto& [device, count] : machine.location.devices) {
     const auto used = machine.use.devices.find(device);
     const std::uint32_t in_use = used == machine.use.devices.end() ? 0 : used->second;
     planned.free.devices[device] = count - std::min(count, in_use);
--- a/src/membership/cancellation_log.cpp
+++ b/src/membership/cancellation_log.cpp
@@ -21,7 +21,7 @@
 }
 
 bool CancellationLog::record(const std::string& job_id, Instant now) {
-  recent_.forget_older_than(retention_, now);
+  recent_.erase_older_than(retention_, now);
   if (!recent_.insert(job_id, now)) return false;
   if (!log_.has_peers()) return false;
   log_.add(job_id, now);
@@ -47,7 +47,7 @@
   return merged;
 }
 
-void CancellationLog::on_read(Instant asked_at) {
+void CancellationLog::on_store_read(Instant asked_at) {
   store_read_at_ = std::max(store_read_at_, asked_at);
   for (auto& [name, peer] : peers_) {
     if (peer.awaits_store_read && store_read_at_ >= peer.met_at) peer.awaits_store_read = false;
--- a/src/membership/include/wrenusher/membership/cancellation_log.hpp
+++ b/src/membership/include/wrenusher/membership/cancellation_log.hpp
@@ -4,8 +4,8 @@
 // heartbeats.
 //
 // Claimed: a cancellation that any user was told of before `known_through()` was returned by `merge`, read
-// from the state service (`on_read`), or recorded here. docs/design.md, "Cancelled work is gone in time", has
-// the proof.
+// from the state service (`on_store_read`), or recorded here. docs/design.md, "Cancelled work is gone in
+// time", has the proof.
 
 #include <cstdint>
 #include <map>
@@ -49,7 +49,7 @@
                     Instant now);
 
   /// All cancellations that the state service had at `asked_at` are known here.
-  void on_read(Instant asked_at);
+  void on_store_read(Instant asked_at);
 
   /// Every cancellation that any user was told of before this time is known here.
   [[nodiscard]] Instant known_through() const;
--- a/src/membership/peer.cpp
+++ b/src/membership/peer.cpp
@@ -150,7 +150,7 @@
   auto status = read_peer_status(value);
   if (!status || status->node == settings_.node || !accept_number(status->node, value, asked_at.has_value()))
     return;
-  status->asked_at = asked_at;
+  status->request_sent_at = asked_at;
   merge_cancellations(status->node, value, asked_at);
   status->announcements_complete = merge_announcements(status->node, value);
   if (const auto counts = read_progress(value)) progress(counts);
@@ -223,7 +223,7 @@
 
 void Peer::on_cancellations_read(const CancellationsRead& event) {
   for (const std::string& job_id : event.job_ids) job_cancelled(JobCancelled{job_id});
-  cancellations_.on_read(event.asked_at);
+  cancellations_.on_store_read(event.request_sent_at);
   publish_known();
 }
 
--- a/src/membership/peer_table.cpp
+++ b/src/membership/peer_table.cpp
@@ -16,7 +16,7 @@
   Entry& entry = peers_[status.node];
   entry.status = status;
   // Only an answer proves that the peer is there: a heartbeat that comes by itself may be long delayed.
-  if (status.asked_at) entry.seen_at = std::max(entry.seen_at, *status.asked_at);
+  if (status.request_sent_at) entry.seen_at = std::max(entry.seen_at, *status.request_sent_at);
   last_heartbeat_ = std::max(last_heartbeat_, entry.seen_at);
 }
 
--- a/src/membership/progress_pager.cpp
+++ b/src/membership/progress_pager.cpp
@@ -121,7 +121,7 @@
   }
   const Value::List* part = value[kPartField].list();
   if (part != nullptr && part->size() == 2 && (*part)[0].text() != nullptr && (*part)[1].text() != nullptr)
-    counts->part = {*(*part)[0].text(), *(*part)[1].text()};
+    counts->job_range = {*(*part)[0].text(), *(*part)[1].text()};
   return counts;
 }
 
--- a/src/pending_replies/include/wrenusher/pending_replies/pending_replies.hpp
+++ b/src/pending_replies/include/wrenusher/pending_replies/pending_replies.hpp
@@ -30,8 +30,8 @@
 struct PendingReply {
   std::shared_ptr<const WorkerReport> report;  ///< never null
   Reply reply;
-  Instant deadline{};              ///< it is given then at the latest
-  std::uint64_t plans_before = 0;  ///< how many plans had been made when the report came
+  Instant deadline{};                      ///< it is given then at the latest
+  std::uint64_t plan_count_at_report = 0;  ///< how many plans had been made when the report came
 };
 
 /// Decides on a reply: its commands, or nothing while it is to wait on.
--- a/src/placement/deadlines.cpp
+++ b/src/placement/deadlines.cpp
@@ -46,12 +46,12 @@
 }
 
 Slack slack(const Aims& aims, WallTime now) {
-  if (aims.empty()) return {DeadlineStatus::ordinary, {}, Micros::max()};
+  if (aims.empty()) return {DeadlineStatus::on_track, {}, Micros::max()};
   for (const Aim& aim : aims) {
     const Micros left = aim.start_by - now;
     if (left < -aim.grace) continue;
-    if (left < kPressedWindow) return {DeadlineStatus::pressed, left, std::max(left, Micros{0})};
-    return {DeadlineStatus::ordinary, {}, left};
+    if (left < kPressedWindow) return {DeadlineStatus::at_risk, left, std::max(left, Micros{0})};
+    return {DeadlineStatus::on_track, {}, left};
   }
   return {DeadlineStatus::missed, {}, {}};
 }
--- a/src/placement/future_places.cpp
+++ b/src/placement/future_places.cpp
@@ -220,7 +220,7 @@
   }
   while (out.places.size() < wanted && !cursors.empty()) {
     const FutureEntry place = cursors.take_first();
-    ++statistics_.futures;
+    ++statistics_.future_places;
     const FutureCapacity& future = futures_[place.future];
     if (future.reserved_in_plan != plan_count_ && spec.resources.fits(future.room) &&
         admits(slot, future.machine_class))
--- a/src/placement/include/wrenusher/placement/deadlines.hpp
+++ b/src/placement/include/wrenusher/placement/deadlines.hpp
@@ -14,16 +14,16 @@
 
 /// How a job stands against its next target.
 enum class DeadlineStatus {
-  pressed,   ///< must start soon to meet it
-  ordinary,  ///< has time, or no target
+  at_risk,   ///< must start soon to meet it
+  on_track,  ///< has time, or no target
   missed     ///< can meet none any more
 };
 
 /// How long a job may still wait for its start.
 struct Slack {
-  DeadlineStatus status = DeadlineStatus::ordinary;
-  Micros pressed_for{};  ///< while pressed; negative within the target's grace
-  Micros remaining{};    ///< pressed or not, at least 0; the longest time there is without a target
+  DeadlineStatus status = DeadlineStatus::on_track;
+  Micros time_to_latest_start{};  ///< while pressed; negative within the target's grace
+  Micros remaining{};             ///< pressed or not, at least 0; the longest time there is without a target
 };
 
 /// The latest start with which a job meets one of its targets.
--- a/src/placement/include/wrenusher/placement/placement_index.hpp
+++ b/src/placement/include/wrenusher/placement/placement_index.hpp
@@ -45,7 +45,7 @@
 /// What a plan needs to know besides what is in the index. `settings` and `team_usage` are borrowed.
 struct PlanningContext {
   WallTime now{};
-  Instant instant{};  ///< the same moment as `now`, by the steady clock
+  Instant steady_now{};  ///< the same moment as `now`, by the steady clock
   const Settings* settings = nullptr;
   const std::map<std::string, Resources>* team_usage = nullptr;  ///< what each team's tasks have reserved
   /// Cores of machines on their way, by type.
@@ -98,8 +98,8 @@
   /// What the last plan looked at.
   struct PlanStatistics {
     std::uint64_t jobs = 0;
-    std::uint64_t machines = 0;  ///< each time that one was looked at for a job
-    std::uint64_t futures = 0;   ///< places to come, likewise
+    std::uint64_t machines = 0;       ///< each time that one was looked at for a job
+    std::uint64_t future_places = 0;  ///< places to come, likewise
   };
   const PlanStatistics& statistics() const { return statistics_; }
   /// Takes out all machines and jobs; all slots are given back.
@@ -234,8 +234,8 @@
   struct ServiceKey {
     Priority priority = Priority::low;
     bool beyond_guarantee = false;
-    DeadlineStatus status = DeadlineStatus::ordinary;
-    Micros pressed_for{};
+    DeadlineStatus status = DeadlineStatus::on_track;
+    Micros time_to_latest_start{};
     Micros negative_rank{};
     std::int64_t deadline = 0;
     std::int64_t accepted = 0;
--- a/src/placement/include/wrenusher/placement/plan_types.hpp
+++ b/src/placement/include/wrenusher/placement/plan_types.hpp
@@ -43,8 +43,8 @@
   int colocation = -1;  ///< level of which one domain holds all tasks
   bool colocation_required = true;
   // The tasks that may be on machines now, by domain.
-  std::map<topology::DomainId, std::uint32_t> spread_at;
-  std::map<topology::DomainId, std::uint32_t> colocated_at;
+  std::map<topology::DomainId, std::uint32_t> tasks_by_spread_domain;
+  std::map<topology::DomainId, std::uint32_t> tasks_by_colocation_domain;
   bool operator==(const PlanLayout&) const = default;
 };
 
@@ -55,12 +55,12 @@
   Micros estimate{};  ///< run time of one task on a machine of ordinary speed
   /// How many times over its tasks must be run, one after the other, under its team's ceiling.
   std::uint32_t waves = 1;
-  bool guaranteed = false;   ///< it fits into its team's guarantee, see `Guarantees`
+  bool guaranteed = false;   ///< it fits into its team's guarantee, see `GuaranteeTracker`
   bool has_started = false;  ///< some task of it has a machine, or is done
   WallTime accepted_at{};
   std::map<std::string, std::uint32_t> zones;  ///< tasks of the job by the zone where they are now
   /// Only where most of the image's fetch is spared: room is being made on machines that have it.
-  bool near_image = false;
+  bool requires_image_locality = false;
   /// Machines that get no task of the job until the time given; null: none.
   const std::map<std::string, Instant>* avoided_machines = nullptr;
   std::set<std::string> excluded_types;  ///< types whose room is reserved for jobs that fit nowhere else
@@ -100,12 +100,12 @@
   double speed = 1.0;                                            ///< against an ordinary machine of its type
   std::vector<PlannedFetch> fetches;                             ///< under way, sharing the machine's rate
   const std::map<std::string, std::uint64_t>* images = nullptr;  ///< cached; null: none
-  const topology::MachineLocation* place = nullptr;              ///< null: no topology
+  const topology::MachineLocation* location = nullptr;           ///< null: no topology
   bool reserved_for_devices = false;  ///< only for jobs that want one of its devices
   bool operator==(const PlanMachine&) const = default;
   /// The machine's domain of a level of the topology.
   topology::DomainId domain(int level) const {
-    return place == nullptr ? topology::kNowhere : place->domain_at(level);
+    return location == nullptr ? topology::kNowhere : location->domain_at(level);
   }
 };
 
--- a/src/placement/include/wrenusher/placement/quotas.hpp
+++ b/src/placement/include/wrenusher/placement/quotas.hpp
@@ -11,9 +11,9 @@
 /// Tells of one job after the other, in the order of their acceptance, which fit into their team's guarantee
 /// together with the team's earlier ones: they need not wait for other teams. A job that does not fit as a
 /// whole does not go first. `settings` must outlive it.
-class Guarantees {
+class GuaranteeTracker {
  public:
-  explicit Guarantees(const Settings& settings) : settings_(settings) {}
+  explicit GuaranteeTracker(const Settings& settings) : settings_(settings) {}
   /// Counts the job's unfinished tasks; to be called once for each job.
   [[nodiscard]] bool fits(const JobSpec& spec, std::uint32_t unfinished);
 
--- a/src/placement/machine_fit.cpp
+++ b/src/placement/machine_fit.cpp
@@ -20,7 +20,7 @@
 
 bool accepts(const PlanMachine& machine, const PlanJob& job) {
   if (machine.reserved_for_devices &&
-      std::none_of(machine.place->devices.begin(), machine.place->devices.end(),
+      std::none_of(machine.location->devices.begin(), machine.location->devices.end(),
                    [&](const auto& device) { return job.spec->devices().contains(device.first); }))
     return false;
   return job.spec->allows(machine.machine_type->name, machine.zone, machine.spot) &&
@@ -58,12 +58,12 @@
   if (layout.impossible) return 0;
   std::uint32_t allowed = task_count;
   if (layout.spread >= 0 && (layout.spread_required || preferences)) {
-    const auto it = layout.spread_at.find(machine.domain(layout.spread));
-    const std::uint32_t there = it == layout.spread_at.end() ? 0 : it->second;
+    const auto it = layout.tasks_by_spread_domain.find(machine.domain(layout.spread));
+    const std::uint32_t there = it == layout.tasks_by_spread_domain.end() ? 0 : it->second;
     allowed = there >= layout.max_tasks ? 0 : layout.max_tasks - there;
   }
   if (layout.colocation >= 0 && (layout.colocation_required || preferences)) {
-    for (const auto& [domain, tasks] : layout.colocated_at) {
+    for (const auto& [domain, tasks] : layout.tasks_by_colocation_domain) {
       if (tasks > 0 && domain != machine.domain(layout.colocation)) return 0;
     }
   }
@@ -71,8 +71,8 @@
 }
 
 void layout_add(PlanLayout& layout, const PlanMachine& machine, std::uint32_t tasks) {
-  if (layout.spread >= 0) layout.spread_at[machine.domain(layout.spread)] += tasks;
-  if (layout.colocation >= 0) layout.colocated_at[machine.domain(layout.colocation)] += tasks;
+  if (layout.spread >= 0) layout.tasks_by_spread_domain[machine.domain(layout.spread)] += tasks;
+  if (layout.colocation >= 0) layout.tasks_by_colocation_domain[machine.domain(layout.colocation)] += tasks;
 }
 
 void FreeCapacity::reserve(const JobSpec& spec, std::uint32_t tasks) {
--- a/src/placement/placement_index.cpp
+++ b/src/placement/placement_index.cpp
@@ -54,7 +54,7 @@
 
 std::uint32_t PlacementIndex::machine_class_of(const PlanMachine& machine) {
   MachineClassKey key{machine.machine_type, machine.zone, machine.spot, {}};
-  if (machine.reserved_for_devices) key.reserved_devices = names_of(machine.place->devices);
+  if (machine.reserved_for_devices) key.reserved_devices = names_of(machine.location->devices);
   const auto [it, added] =
       machine_class_ids_.try_emplace(key, static_cast<std::uint32_t>(machine_classes_.size()));
   if (added) machine_classes_.push_back({std::move(key), {}});
--- a/src/placement/placement_plan.cpp
+++ b/src/placement/placement_plan.cpp
@@ -35,7 +35,7 @@
   const std::optional<Micros> delay = fetch_delay_imposed(state, spec);
   if (!delay) return std::nullopt;
   const Micros fetch = fetch_time(state, spec);
-  if (job.near_image && is_far_from_image(state, spec, fetch)) return std::nullopt;
+  if (job.requires_image_locality && is_far_from_image(state, spec, fetch)) return std::nullopt;
   Candidate out;
   out.machine = machine;
   out.finish = fetch + run_time(state, job) + *delay;
@@ -99,7 +99,8 @@
 std::vector<PlacementIndex::Scope> PlacementIndex::scopes(const PlanJob& job,
                                                           const std::vector<Candidate>& candidates) const {
   const bool zones = job.spec->single_zone && job.zones.empty();
-  const bool domains = job.layout && job.layout->colocation >= 0 && job.layout->colocated_at.empty();
+  const bool domains =
+      job.layout && job.layout->colocation >= 0 && job.layout->tasks_by_colocation_domain.empty();
   if (!zones && !domains) return {Scope{}};
   std::vector<Scope> out;
   for (const Candidate& candidate : candidates) {
@@ -259,7 +260,7 @@
   const std::uint32_t allowed =
       count_fitting(spec.resources, ceiling_left(usage.team, usage.used), entry.job.waiting);
   if (allowed == 0 || (gang && allowed < entry.job.waiting)) return;
-  const bool pressed = slacks_[slot].status == DeadlineStatus::pressed;
+  const bool pressed = slacks_[slot].status == DeadlineStatus::at_risk;
   // What is overdue begins with one task, wherever it has room.
   const bool first_only = spec.type == JobType::array && is_overdue(entry.job, now);
   const std::uint32_t wanted = first_only ? 1 : allowed;
@@ -285,7 +286,7 @@
   Plan plan;
   ++plan_count_;
   statistics_ = {};
-  run_timers(context.instant);
+  run_timers(context.steady_now);
   rank_jobs(context);
   std::vector<TeamUsage> usages = team_usages(context);
   for (const Slot slot : service_order_) plan_job(slot, usages[jobs_[slot].team], context.now, plan);
--- a/src/placement/preemption.cpp
+++ b/src/placement/preemption.cpp
@@ -140,7 +140,8 @@
     const auto victims = victims_for(shortage, i);
     if (!victims) continue;
     // A service may also leave room unused where its image would have to be fetched.
-    Micros cost = victims->empty() && !job.near_image ? Micros{0} : fetch_time(machine, *job.spec);
+    Micros cost =
+        victims->empty() && !job.requires_image_locality ? Micros{0} : fetch_time(machine, *job.spec);
     for (const std::size_t victim : *victims) cost += work_lost(running_[victim]);
     out.push_back({cost, victims->size(), i});
   }
--- a/src/placement/quotas.cpp
+++ b/src/placement/quotas.cpp
@@ -5,7 +5,7 @@
 
 namespace wrenusher::placement {
 
-bool Guarantees::fits(const JobSpec& spec, std::uint32_t unfinished) {
+bool GuaranteeTracker::fits(const JobSpec& spec, std::uint32_t unfinished) {
   const Team* team = settings_.team(spec.team);
   if (team == nullptr) return false;
   Resources& sum = sums_[spec.team];
--- a/src/placement/service_order.cpp
+++ b/src/placement/service_order.cpp
@@ -157,17 +157,18 @@
   const std::int64_t deadline =
       spec.deadline ? accepted + spec.deadline->count() : std::numeric_limits<std::int64_t>::max();
   Slack slack = slacks_[slot];
-  if (slack.status == DeadlineStatus::missed) slack.pressed_for = Micros::max();
+  if (slack.status == DeadlineStatus::missed) slack.time_to_latest_start = Micros::max();
   if (shed) slack = {DeadlineStatus::missed, slack.remaining, slack.remaining};
   Priority priority = spec.priority;
   bool beyond_guarantee = !job.guaranteed;
   if (is_overdue(job, now)) {
     // Among themselves the longest wait first.
-    slack = {DeadlineStatus::pressed, job.accepted_at - now, {}};
+    slack = {DeadlineStatus::at_risk, job.accepted_at - now, {}};
     beyond_guarantee = false;
     if (spec.type == JobType::array) priority = std::min(priority, Priority::high);
   }
-  return {priority, beyond_guarantee, slack.status, slack.pressed_for, -rank(job), deadline, accepted};
+  return {priority,   beyond_guarantee, slack.status, slack.time_to_latest_start,
+          -rank(job), deadline,         accepted};
 }
 
 void PlacementIndex::sort_service_order() {
--- a/src/provisioner/rental_planner.cpp
+++ b/src/provisioner/rental_planner.cpp
@@ -162,7 +162,7 @@
     tasks = static_cast<std::uint32_t>(std::clamp((ahead.cores * wait - ahead.core_seconds) / per_task, 0.0,
                                                   static_cast<double>(demand.tasks)));
   }
-  return std::max(tasks, demand.expected_soon);
+  return std::max(tasks, demand.expected_on_existing);
 }
 
 /// Returns how many of the tasks find no room on machines that are on their way.
--- a/src/reconciler/include/wrenusher/reconciler/reconciler.hpp
+++ b/src/reconciler/include/wrenusher/reconciler/reconciler.hpp
@@ -47,10 +47,10 @@
 
   /// What the leader has to do after a heartbeat.
   struct Result {
-    bool usable_changed = false;            ///< the machine became usable, or stopped being so
-    bool tasks_left = false;                ///< fewer tasks are assigned to the machine than before
-    std::vector<DirectCommands> stops;      ///< to be sent at once
-    std::vector<MachineCordoned> suspects;  ///< machines on which tasks of several jobs fail
+    bool usable_changed = false;                      ///< the machine became usable, or stopped being so
+    bool tasks_released = false;                      ///< fewer tasks are assigned to the machine than before
+    std::vector<DirectCommands> stops;                ///< to be sent at once
+    std::vector<MachineCordoned> machines_to_cordon;  ///< machines on which tasks of several jobs fail
   };
   /// Brings job table and inventory in line with a heartbeat.
   /// @param token_accepted the worker has accepted this term's fencing token
@@ -63,7 +63,7 @@
   /// Whether a commit in progress or due would add commands to the reply.
   [[nodiscard]] bool awaits_commit(const Machine& machine, const WorkerReport& report) const;
   /// How many tasks assigned in this term have been seen on their machines, since this object was made.
-  std::uint64_t shown_starts() const { return shown_starts_; }
+  std::uint64_t confirmed_start_count() const { return confirmed_start_count_; }
 
  private:
   /// One heartbeat while it is being applied.
@@ -106,7 +106,7 @@
   estimates::Estimator& estimator_;
   usage_metrics::StartLatencyMetrics& start_latency_;
   std::uint64_t report_count_ = 0;  ///< reports applied so far
-  std::uint64_t shown_starts_ = 0;
+  std::uint64_t confirmed_start_count_ = 0;
 };
 
 }  // namespace wrenusher::reconciler
--- a/src/reconciler/reconciler.cpp
+++ b/src/reconciler/reconciler.cpp
@@ -82,7 +82,7 @@
   if (report.eviction_notice) apply_eviction_notice(update, *report.eviction_notice);
   apply_exited(update);
   apply_missing(update);
-  update.result.tasks_left = machine.use.assignments < assigned_before;
+  update.result.tasks_released = machine.use.assignments < assigned_before;
   return std::move(update.result);
 }
 
@@ -122,7 +122,7 @@
 void Reconciler::apply_task(Job& job, TaskAssignment& assignment, const TaskReport& task) {
   const TaskState state = state_of(task.status);
   const Instant now = runtime_.now();
-  if (assignment.state == TaskState::assigned) ++shown_starts_;
+  if (assignment.state == TaskState::assigned) ++confirmed_start_count_;
   if (state == TaskState::fetching_image && assignment.fetching_since == Instant{})
     assignment.fetching_since = now;
   if (state == TaskState::waiting_for_gang && assignment.gang_wait_since == Instant{})
@@ -209,15 +209,15 @@
   Machine& machine = update.machine;
   log::info("task_failed", "task {task} failed on {machine}",
             log::with("task", task_name(task.job_id, task.task)), log::with("machine", machine.name));
-  job.error_hosts.insert(machine.name);
+  job.failed_hosts.insert(machine.name);
   job.avoided_machines[machine.name] = now + kAvoidMachine;
-  if (job.error_hosts.size() >= kMaxFailedHosts) {
+  if (job.failed_hosts.size() >= kMaxFailedHosts) {
     pause_failing_job(job);
     return;
   }
-  machine.errors[task.job_id] = now;
+  machine.task_failures[task.job_id] = now;
   if (count_jobs_failing_only_on(machine) >= kJobsToSuspectMachine && !machine.cordoned)
-    update.result.suspects.push_back({machine.name, "tasks of several jobs failed on it"});
+    update.result.machines_to_cordon.push_back({machine.name, "tasks of several jobs failed on it"});
 }
 
 /// The job fails wherever it is placed, so its machines are not to blame.
@@ -226,7 +226,7 @@
       std::min(kMaxJobPause, kMinJobPause * (1 << std::min(job.retry_count, kMaxPauseDoublings)));
   ++job.retry_count;
   job.not_before = runtime_.now() + pause;
-  job.error_hosts.clear();
+  job.failed_hosts.clear();
   job.avoided_machines.clear();
   log::warn("job_failing", "job {job} fails on every machine, next attempt in {seconds:.0f} s",
             log::with("job", job.spec().job_id), log::with("seconds", to_seconds(pause)));
@@ -235,10 +235,10 @@
 /// Jobs that failed on the machine recently and on no other.
 int Reconciler::count_jobs_failing_only_on(const Machine& machine) const {
   int count = 0;
-  for (const auto& [job_id, failed_at] : machine.errors) {
+  for (const auto& [job_id, failed_at] : machine.task_failures) {
     const Job* job = jobs_.find(job_id);
     const bool elsewhere =
-        job != nullptr && (job->error_hosts.size() != 1 || !job->error_hosts.contains(machine.name));
+        job != nullptr && (job->failed_hosts.size() != 1 || !job->failed_hosts.contains(machine.name));
     if (runtime_.now() - failed_at < kFailureMemory && !elsewhere) ++count;
   }
   return count;
--- a/src/replica/hint_publisher.cpp
+++ b/src/replica/hint_publisher.cpp
@@ -35,7 +35,7 @@
   peers_.clear();
   for (const auto& [peer, peer_incarnation] : synchronized) {
     Subscriber& subscriber = peers_[peer] = {peer_incarnation, now, 0, false, {}, {}};
-    for (const auto& [key, entry] : table_.all()) {
+    for (const auto& [key, entry] : table_.entries()) {
       if (now - entry.received_at < kPropagationTime) subscriber.pending.insert(key);
     }
   }
@@ -46,8 +46,8 @@
 }
 
 void HintPublisher::put(HintRow row, Instant now) {
-  const auto it = table_.all().find(row.key);
-  const bool is_known = it != table_.all().end() && !it->second.row.is_tombstone();
+  const auto it = table_.entries().find(row.key);
+  const bool is_known = it != table_.entries().end() && !it->second.row.is_tombstone();
   if (is_known && it->second.row.digest == row.digest) return;
   const std::string key = row.key;
   table_.put(std::move(row), now, term_, 0);
@@ -55,17 +55,17 @@
 }
 
 void HintPublisher::erase(const std::string& key, Instant now) {
-  const auto it = table_.all().find(key);
-  if (it == table_.all().end() || it->second.row.is_tombstone()) return;
+  const auto it = table_.entries().find(key);
+  if (it == table_.entries().end() || it->second.row.is_tombstone()) return;
   table_.put({key, Value(), 0}, now, term_, 0);
   mark_pending(key);
 }
 
-std::vector<std::string> HintPublisher::names(HintKind kind) const {
+std::vector<std::string> HintPublisher::names_of(HintKind kind) const {
   std::vector<std::string> names;
   const std::string prefix = hint_key(kind, "");
-  for (auto it = table_.all().lower_bound(prefix); it != table_.all().end() && it->first.starts_with(prefix);
-       ++it) {
+  for (auto it = table_.entries().lower_bound(prefix);
+       it != table_.entries().end() && it->first.starts_with(prefix); ++it) {
     if (!it->second.row.is_tombstone()) names.push_back(it->first.substr(prefix.size()));
   }
   return names;
@@ -88,8 +88,8 @@
   std::size_t bytes = 0;
   while (!subscriber.pending.empty()) {
     const std::string& key = *subscriber.pending.begin();
-    const auto it = table_.all().find(key);
-    const HintRow& row = it == table_.all().end() ? absent : it->second.row;
+    const auto it = table_.entries().find(key);
+    const HintRow& row = it == table_.entries().end() ? absent : it->second.row;
     const std::size_t row_bytes = row.value.json_size() + key.size() + kRowOverheadBytes;
     if (!rows.empty() && bytes + row_bytes > kMaxMessageBytes) break;
     bytes += row_bytes;
@@ -101,7 +101,7 @@
   return rows;
 }
 
-Value HintPublisher::next(const std::string& peer, Instant now) {
+Value HintPublisher::next_message(const std::string& peer, Instant now) {
   const auto it = peers_.find(peer);
   if (it == peers_.end()) return {};
   Subscriber& subscriber = it->second;
@@ -126,7 +126,7 @@
   if (subscriber.incarnation != incarnation) {
     // It has restarted, or was away for long: it knows nothing that we know of.
     subscriber = {incarnation, now, messages_sent_ + 1, true, {}, {}};
-    for (const auto& [key, entry] : table_.all()) {
+    for (const auto& [key, entry] : table_.entries()) {
       if (!entry.row.is_tombstone()) subscriber.pending.insert(key);
     }
   }
@@ -152,7 +152,7 @@
          it->second.pending.empty() && it->second.in_flight.empty();
 }
 
-std::size_t HintPublisher::unconfirmed(const std::string& peer) const {
+std::size_t HintPublisher::unconfirmed_row_count(const std::string& peer) const {
   const auto it = peers_.find(peer);
   if (it == peers_.end()) return 0;
   std::size_t rows = it->second.pending.size();
--- a/src/replica/hint_row.cpp
+++ b/src/replica/hint_row.cpp
@@ -91,7 +91,7 @@
   Value::List samples;
   samples.reserve(hint.jobs.size());
   for (const auto& sample : hint.jobs)
-    samples.emplace_back(Value::List{sample.job_id, sample.sum, sample.tasks});
+    samples.emplace_back(Value::List{sample.job_id, sample.log_ratio_sum, sample.tasks});
   Value value = Value::List{std::move(samples)};
   const std::uint64_t digest = digest_of(value);
   return {hint_key(HintKind::job_class, hint.job_class), std::move(value), digest};
--- a/src/replica/hint_table.cpp
+++ b/src/replica/hint_table.cpp
@@ -74,7 +74,7 @@
   return true;
 }
 
-std::size_t HintTable::machines() const {
+std::size_t HintTable::machine_count() const {
   return static_cast<std::size_t>(std::count_if(rows_.begin(), rows_.end(), [](const auto& item) {
     return kind_of(item.first) == HintKind::machine && !item.second.row.is_tombstone();
   }));
--- a/src/replica/include/wrenusher/replica/hint_publisher.hpp
+++ b/src/replica/include/wrenusher/replica/hint_publisher.hpp
@@ -27,17 +27,17 @@
   /// There is no such thing any more.
   void erase(const std::string& key, Instant now);
   /// The names of all rows of a kind, in order.
-  [[nodiscard]] std::vector<std::string> names(HintKind kind) const;
+  [[nodiscard]] std::vector<std::string> names_of(HintKind kind) const;
 
   /// The message that goes to the peer now; null when there is none.
-  [[nodiscard]] value::Value next(const std::string& peer, Instant now);
+  [[nodiscard]] value::Value next_message(const std::string& peer, Instant now);
   /// The peer, in this incarnation, has received these messages.
   void on_confirmed(const std::string& peer, std::uint64_t incarnation,
                     const std::vector<std::uint64_t>& messages, Instant now);
   /// The peer, in this incarnation, has confirmed all there is.
   [[nodiscard]] bool up_to_date(const std::string& peer, std::uint64_t incarnation) const;
   /// Rows that the peer has not confirmed.
-  [[nodiscard]] std::size_t unconfirmed(const std::string& peer) const;
+  [[nodiscard]] std::size_t unconfirmed_row_count(const std::string& peer) const;
 
   /// What this leader knows, as a successor would have it.
   [[nodiscard]] const HintTable& table() const { return table_; }
--- a/src/replica/include/wrenusher/replica/hint_table.hpp
+++ b/src/replica/include/wrenusher/replica/hint_table.hpp
@@ -32,9 +32,9 @@
   };
   /// False when the row is older than what is known of the same thing, or its key has a wrong length.
   bool put(HintRow row, Instant now, std::uint64_t term, std::uint64_t message);
-  [[nodiscard]] const std::map<std::string, Entry>& all() const { return rows_; }
+  [[nodiscard]] const std::map<std::string, Entry>& entries() const { return rows_; }
   /// How many machines there are hints of.
-  [[nodiscard]] std::size_t machines() const;
+  [[nodiscard]] std::size_t machine_count() const;
   /// Drops what came with an earlier message.
   void drop_before(std::uint64_t term, std::uint64_t message);
   /// Drops tombstones that came until then.
--- a/src/replica/include/wrenusher/replica/record_replica.hpp
+++ b/src/replica/include/wrenusher/replica/record_replica.hpp
@@ -55,8 +55,8 @@
   /// A watch has shown these changes of jobs.
   std::function<void(const events::RecordsChanged&)> records_changed;
 
-  [[nodiscard]] std::size_t jobs() const { return data_.jobs.size(); }
-  [[nodiscard]] std::size_t shards() const { return data_.shards.size(); }
+  [[nodiscard]] std::size_t job_count() const { return data_.jobs.size(); }
+  [[nodiscard]] std::size_t shard_count() const { return data_.shards.size(); }
 
  private:
   /// The keys with one prefix. Jobs and shards are watched apart, each with its own revision.
--- a/src/replica/standby_replica.cpp
+++ b/src/replica/standby_replica.cpp
@@ -48,7 +48,7 @@
   switch (readiness) {
     case Readiness::warm:
       return "warm";
-    case Readiness::part:
+    case Readiness::partial:
       return "partly warm";
     case Readiness::cold:
       break;
@@ -94,7 +94,7 @@
   const bool has_records = replica_.complete();
   const bool has_hints = complete_from_ != 0 && runtime_.now() - complete_at_ < kMaxHintAge;
   if (has_records && has_hints) return Readiness::warm;
-  return has_records || has_hints ? Readiness::part : Readiness::cold;
+  return has_records || has_hints ? Readiness::partial : Readiness::cold;
 }
 
 void StandbyReplica::tick() {
@@ -111,8 +111,8 @@
   log::info(
       "standby_readiness",
       "this standby is {state}: replica of {jobs} jobs and {shards} shards, hints of {machines} machines",
-      log::with("state", readiness_name(readiness)), log::with("jobs", replica_.jobs()),
-      log::with("shards", replica_.shards()), log::with("machines", hints_.machines()));
+      log::with("state", readiness_name(readiness)), log::with("jobs", replica_.job_count()),
+      log::with("shards", replica_.shard_count()), log::with("machines", hints_.machine_count()));
 }
 
 void StandbyReplica::warn_if_cold(Readiness readiness) {
@@ -235,7 +235,7 @@
     publisher_.put(to_hint_row(hint), now);
   }
   for (const HintKind kind : {HintKind::rental, HintKind::rental_request}) {
-    for (const std::string& name : publisher_.names(kind)) {
+    for (const std::string& name : publisher_.names_of(kind)) {
       const std::string key = hint_key(kind, name);
       if (!present.contains(key)) publisher_.erase(key, now);
     }
@@ -270,7 +270,7 @@
                  {"got", std::move(confirmed)},
                  {"told_by", term_.leading ? incarnation_ : complete_from_}};
   if (term_.leading) {
-    if (Value message = publisher_.next(peer, runtime_.now()); !message.is_null()) {
+    if (Value message = publisher_.next_message(peer, runtime_.now()); !message.is_null()) {
       out.emplace_back("hints", std::move(message));
     } else if (publisher_.up_to_date(peer, state.incarnation)) {
       // The peer has to know that there is nothing new: what that incarnation of it has is complete.
--- a/src/scheduling_cycle/layouts.cpp
+++ b/src/scheduling_cycle/layouts.cpp
@@ -44,7 +44,7 @@
   topology::MachineLocation location;
   location.by_level.resize(topology.levels().size());
   placement::PlanMachine new_machine;
-  new_machine.place = &location;
+  new_machine.location = &location;
   const auto& domains = topology.domains();
   for (topology::DomainId id = 1; id < domains.size(); ++id) {
     if (!domains[id].children.empty() || !topology.may_gain_machine(id, machine_type, zone)) continue;
@@ -84,8 +84,9 @@
   for (const auto& [task, assignment] : job.assignments) {
     const machine_inventory::Machine& machine = *assignment.machine;
     located = located && !machine.zone.empty();
-    if (layout.spread >= 0) ++layout.spread_at[machine.place.domain_at(layout.spread)];
-    if (layout.colocation >= 0) ++layout.colocated_at[machine.place.domain_at(layout.colocation)];
+    if (layout.spread >= 0) ++layout.tasks_by_spread_domain[machine.location.domain_at(layout.spread)];
+    if (layout.colocation >= 0)
+      ++layout.tasks_by_colocation_domain[machine.location.domain_at(layout.colocation)];
   }
   plan_job.layout = std::move(layout);
   return located;
--- a/src/scheduling_cycle/preemption.cpp
+++ b/src/scheduling_cycle/preemption.cpp
@@ -79,7 +79,8 @@
     return false;
   // Others are stopped only for what would otherwise come too late and can still come in time.
   const placement::Slack slack = updater.index().deadline_slack(slot, now);
-  return slack.status == placement::DeadlineStatus::pressed && slack.pressed_for < kLatestStartMargin;
+  return slack.status == placement::DeadlineStatus::at_risk &&
+         slack.time_to_latest_start < kLatestStartMargin;
 }
 
 Preemptor::Candidates Preemptor::collect_candidates() {
--- a/src/scheduling_cycle/scheduling_cycle.cpp
+++ b/src/scheduling_cycle/scheduling_cycle.cpp
@@ -54,7 +54,7 @@
 placement::PlanningContext SchedulingCycle::planning_context() const {
   placement::PlanningContext context;
   context.now = runtime_.wall_time();
-  context.instant = runtime_.now();
+  context.steady_now = runtime_.now();
   context.settings = &settings_;
   context.team_usage = &jobs_.teams();
   const Catalog& catalog = *machines_.catalog();
--- a/src/scheduling_cycle/waiting_jobs.cpp
+++ b/src/scheduling_cycle/waiting_jobs.cpp
@@ -25,7 +25,7 @@
 
 /// Whether the job would be late by the time a new machine has booted, so that it takes what is there now.
 bool too_late(const placement::Slack& slack, Micros patience) {
-  return slack.status == placement::DeadlineStatus::pressed && slack.pressed_for < patience * 5 / 4;
+  return slack.status == placement::DeadlineStatus::at_risk && slack.time_to_latest_start < patience * 5 / 4;
 }
 
 }  // namespace
@@ -42,7 +42,7 @@
 
 void IndexUpdater::update_waiting_jobs() {
   const WallTime now = runtime_.wall_time();
-  placement::Guarantees guarantees(settings_);
+  placement::GuaranteeTracker guarantees(settings_);
   std::set<std::string> wanted_devices;
   for (const LiveJob& live : jobs_by_age_) {
     Job& job = *live.job;
@@ -144,7 +144,7 @@
   }
   plan_job.accepted_at = job.record.accepted_at;
   plan_job.has_started = plan_job.waiting < spec.task_count;
-  plan_job.near_image = state.basis.near_image;
+  plan_job.requires_image_locality = state.basis.near_image;
   plan_job.guaranteed = state.basis.guaranteed;
   plan_job.avoided_machines = &job.avoided_machines;
   return plan_job;
--- a/src/scheduling_cycle/workload.cpp
+++ b/src/scheduling_cycle/workload.cpp
@@ -33,7 +33,7 @@
                              0,
                              0,
                              0};
-  load.has_named_device = !machine.place.devices.empty();
+  load.has_named_device = !machine.location.devices.empty();
   if (machine_type != nullptr) {
     load.reserved = placement::core_equivalents(machine.use.reserved, *machine_type);
     load.running = placement::core_equivalents(machine.use.running, *machine_type);
--- a/testbed/sim/day.cpp
+++ b/testbed/sim/day.cpp
@@ -124,10 +124,10 @@
       const auto order =
           std::find_if(starts_.begin(), starts_.end(), [&](const auto& o) { return o.first >= t.began; });
       if (order != starts_.end()) add(".first_start", order->first - s->first);
-      add(".noticed", t.parts.vacancy);
+      add(".noticed", t.parts.since_lease_expiry);
       add(".records", t.parts.records_read);
       add(".first_machine", t.parts.first_machine);
-      add(".most_machines", t.parts.most_machines);
+      add(".most_machines", t.parts.ninety_percent_machines);
       add(".last_machine", t.parts.last_machine);
       add(".settled", t.parts.all_located);
       seen[name + ".warm"].push_back(t.parts.from_replica ? 1 : 0);
--- a/tests/answers_test.cpp
+++ b/tests/answers_test.cpp
@@ -330,7 +330,7 @@
     for (const char* peer : {"c1", "c2"}) {
       wrenusher::events::PeerStatus news;
       news.node = peer;
-      if (in_touch || *(peer + 1) == '1') news.asked_at = d.rt.at - from_millis(400);
+      if (in_touch || *(peer + 1) == '1') news.request_sent_at = d.rt.at - from_millis(400);
       d.desk.on_peer_status(news);
     }
     DeskByHand::answer(slow, 200, d.live(5, false));
--- a/tests/cancelled_test.cpp
+++ b/tests/cancelled_test.cpp
@@ -496,16 +496,16 @@
   CancellationLog single(6, {});
   single.begin(at(0), from_seconds(30));
   EXPECT_EQ(single.known_through(), CancellationLog::kNever);
-  single.on_read(at(10));
+  single.on_store_read(at(10));
   EXPECT_EQ(single.known_through(), Instant::max());
-  c.on_read(at(10));
+  c.on_store_read(at(10));
   EXPECT_EQ(c.known_through(), at(10));
   // A word that came by itself proves nothing of when it was said; another life owes what came before it.
   EXPECT_EQ(c.merge("c1", beat(9, 1, 1, {"req-1"}), std::nullopt, at(20)).job_ids.size(), 1U);
   EXPECT_EQ(c.known_through(), at(10));
   c.merge("c1", beat(9, 2, 2, {"req-2"}), at(30), at(31));
   EXPECT_EQ(c.known_through(), at(10));
-  c.on_read(at(25));
+  c.on_store_read(at(25));
   EXPECT_EQ(c.known_through(),
             at(30));  // of that life all was told, of earlier ones the state service had it
   c.merge("c1", beat(9, 3, 3, {}), at(40), at(41));
@@ -515,15 +515,15 @@
   // A part is missing, and later a new life: neither grows before the state service was asked since.
   c.merge("c1", beat(9, 6, 6, {"req-6"}), at(60), at(61));
   EXPECT_EQ(c.known_through(), at(50));
-  c.on_read(at(60));
+  c.on_store_read(at(60));
   EXPECT_EQ(c.known_through(), at(60));  // by the state service alone
   c.merge("c1", beat(9, 7, 6, {}), at(70), at(71));
   EXPECT_EQ(c.known_through(), at(60));
-  c.on_read(at(62));
+  c.on_store_read(at(62));
   EXPECT_EQ(c.known_through(), at(70));
   c.merge("c1", beat(11, 1, 0, {}), at(80), at(81));
   EXPECT_EQ(c.known_through(), at(70));
-  c.on_read(at(81));
+  c.on_store_read(at(81));
   EXPECT_EQ(c.known_through(), at(81));
 }
 
@@ -545,7 +545,7 @@
     return taken.job_ids.size();
   };
   exchange(b, "b", 10);
-  b.on_read(at(20));
+  b.on_store_read(at(20));
   for (int i = 0; i < 2500; ++i) EXPECT_TRUE(teller.record("req-" + std::to_string(100000 + i), at(30)));
   EXPECT_FALSE(teller.record("req-100000", at(31)));
   EXPECT_EQ(exchange(b, "b", 40), 1000U);
@@ -562,9 +562,9 @@
 TEST(Cancelled, AListThatContradictsItselfIsRefusedAsAWholeAndNeverConfirmed) {
   CancellationLog c(5, {"c1"});
   c.begin(at(0), from_seconds(30));
-  c.on_read(at(1));
+  c.on_store_read(at(1));
   c.merge("c1", beat(9, 1, 2, {"req-1", "req-2"}), at(2), at(3));
-  c.on_read(at(4));
+  c.on_store_read(at(4));
   const auto got = [&] {
     Value::Map out;
     c.write("c1", out);
@@ -632,7 +632,7 @@
       }
       case 3: {  // the state service answers
         heard.insert(stored.begin(), stored.end());
-        hearer.on_read(at(ms));
+        hearer.on_store_read(at(ms));
         break;
       }
       case 4: {  // the hearer says what it has
--- a/tests/capacity_test.cpp
+++ b/tests/capacity_test.cpp
@@ -101,7 +101,7 @@
     peer.job_cancelled.connect(runtime,
                                [this](const events::JobCancelled& w) { withdrawn.push_back(w.job_id); });
     peer.peer_status.connect(runtime, [this](const events::PeerStatus& n) {
-      if (n.asked_at) announced_all.push_back(n.announcements_complete);
+      if (n.request_sent_at) announced_all.push_back(n.announcements_complete);
     });
     peer.progress.connect(
         runtime, [this](const std::shared_ptr<const events::Progress>& p) { progress.push_back(p); });
@@ -292,21 +292,21 @@
   ASSERT_EQ(n.to.progress.size(), 5U);
   std::set<std::string> job_ids;
   for (const auto& page : n.to.progress) {
-    ASSERT_TRUE(page->part);
+    ASSERT_TRUE(page->job_range);
     for (const auto& row : page->rows) {
-      EXPECT_TRUE(page->part->contains(row.job_id));
+      EXPECT_TRUE(page->job_range->contains(row.job_id));
       EXPECT_TRUE(job_ids.insert(row.job_id).second);
     }
   }
   EXPECT_EQ(job_ids.size(), std::size_t{kMany});
-  EXPECT_EQ(n.to.progress.back()->part->through, "");
+  EXPECT_EQ(n.to.progress.back()->job_range->through, "");
   // A list that fits is whole, as ever.
   auto few = std::make_shared<events::Progress>();
   few->rows.push_back({ref(1), 1, 2});
   n.from.peer.on_progress(few);
   n.beats(1);
   ASSERT_EQ(n.to.progress.size(), 6U);
-  EXPECT_FALSE(n.to.progress.back()->part);
+  EXPECT_FALSE(n.to.progress.back()->job_range);
 }
 
 // A page replaces what was known of its own jobs alone.
@@ -316,7 +316,7 @@
                        std::vector<events::Progress::Row> rows) {
     auto p = std::make_shared<events::Progress>();
     p->rows = std::move(rows);
-    p->part = events::Progress::Part{after, through};
+    p->job_range = events::Progress::JobRange{after, through};
     return p;
   };
   const auto state_of = [&](const std::string& job) {
@@ -346,7 +346,7 @@
   wrenusher::machine_inventory::MachineInventory machines{runtime, estimator};
   wrenusher::job_table::JobTable book{runtime, machines};
   wrenusher::scheduling_cycle::SchedulingCycle rounds{runtime, settings, book, machines, estimator};
-  book.begin(7);
+  book.reset(7);
   for (int i = 0; i < kMany; ++i) {
     JobSpec spec = World::job(i, 1, 1, 100);
     spec.job_id = ref(i);
@@ -509,7 +509,7 @@
   wrenusher::replica::RecordReplica copy(m.rt, m.settings, m.store);
   copy.start();
   m.answer_for(from_seconds(20));
-  EXPECT_EQ(copy.jobs(), std::size_t{kMany});
+  EXPECT_EQ(copy.job_count(), std::size_t{kMany});
   EXPECT_EQ(m.pages, kMany / 100);
 }
 
@@ -520,7 +520,7 @@
   wrenusher::job_table::JobTable book{m.rt, machines};
   wrenusher::commit_batcher::CommitBatcher writer{m.rt, m.settings, m.store, book};
   wrenusher::leader::Failover takeover{m.rt, m.store, book, writer};
-  book.begin(7);
+  book.reset(7);
   std::uint64_t revision = 0;
   takeover.start_reading([&](std::uint64_t r) { revision = r; });
   m.answer_for(from_seconds(2));
--- a/tests/containers_test.cpp
+++ b/tests/containers_test.cpp
@@ -28,9 +28,9 @@
   AgedSet<std::string> set;
   set.insert("a", at(1));
   set.insert("b", at(2));
-  set.forget_older_than(from_seconds(1), at(2));  // exactly at the limit: kept
+  set.erase_older_than(from_seconds(1), at(2));  // exactly at the limit: kept
   EXPECT_TRUE(set.contains("a"));
-  set.forget_older_than(from_seconds(1), at(2.5));
+  set.erase_older_than(from_seconds(1), at(2.5));
   EXPECT_FALSE(set.contains("a"));
   EXPECT_TRUE(set.contains("b"));
 }
@@ -39,23 +39,23 @@
   AgedSet<std::string> set;
   set.insert("a", at(1));
   set.insert("a", at(5));
-  set.forget_older_than(from_seconds(2), at(5));
+  set.erase_older_than(from_seconds(2), at(5));
   EXPECT_FALSE(set.contains("a"));
 }
 
 TEST(AgedSet, AForgottenMemberCanBeInsertedAgain) {
   AgedSet<std::string> set;
   set.insert("a", at(1));
-  set.forget_older_than(from_seconds(1), at(10));
+  set.erase_older_than(from_seconds(1), at(10));
   EXPECT_TRUE(set.insert("a", at(10)));
-  set.forget_older_than(from_seconds(1), at(11));
+  set.erase_older_than(from_seconds(1), at(11));
   EXPECT_TRUE(set.contains("a"));
 }
 
 TEST(AgedSet, ForgetsTheOldestBeyondTheSize) {
   AgedSet<int> set;
   for (int n = 0; n < 5; ++n) set.insert(n, at(n));
-  set.forget_beyond(2);
+  set.shrink_to(2);
   EXPECT_EQ(set.size(), 2U);
   EXPECT_FALSE(set.contains(2));
   EXPECT_TRUE(set.contains(3));
--- a/tests/golden_test.cpp
+++ b/tests/golden_test.cpp
@@ -164,7 +164,7 @@
   ASSERT_EQ(a.jobs.size(), b.jobs.size());
   for (std::size_t i = 0; i < a.jobs.size(); ++i) {
     EXPECT_EQ(a.jobs[i].job_id, b.jobs[i].job_id);
-    EXPECT_EQ(a.jobs[i].sum, b.jobs[i].sum);
+    EXPECT_EQ(a.jobs[i].log_ratio_sum, b.jobs[i].log_ratio_sum);
     EXPECT_EQ(a.jobs[i].tasks, b.jobs[i].tasks);
   }
 }
@@ -298,7 +298,7 @@
   Candidate c("c0");
   events::PeerStatus peer;  // one that was not heard would be waited for
   peer.node = "c1";
-  peer.asked_at = c.node.at;
+  peer.request_sent_at = c.node.at;
   c.leadership.on_peer_status(peer);
   c.answer("GET /store?starts=leader", leader_listed());
   c.answer("POST /holds", Value::Map{{"tenancy", 13}});
@@ -385,7 +385,7 @@
   EXPECT_EQ(r.news[0].node, "c0");
   EXPECT_EQ(r.news[0].fencing_token, golden::kTerm);
   EXPECT_TRUE(r.news[0].leading);
-  EXPECT_TRUE(r.news[0].asked_at.has_value());
+  EXPECT_TRUE(r.news[0].request_sent_at.has_value());
   EXPECT_EQ(r.withdrawn, std::vector{golden::gang_job().job_id});
   EXPECT_EQ(r.announced.size(), 2U);
 }
@@ -480,9 +480,9 @@
   follower.on_term({false, golden::kTerm, 0, "c0", {}, {}});
   EXPECT_EQ(follower.readiness(), events::Readiness::cold);
   follower.on_attachment({"c0", value_of("hints_all")});
-  EXPECT_EQ(follower.readiness(), events::Readiness::part);
+  EXPECT_EQ(follower.readiness(), events::Readiness::partial);
   node.pass(from_seconds(6));
   EXPECT_EQ(follower.readiness(), events::Readiness::cold);
   follower.on_attachment({"c0", value_of("hints_even")});
-  EXPECT_EQ(follower.readiness(), events::Readiness::part);
+  EXPECT_EQ(follower.readiness(), events::Readiness::partial);
 }
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -259,7 +259,7 @@
   Counted() { begin(7); }
   /// The records of one job, as a leader of this term finds them.
   wrenusher::job_table::Job& begin(std::uint64_t fencing_token) {
-    book.begin(fencing_token);
+    book.reset(fencing_token);
     machines.clear();
     return book.add(spec.job_id, {spec, {}, 1000, false}, 1);
   }
@@ -367,7 +367,7 @@
   for (const bool withdrawn : {false, true}) {
     Counted c;
     c.spec.resources.gpus = to_amount(1);
-    c.book.begin(7);
+    c.book.reset(7);
     c.machines.clear();
     c.book.add(c.spec.job_id, {c.spec, {}, 1000, withdrawn}, 1);
     c.found(kTerm - 5);
--- a/tests/lost_answers_test.cpp
+++ b/tests/lost_answers_test.cpp
@@ -594,10 +594,10 @@
 
   WriterByHand() {
     rt.calls.clear();
-    book.begin(1);
-    writer.begin(5);
-    writer.on_committed = writer.on_ready = [] {};
-    writer.on_job_uncertain = [this](const std::string& job_id) { doubted.push_back(job_id); };
+    book.reset(1);
+    writer.reset(5);
+    writer.on_committed = writer.on_shard_refreshed = [] {};
+    writer.on_job_refresh_needed = [this](const std::string& job_id) { doubted.push_back(job_id); };
   }
   wrenusher::job_table::Job& take_up(int number) {
     records::JobRecord rec;
@@ -688,9 +688,9 @@
     for (std::uint32_t t = 0; t < 5; ++t) c.claim(job, t);
   }
   const std::uint64_t written = c.book.jobs().begin()->second.blocks[0].version;
-  c.book.begin(1);
+  c.book.reset(1);
   c.machines.clear();
-  c.writer.begin(5);
+  c.writer.reset(5);
   c.writer.restore_shard(0, 11);
   wrenusher::job_table::Job& job = c.take_up(1);
   records::BlockRecord found;
--- a/tests/placement_oracle.cpp
+++ b/tests/placement_oracle.cpp
@@ -147,7 +147,8 @@
     if (fits == 0 || !delay) continue;
     if (job.layout && layout_allowance(*job.layout, host, spec.task_count, false) == 0) continue;
     const Micros fetch = fetch_time(host, spec);
-    if (job.near_image && fetch * 2 > from_seconds(spec.image_gb / host.machine_type->fetch_gb_per_s))
+    if (job.requires_image_locality &&
+        fetch * 2 > from_seconds(spec.image_gb / host.machine_type->fetch_gb_per_s))
       continue;
     const int cost = host.runs_services ? 0 : host.spot ? 1 : 2;
     out.push_back({h,
@@ -206,7 +207,8 @@
                             const std::vector<std::pair<Micros, Later::Place*>>& places, std::uint32_t want) {
   const PlanJob& job = st.s.jobs[j];
   const bool zones = job.spec->single_zone && job.zones.empty();
-  const bool domains = job.layout && job.layout->colocation >= 0 && job.layout->colocated_at.empty();
+  const bool domains =
+      job.layout && job.layout->colocation >= 0 && job.layout->tasks_by_colocation_domain.empty();
   std::vector<std::pair<std::string, std::optional<std::uint32_t>>> scopes;
   for (const Candidate& c : found) {
     const PlanMachine& h = st.hosts[c.host];
@@ -308,16 +310,17 @@
     const std::int64_t due =
         j.spec->deadline ? accepted + j.spec->deadline->count() : std::numeric_limits<std::int64_t>::max();
     Slack sl = slack(j, s.now, s.settings->objectives);
-    if (sl.status == DeadlineStatus::missed) sl.pressed_for = Micros::max();
+    if (sl.status == DeadlineStatus::missed) sl.time_to_latest_start = Micros::max();
     if (given_up[i]) sl = {DeadlineStatus::missed, sl.remaining, sl.remaining};
     // Nothing may be put off for more than two and a half minutes: then a job that has not begun goes before
     // all of its urgency, the longest wait first, and an array as if it were of urgency `high`.
-    if (late_to_begin(j, s)) sl = {DeadlineStatus::pressed, j.accepted_at - s.now, {}};
+    if (late_to_begin(j, s)) sl = {DeadlineStatus::at_risk, j.accepted_at - s.now, {}};
     const bool behind = !j.guaranteed && !late_to_begin(j, s);
     Priority urgency = j.spec->priority;
     if (late_to_begin(j, s) && j.spec->type == JobType::array && urgency != Priority::prod)
       urgency = Priority::high;
-    keys.emplace_back(urgency, behind, sl.status, sl.pressed_for, -rank(j), due, accepted, j.spec->job_id);
+    keys.emplace_back(urgency, behind, sl.status, sl.time_to_latest_start, -rank(j), due, accepted,
+                      j.spec->job_id);
   }
   std::sort(out.begin(), out.end(), [&](std::size_t a, std::size_t b) { return keys[a] < keys[b]; });
   return out;
@@ -340,7 +343,7 @@
     const std::uint32_t want = count_fitting(
         spec.resources, ceiling_left(s.settings->team(spec.team), st.teams[spec.team]), job.waiting);
     if (want == 0 || (gang && want < job.waiting)) continue;
-    const bool pressed = slack(job, s.now, s.settings->objectives).status == DeadlineStatus::pressed;
+    const bool pressed = slack(job, s.now, s.settings->objectives).status == DeadlineStatus::at_risk;
     const bool first = spec.type == JobType::array && late_to_begin(job, s);
     const std::uint32_t now = first ? 1 : want;
     const auto places = first ? decltype(waiting(st, job)){} : waiting(st, job);
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -82,7 +82,7 @@
   std::map<WallTime, std::size_t> by_age;
   for (std::size_t i = 0; i < jobs.size(); ++i) by_age[jobs[i].accepted] = i;
   std::vector<bool> out(jobs.size());
-  Guarantees g(settings);
+  GuaranteeTracker g(settings);
   for (const auto& [at, i] : by_age) out[i] = g.fits(*jobs[i].spec, jobs[i].unfinished);
   return out;
 }
@@ -395,11 +395,11 @@
   const auto at = [&](double waited) {
     return slack(w.s.jobs[0], w.s.jobs[0].accepted_at + from_seconds(waited), w.settings.objectives);
   };
-  EXPECT_EQ(at(0).status, DeadlineStatus::ordinary);  // an array counts by its end
+  EXPECT_EQ(at(0).status, DeadlineStatus::on_track);  // an array counts by its end
   w.specs[0]->type = JobType::gang;
-  EXPECT_EQ(at(10).status, DeadlineStatus::pressed);
-  EXPECT_EQ(at(10).pressed_for, from_seconds(60));
-  EXPECT_EQ(at(80).status, DeadlineStatus::ordinary);  // missed: its end is next, with 220 s to spare
+  EXPECT_EQ(at(10).status, DeadlineStatus::at_risk);
+  EXPECT_EQ(at(10).time_to_latest_start, from_seconds(60));
+  EXPECT_EQ(at(80).status, DeadlineStatus::on_track);  // missed: its end is next, with 220 s to spare
 }
 
 TEST(Planner, KeepsPlacesForAGangThatMustStartSoon) {
@@ -455,7 +455,7 @@
   w.host(w.small, "a");
   EXPECT_EQ(planned(w.s).placements.size(), 1U);
   EXPECT_TRUE(choose_preemptions(oracle::snapshot(w.s), {{0, 1}}, running).empty());
-  w.s.jobs[0].near_image = true;
+  w.s.jobs[0].requires_image_locality = true;
   EXPECT_TRUE(planned(w.s).placements.empty());
   EXPECT_EQ(choose_preemptions(oracle::snapshot(w.s), {{0, 1}}, running), (std::vector<std::size_t>{0}));
 }
@@ -539,12 +539,12 @@
         l.spread = pick(2);
         l.max_tasks = static_cast<std::uint32_t>(1 + pick(3));
         l.spread_required = pick(2) == 0;
-        if (pick(3) == 0) l.spread_at = {{static_cast<std::uint32_t>(pick(9)), 1}};
+        if (pick(3) == 0) l.tasks_by_spread_domain = {{static_cast<std::uint32_t>(pick(9)), 1}};
       }
       if (pick(2) == 0) {
         l.colocation = pick(2);
         l.colocation_required = pick(2) == 0;
-        if (pick(4) == 0) l.colocated_at = {{static_cast<std::uint32_t>(pick(9)), 1}};
+        if (pick(4) == 0) l.tasks_by_colocation_domain = {{static_cast<std::uint32_t>(pick(9)), 1}};
       }
       if (pick(4) == 0) spec->layout->devices = {{"signer", 1}};
       j.layout = l;
@@ -554,7 +554,7 @@
     j.estimate = from_seconds(10 + 20 * pick(4));
     j.guaranteed = pick(4) == 0;
     j.has_started = pick(2) == 0;
-    j.near_image = spec->type == JobType::service && pick(4) == 0;
+    j.requires_image_locality = spec->type == JobType::service && pick(4) == 0;
     if (pick(6) == 0) j.excluded_types = {"large"};
     if (pick(6) == 0) j.avoided_machines = &avoid;
     j.accepted_at = WallTime{from_seconds(1000 - 30 * pick(9))};
@@ -581,7 +581,7 @@
     }
     places.push_back(std::make_unique<wrenusher::topology::MachineLocation>(
         tree->find(h.host.name, "", f.name, h.host.zone)));
-    h.host.place = places.back().get();
+    h.host.location = places.back().get();
     h.host.free.devices = places.back()->devices;
     h.host.reserved_for_devices = !h.host.free.devices.empty() && pick(2) == 0;
     const int tasks = pick(4);
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -267,7 +267,7 @@
     if (!taken) continue;
     newest = word;
     RC_ASSERT(heard.back().leader == name);
-    RC_ASSERT(heard.back().asked_at.has_value() == answer);
+    RC_ASSERT(heard.back().request_sent_at.has_value() == answer);
   }
 }
 
--- a/tests/standby_test.cpp
+++ b/tests/standby_test.cpp
@@ -238,7 +238,7 @@
     c.run(0.5);
     EXPECT_TRUE(c.copy.complete()) << i;
   }
-  EXPECT_GE(c.copy.jobs(), 55U);
+  EXPECT_GE(c.copy.job_count(), 55U);
 }
 
 TEST(RecordReplica, OfAServiceThatWentBackToAnEarlierRevisionIsThrownAway) {
@@ -450,7 +450,7 @@
       ++life;
     }
     if (*rc::gen::inRange(0, 3) > 0) teller.on_confirmed("peer", life, std::exchange(got, {}), now);
-    const Value v = teller.next("peer", now);
+    const Value v = teller.next_message("peer", now);
     if (v.is_null()) continue;
     RC_ASSERT(encode(v).size() < 48 * 1024U);
     const int fate = *rc::gen::inRange(0, 4);
@@ -464,12 +464,12 @@
   for (int i = 0; i < 80; ++i) {
     now += from_millis(500);
     teller.on_confirmed("peer", life, std::exchange(got, {}), now);
-    if (const Value v = teller.next("peer", now); !v.is_null()) deliver(v);
+    if (const Value v = teller.next_message("peer", now); !v.is_null()) deliver(v);
   }
-  RC_ASSERT(teller.unconfirmed("peer") == 0U);
+  RC_ASSERT(teller.unconfirmed_row_count("peer") == 0U);
   const auto rows = [](const HintTable& p) {
     std::map<std::string, std::uint64_t> out;
-    for (const auto& [key, known] : p.all()) {
+    for (const auto& [key, known] : p.entries()) {
       if (!known.row.value.is_null()) out[key] = known.row.digest;
     }
     return out;
