--- a/src/kv_client/include/wrenusher/kv_client/kv_client.hpp
+++ b/src/kv_client/include/wrenusher/kv_client/kv_client.hpp
@@ -1,7 +1,7 @@
 #pragma once
 // Package kv_client: the client of the state service, a consensus-backed key-value store. It owns this node's
-// share of the service's rate limits and the queues of what waits for it, and tells "not executed" from "may
-// have been executed". It may depend on time, value, runtime, settings, protocol and log.
+// share of the service's rate limits and the queues of waiting calls, and distinguishes "not executed" from
+// "may have been executed". It may depend on time, value, runtime, settings, protocol and log.
 
 #include <cstdint>
 #include <functional>
@@ -16,7 +16,8 @@
 
 namespace wrenusher::kv_client {
 
-/// Single-threaded: called from the runtime's loop only, in which it calls each handler once.
+/// Client of the state service. Single-threaded: called from the runtime's loop only, from which it calls
+/// each handler exactly once.
 class KvClient {
  public:
   using RequestClass = kv_client::RequestClass;
@@ -25,40 +26,41 @@
   using LeaseHandler = std::function<void(LeaseReply)>;
   using WatchHandler = std::function<void(WatchReply)>;
 
-  /// No reply of the service is taken later than this after it was asked (a watch's own wait aside), also by
-  /// a node that stood still meanwhile. ReadConsistency depends on it.
+  /// Maximum age of a reply, counted from the sending of its request; for a watch, the requested waiting time
+  /// is added. Later replies are discarded, also when this node itself was paused meanwhile. ReadConsistency
+  /// relies on this limit.
   static constexpr Micros kMaxReplyAge = time::from_seconds(1.5);
 
-  /// Both arguments must outlive this.
+  /// Both arguments must outlive this object.
   KvClient(runtime::Runtime& runtime, const settings::Settings& settings);
 
   /// Reads one key.
   void get(const std::string& key, RequestClass request_class, const ReadHandler& done);
-  /// Reads at most `limit` keys with the prefix, beginning with `from` or, where that is empty, with the
-  /// first.
+  /// Reads at most `limit` keys with the prefix, starting at `from` or, if that is empty, at the first.
   void list(const std::string& prefix, const std::string& from, int limit, RequestClass request_class,
             const ReadHandler& done);
-  /// A compare-and-swap: makes all changes if all conditions hold, and none otherwise.
-  void commit(const std::vector<Condition>& when, const std::vector<Mutation>& apply,
+  /// Executes a compare-and-swap: makes all changes if all conditions hold, and none otherwise.
+  void commit(const std::vector<Condition>& conditions, const std::vector<Mutation>& mutations,
               RequestClass request_class, const CommitHandler& done);
   void grant_lease(Micros duration, const LeaseHandler& done);
   void renew_lease(std::uint64_t lease_id, const LeaseHandler& done);
-  /// Tried once; if that fails the lease expires by itself.
+  /// Revokes the lease without a retry; if the call fails, the lease still expires at its end.
   void revoke_lease(std::uint64_t lease_id);
-  /// Changes of the keys with the prefix after the revision `from`. Where there are none, the service waits
-  /// for one, for `max_wait` at most.
+  /// Reads the changes of the keys with the prefix after the revision `from`. If there are none, the service
+  /// waits for one for up to `max_wait`.
   void watch(const std::string& prefix, std::uint64_t from, Micros max_wait, RequestClass request_class,
              const WatchHandler& done);
 
-  /// The leader does most of the work and so gets most of the rate that the nodes share.
+  /// Adjusts this node's share of the rates: the leader does most of the work, so it gets most of the rate
+  /// that the nodes share.
   void set_leading(bool leading);
-  /// Whether the service replied to anything lately.
+  /// Returns whether the service has replied to any call recently.
   [[nodiscard]] bool reachable() const;
-  /// How many changes a scheduling commit may make now; 0 while another one waits.
+  /// Returns how many changes a scheduling commit may make now; 0 while another one is queued.
   [[nodiscard]] std::size_t writes_available() { return scheduler_.writes_available(); }
-  /// Whether no user's call waits and half a second's worth of requests is left.
+  /// Returns whether no user call is queued and at least half a second's worth of request tokens is left.
   [[nodiscard]] bool has_spare_requests() { return scheduler_.has_spare_requests(); }
-  /// Requests per second that this node may make now.
+  /// Returns the requests per second that this node may make now.
   [[nodiscard]] double request_rate() const { return scheduler_.request_rate(); }
 
   runtime::EventSink<KvHealth> health;
@@ -71,7 +73,7 @@
   const settings::Settings& settings_;
   RequestScheduler scheduler_;
   Instant last_reply_{};
-  bool ever_replied_ = false;
+  bool has_replied_ = false;
   bool reported_reachable_ = false;
 };
 
--- a/src/kv_client/include/wrenusher/kv_client/kv_codec.hpp
+++ b/src/kv_client/include/wrenusher/kv_client/kv_codec.hpp
@@ -1,5 +1,6 @@
 #pragma once
-// The requests and replies of the state service on the wire. The wire's names appear nowhere else.
+// Encoding of the requests to the state service and decoding of its replies. The field names of its protocol
+// are defined in kv_codec.cpp.
 
 #include <string>
 #include <vector>
@@ -10,17 +11,18 @@
 namespace wrenusher::kv_client {
 
 [[nodiscard]] runtime::Request get_request(const std::string& key);
-/// `from`: the first key, or empty for the first one there is.
+/// `from`: the key to start at; empty: the first key with the prefix.
 [[nodiscard]] runtime::Request list_request(const std::string& prefix, const std::string& from, int limit);
-[[nodiscard]] runtime::Request commit_request(const std::vector<Condition>& when,
-                                              const std::vector<Mutation>& apply);
+[[nodiscard]] runtime::Request commit_request(const std::vector<Condition>& conditions,
+                                              const std::vector<Mutation>& mutations);
 [[nodiscard]] runtime::Request grant_lease_request(Micros duration);
 [[nodiscard]] runtime::Request renew_lease_request(std::uint64_t lease_id);
 [[nodiscard]] runtime::Request revoke_lease_request(std::uint64_t lease_id);
-/// `max_wait`: how long the service waits for a change if there is none.
+/// `max_wait`: how long the service waits for a change if there is none yet.
 [[nodiscard]] runtime::Request watch_request(const std::string& prefix, std::uint64_t from, Micros max_wait);
 
-// The replies. Large bodies are taken out of the result, so that they do not stand twice in memory.
+// The functions below decode replies. Large bodies are moved out of the result, so that they are not held in
+// memory twice.
 [[nodiscard]] ReadReply read_get_reply(const runtime::CallResult& result, Instant sent_at);
 [[nodiscard]] ReadReply read_list_reply(runtime::CallResult result);
 [[nodiscard]] CommitReply read_commit_reply(const runtime::CallResult& result, Instant sent_at);
--- a/src/kv_client/include/wrenusher/kv_client/rate_limiter.hpp
+++ b/src/kv_client/include/wrenusher/kv_client/rate_limiter.hpp
@@ -4,26 +4,26 @@
 
 namespace wrenusher::kv_client {
 
-/// A token bucket: refills at a steady rate and keeps at most one second's worth. Single-threaded. The times
-/// given to it must not go back.
+/// A token bucket: refills at a steady rate and holds at most one second's worth of tokens. Single-threaded.
+/// The times passed to it must not decrease.
 class RateLimiter {
  public:
-  /// Begins full. `per_second` must be above 0.
+  /// Starts full. `per_second` must be above 0.
   RateLimiter(double per_second, time::Instant now)
       : rate_(per_second), tokens_(per_second), refilled_at_(now) {}
 
   void set_rate(double per_second) { rate_ = per_second; }
-  /// Tokens per second.
+  /// Returns the rate in tokens per second.
   [[nodiscard]] double rate() const { return rate_; }
 
-  /// Takes `n` tokens if they are there. A larger number than one second's worth can be taken once the bucket
-  /// is full, and is paid off afterwards.
-  [[nodiscard]] bool try_acquire(double n, time::Instant now);
-  /// Whether `try_acquire` would succeed.
-  [[nodiscard]] bool can_acquire(double n, time::Instant now);
-  /// Takes tokens even if they are not there, for calls that must not wait.
-  void force_acquire(double n, time::Instant now);
-  /// Tokens there now; below 0 while a debt is paid off.
+  /// Takes `count` tokens if they are available. More than one second's worth can be taken once the bucket is
+  /// full; the bucket then goes negative and refills from there.
+  [[nodiscard]] bool try_acquire(double count, time::Instant now);
+  /// Returns whether `try_acquire` would succeed.
+  [[nodiscard]] bool can_acquire(double count, time::Instant now);
+  /// Takes tokens even if they are not available, for calls that must not wait.
+  void force_acquire(double count, time::Instant now);
+  /// Returns the available tokens; below 0 after more were taken than were available.
   [[nodiscard]] double tokens(time::Instant now);
 
  private:
--- a/src/kv_client/include/wrenusher/kv_client/request_scheduler.hpp
+++ b/src/kv_client/include/wrenusher/kv_client/request_scheduler.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// When a call may go out to the state service: this node's share of the service's rate limits, and the queues
-// of what waits for it.
+// Schedules the calls to the state service: enforces this node's share of the service's rate limits and
+// queues the calls that have to wait.
 
 #include <cstdint>
 #include <deque>
@@ -15,12 +15,12 @@
 using time::Instant;
 using time::Micros;
 
-/// What a call is for, which decides how long it waits.
+/// Purpose of a call, which decides how long it may wait.
 enum class RequestClass {
-  lease,       ///< keeps or wins the leader's lease: never waits
-  scheduling,  ///< of the leader: takes turns with users
-  user,        ///< for a user who waits: refused at once when too many do
-  background   ///< goes out when nobody else wants the rate, or after one second
+  lease,       ///< acquires or renews the leader's lease: never waits
+  scheduling,  ///< scheduling work of the leader: alternates with user calls
+  user,        ///< a user waits for the result: refused at once when too many such calls are queued
+  background   ///< sent when there are spare tokens, or after one second
 };
 
 /// Owned by KvClient. Single-threaded: called from the runtime's loop only.
@@ -28,23 +28,23 @@
  public:
   /// A call that may have to wait.
   struct Call {
-    double write_count = 0;        ///< changes of keys that it makes; each takes one token
-    std::function<void()> send;    ///< called when it may go out, at once or later
-    std::function<void()> refuse;  ///< called in its place when too many users' calls wait; only for them
+    double write_count = 0;        ///< number of keys that it changes; each takes one write token
+    std::function<void()> send;    ///< called when the call may be sent, at once or later
+    std::function<void()> refuse;  ///< for user calls only: called instead when too many are queued
   };
 
   RequestScheduler(runtime::Runtime& runtime, double requests_per_s, double writes_per_s);
 
   void set_rates(double requests_per_s, double writes_per_s);
-  /// The service is overloaded: nothing goes out for so long, calls for the lease aside.
+  /// Sends nothing but lease calls for the duration `pause`, since the service is overloaded.
   void back_off(Micros pause) { backoff_until_ = runtime_.now() + pause; }
   void submit(RequestClass request_class, Call call);
 
-  /// How many changes a scheduling commit may make now; 0 while another one waits.
+  /// Returns how many changes a scheduling commit may make now; 0 while another one is queued.
   [[nodiscard]] std::size_t writes_available();
-  /// Whether no user's call waits and half a second's worth of requests is left.
+  /// Returns whether no user call is queued and at least half a second's worth of request tokens is left.
   [[nodiscard]] bool has_spare_requests();
-  /// Requests per second.
+  /// Returns the rate in requests per second.
   [[nodiscard]] double request_rate() const { return requests_.rate(); }
 
  private:
@@ -58,27 +58,27 @@
   Queue& queue_of(RequestClass request_class, double write_count);
   [[nodiscard]] bool is_full(const Queue& queue, double write_count) const;
   void send_queued();
-  /// Whether the first call of the queue has what it needs besides a request token.
+  /// Returns whether the first call of the queue may be sent, apart from its request token.
   bool may_send(const Queue& queue, Instant now);
-  /// The queue whose first call goes out next; null: nothing may go out now.
+  /// Returns the queue whose first call is sent next; null: nothing may be sent now.
   Queue* next_queue(Instant now);
-  [[nodiscard]] bool foreground_waits() const {
+  [[nodiscard]] bool has_foreground_calls() const {
     return !user_reads_.empty() || !user_writes_.empty() || !scheduling_.empty();
   }
 
   runtime::Runtime& runtime_;
   RateLimiter requests_;
   RateLimiter writes_;
-  // Users' reads and writes wait apart, since reads need no write tokens: behind writes they waited for
-  // seconds while a third of the request rate was unused.
+  // User reads and writes have separate queues, since reads need no write tokens: in a common queue, reads
+  // waited behind writes for seconds while a third of the request rate was unused.
   Queue user_reads_;
   Queue user_writes_;
   Queue scheduling_;
   Queue background_;
   static constexpr std::size_t kForegroundQueues = 3;
-  std::size_t next_turn_ = 0;       ///< which of the first three queues is looked at first
-  bool user_write_is_next_ = true;  ///< of users' and scheduling writes that both wait
-  bool timer_running_ = false;
+  std::size_t next_queue_ = 0;      ///< index of the foreground queue that is checked first
+  bool user_write_is_next_ = true;  ///< whether a user write precedes a scheduling write when both wait
+  bool retry_scheduled_ = false;
   Instant backoff_until_{};
 };
 
--- a/src/kv_client/kv_client.cpp
+++ b/src/kv_client/kv_client.cpp
@@ -18,15 +18,15 @@
 
 namespace {
 
-constexpr Micros kTimeout = KvClient::kMaxReplyAge;
-/// The service counts as unreachable when no good reply came from it for this long.
+constexpr Micros kRequestTimeout = KvClient::kMaxReplyAge;
+/// The service counts as unreachable after this time without a successful reply.
 constexpr Micros kHealthTimeout = from_seconds(2.0);
-/// The leader's part of the rates that the nodes share; the others have equal parts of the rest.
+/// The leader's share of the rates that the nodes share; the other nodes share the rest equally.
 constexpr double kLeaderShare = 0.7;
-/// Part of its rates that a node uses, as a margin below the service's limits.
+/// Fraction of its rates that a node uses, as a margin below the service's limits.
 constexpr double kRateMargin = 0.95;
 constexpr double kMinWriteRate = 1.0;
-/// How long nothing is sent after the service called itself overloaded, and at most so much longer.
+/// How long nothing is sent after the service reported an overload, and the maximum jitter added to it.
 constexpr Micros kBackoff = from_millis(100);
 constexpr Micros kMaxBackoffJitter = from_millis(200);
 
@@ -37,8 +37,8 @@
   return static_cast<double>(settings.peers.size() + 1);
 }
 
-/// For a call that was refused here, since too many wait.
-std::function<void()> refuse_read(const KvClient::ReadHandler& done) {
+/// Returns a function that completes a read as refused because too many calls are queued.
+std::function<void()> read_refusal(const KvClient::ReadHandler& done) {
   return [done] {
     ReadReply reply;
     reply.queue_full = true;
@@ -46,7 +46,8 @@
   };
 }
 
-std::function<void()> refuse_commit(const KvClient::CommitHandler& done) {
+/// Returns a function that completes a commit as refused because too many calls are queued.
+std::function<void()> commit_refusal(const KvClient::CommitHandler& done) {
   return [done] {
     CommitReply reply;
     reply.queue_full = true;
@@ -73,13 +74,13 @@
 }
 
 bool KvClient::reachable() const {
-  return ever_replied_ && runtime_.now() - last_reply_ < kHealthTimeout;
+  return has_replied_ && runtime_.now() - last_reply_ < kHealthTimeout;
 }
 
 void KvClient::record_reply(bool is_good) {
   if (is_good) {
     last_reply_ = runtime_.now();
-    ever_replied_ = true;
+    has_replied_ = true;
   }
   if (reachable() == reported_reachable_) return;
   reported_reachable_ = !reported_reachable_;
@@ -91,8 +92,8 @@
 void KvClient::call(Request request, Micros timeout, CallHandler done) {
   runtime_.call(settings_.state, std::move(request), timeout,
                 [this, timeout, sent_at = runtime_.now(), done = std::move(done)](CallResult result) {
-                  // A node that stood still finds replies that came long ago, and what they say may be older
-                  // than what other nodes have told users since.
+                  // A node that was paused may receive replies that arrived long ago. Their content may be
+                  // older than what other nodes have returned to users since, so they are discarded.
                   if (runtime_.now() - sent_at > timeout) result = CallResult{};
                   const int status = result.response.status;
                   if (result.answered && status == kStatusTooMany)
@@ -104,34 +105,35 @@
 
 void KvClient::get(const std::string& key, RequestClass request_class, const ReadHandler& done) {
   auto send = [this, key, done] {
-    call(get_request(key), kTimeout, [done, sent_at = runtime_.now()](const CallResult& result) {
+    call(get_request(key), kRequestTimeout, [done, sent_at = runtime_.now()](const CallResult& result) {
       done(read_get_reply(result, sent_at));
     });
   };
-  scheduler_.submit(request_class, {0, std::move(send), refuse_read(done)});
+  scheduler_.submit(request_class, {0, std::move(send), read_refusal(done)});
 }
 
 void KvClient::list(const std::string& prefix, const std::string& from, int limit, RequestClass request_class,
                     const ReadHandler& done) {
   auto send = [this, request = list_request(prefix, from, limit), done] {
-    call(request, kTimeout, [done](CallResult result) { done(read_list_reply(std::move(result))); });
+    call(request, kRequestTimeout, [done](CallResult result) { done(read_list_reply(std::move(result))); });
   };
-  scheduler_.submit(request_class, {0, std::move(send), refuse_read(done)});
+  scheduler_.submit(request_class, {0, std::move(send), read_refusal(done)});
 }
 
-void KvClient::commit(const std::vector<Condition>& when, const std::vector<Mutation>& apply,
+void KvClient::commit(const std::vector<Condition>& conditions, const std::vector<Mutation>& mutations,
                       RequestClass request_class, const CommitHandler& done) {
-  auto send = [this, request = commit_request(when, apply), done] {
-    call(request, kTimeout, [done, sent_at = runtime_.now()](const CallResult& result) {
+  auto send = [this, request = commit_request(conditions, mutations), done] {
+    call(request, kRequestTimeout, [done, sent_at = runtime_.now()](const CallResult& result) {
       done(read_commit_reply(result, sent_at));
     });
   };
-  scheduler_.submit(request_class, {static_cast<double>(apply.size()), std::move(send), refuse_commit(done)});
+  scheduler_.submit(request_class,
+                    {static_cast<double>(mutations.size()), std::move(send), commit_refusal(done)});
 }
 
 void KvClient::grant_lease(Micros duration, const LeaseHandler& done) {
   auto send = [this, duration, done] {
-    call(grant_lease_request(duration), kTimeout,
+    call(grant_lease_request(duration), kRequestTimeout,
          [done](const CallResult& result) { done(read_grant_reply(result)); });
   };
   scheduler_.submit(RequestClass::lease, {0, std::move(send), {}});
@@ -139,21 +141,23 @@
 
 void KvClient::renew_lease(std::uint64_t lease_id, const LeaseHandler& done) {
   auto send = [this, lease_id, done] {
-    call(renew_lease_request(lease_id), kTimeout,
+    call(renew_lease_request(lease_id), kRequestTimeout,
          [done, lease_id](const CallResult& result) { done(read_renew_reply(result, lease_id)); });
   };
   scheduler_.submit(RequestClass::lease, {0, std::move(send), {}});
 }
 
 void KvClient::revoke_lease(std::uint64_t lease_id) {
-  auto send = [this, lease_id] { call(revoke_lease_request(lease_id), kTimeout, [](const CallResult&) {}); };
+  auto send = [this, lease_id] {
+    call(revoke_lease_request(lease_id), kRequestTimeout, [](const CallResult&) {});
+  };
   scheduler_.submit(RequestClass::lease, {0, std::move(send), {}});
 }
 
 void KvClient::watch(const std::string& prefix, std::uint64_t from, Micros max_wait,
                      RequestClass request_class, const WatchHandler& done) {
   auto send = [this, request = watch_request(prefix, from, max_wait), max_wait, done] {
-    call(request, max_wait + kTimeout, [done, sent_at = runtime_.now()](CallResult result) {
+    call(request, max_wait + kRequestTimeout, [done, sent_at = runtime_.now()](CallResult result) {
       done(read_watch_reply(std::move(result), sent_at));
     });
   };
--- a/src/kv_client/kv_codec.cpp
+++ b/src/kv_client/kv_codec.cpp
@@ -18,16 +18,16 @@
 constexpr int kStatusTooMany = 429;
 constexpr int kStatusUnavailable = 503;
 
-/// The reply to a watch holds every change since the revision that was asked for, and the service sets no
-/// limit: after a pause of a minute it was 30 MB, ten times as much once decoded, and the node ran out of
-/// memory.
+/// Limit for the reply to a watch, which contains every change since the requested revision; the service
+/// itself sets no limit. After a pause of a minute a reply was 30 MB, ten times as much once decoded, and the
+/// node ran out of memory.
 constexpr std::size_t kMaxWatchBytes = std::size_t{2} * 1024 * 1024;
 
 bool has_status(const CallResult& result, int status) {
   return result.answered && result.response.status == status;
 }
 
-/// Moves the value out of `row`: a copy would double the memory that a large one takes.
+/// Moves the value out of `row`: a copy would double the memory of a large value.
 KeyValue read_key_value(Value& row, const char* key_field) {
   KeyValue result;
   if (const std::string* key = row[key_field].text()) result.key = *key;
@@ -96,16 +96,17 @@
   return {"GET", std::move(target), {}};
 }
 
-Request commit_request(const std::vector<Condition>& when, const std::vector<Mutation>& apply) {
-  Value::List conditions;
-  conditions.reserve(when.size());
-  for (const Condition& condition : when)
-    conditions.emplace_back(Value::Map{{"k", condition.key}, {"stamp", condition.mod_revision}});
-  Value::List mutations;
-  mutations.reserve(apply.size());
-  for (const Mutation& mutation : apply) mutations.push_back(write_mutation(mutation));
-  return {"POST", "/multi",
-          encode(Value(Value::Map{{"when", std::move(conditions)}, {"apply", std::move(mutations)}}))};
+Request commit_request(const std::vector<Condition>& conditions, const std::vector<Mutation>& mutations) {
+  Value::List condition_list;
+  condition_list.reserve(conditions.size());
+  for (const Condition& condition : conditions)
+    condition_list.emplace_back(Value::Map{{"k", condition.key}, {"stamp", condition.mod_revision}});
+  Value::List mutation_list;
+  mutation_list.reserve(mutations.size());
+  for (const Mutation& mutation : mutations) mutation_list.push_back(write_mutation(mutation));
+  return {
+      "POST", "/multi",
+      encode(Value(Value::Map{{"when", std::move(condition_list)}, {"apply", std::move(mutation_list)}}))};
 }
 
 Request grant_lease_request(Micros duration) {
--- a/src/kv_client/rate_limiter.cpp
+++ b/src/kv_client/rate_limiter.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// A little below a full bucket, which rounding might never reach.
-constexpr double kFullBucket = 0.999;
+/// Slightly below a full bucket, which rounding errors might never reach.
+constexpr double kFullBucketFraction = 0.999;
 
 }  // namespace
 
@@ -16,20 +16,20 @@
   refilled_at_ = now;
 }
 
-bool RateLimiter::try_acquire(double n, time::Instant now) {
-  if (!can_acquire(n, now)) return false;
-  tokens_ -= n;
+bool RateLimiter::try_acquire(double count, time::Instant now) {
+  if (!can_acquire(count, now)) return false;
+  tokens_ -= count;
   return true;
 }
 
-bool RateLimiter::can_acquire(double n, time::Instant now) {
+bool RateLimiter::can_acquire(double count, time::Instant now) {
   refill(now);
-  return tokens_ >= std::min(n, rate_ * kFullBucket);
+  return tokens_ >= std::min(count, rate_ * kFullBucketFraction);
 }
 
-void RateLimiter::force_acquire(double n, time::Instant now) {
+void RateLimiter::force_acquire(double count, time::Instant now) {
   refill(now);
-  tokens_ -= n;
+  tokens_ -= count;
 }
 
 double RateLimiter::tokens(time::Instant now) {
--- a/src/kv_client/request_scheduler.cpp
+++ b/src/kv_client/request_scheduler.cpp
@@ -12,23 +12,23 @@
 
 namespace {
 
-/// A user's call is refused at once when this many wait before it.
-constexpr std::size_t kMaxQueued = 64;
-/// So is one that would wait longer than this for tokens: a user gives a submission up after 5 s and a query
-/// after 2 s, and what is sent for nobody is taken from others.
+/// A user call is refused at once when this many calls are queued before it.
+constexpr std::size_t kMaxQueuedCalls = 64;
+/// A user call is also refused if it would wait longer than this for tokens. Users give up a submission after
+/// 5 s and a query after 2 s; a call sent after that would waste tokens that other calls need.
 constexpr Micros kMaxWriteWait = from_seconds(3.5);
 constexpr Micros kMaxReadWait = from_seconds(1.5);
-/// So many may wait however low the rate is.
-constexpr std::size_t kMinQueued = 4;
-/// A background call that has waited for so long is sent all the same: a storm of users' calls leaves nothing
-/// over, and replicas of the records would have ever more to catch up with.
+/// Number of calls that may be queued even at a very low rate.
+constexpr std::size_t kMinQueueCapacity = 4;
+/// A background call that has waited this long is sent even if there are no spare tokens: during a burst of
+/// user calls there are none, and the replicas of the records would fall further and further behind.
 constexpr Micros kMaxBackgroundWait = from_seconds(1);
-/// Part of a second's request tokens that background calls leave to others.
+/// Fraction of a second's request tokens that background calls leave to others.
 constexpr double kBackgroundReserve = 0.5;
-/// Part of a second's write tokens that a scheduling commit may have while users' writes wait.
+/// Fraction of a second's write tokens that a scheduling commit may use while user writes wait.
 constexpr double kSchedulingWriteShare = 0.25;
-/// How often queued calls are looked at.
-constexpr Micros kQueueInterval = from_millis(20);
+/// Interval between checks of the queued calls.
+constexpr Micros kQueueCheckInterval = from_millis(20);
 
 }  // namespace
 
@@ -63,23 +63,23 @@
   return write_count > 0 ? user_writes_ : user_reads_;
 }
 
-/// Whether one more user's call would wait for too long.
+/// Returns whether one more user call would wait for too long.
 bool RequestScheduler::is_full(const Queue& queue, double write_count) const {
-  if (queue.size() >= kMaxQueued) return true;
-  if (queue.size() < kMinQueued) return false;
-  const auto ahead = static_cast<double>(queue.size());
-  return write_count > 0 ? ahead > writes_.rate() * to_seconds(kMaxWriteWait)
-                         : ahead > requests_.rate() * to_seconds(kMaxReadWait);
+  if (queue.size() >= kMaxQueuedCalls) return true;
+  if (queue.size() < kMinQueueCapacity) return false;
+  const auto queued_calls = static_cast<double>(queue.size());
+  return write_count > 0 ? queued_calls > writes_.rate() * to_seconds(kMaxWriteWait)
+                         : queued_calls > requests_.rate() * to_seconds(kMaxReadWait);
 }
 
 std::size_t RequestScheduler::writes_available() {
   const Instant now = runtime_.now();
   if (now < backoff_until_ || !scheduling_.empty()) return 0;
-  const double ready = std::max(0.0, writes_.tokens(now));
-  // While users' writes wait they take every token as it comes, and none would ever be left over: a
-  // scheduling commit then takes turns with them and waits for a fair part of the rate.
+  const double available = std::max(0.0, writes_.tokens(now));
+  // Waiting user writes take every token as it becomes available, so none would ever be left over. A
+  // scheduling commit therefore takes turns with them and waits for a fair share of the rate.
   return static_cast<std::size_t>(
-      user_writes_.empty() ? ready : std::max(ready, writes_.rate() * kSchedulingWriteShare));
+      user_writes_.empty() ? available : std::max(available, writes_.rate() * kSchedulingWriteShare));
 }
 
 bool RequestScheduler::has_spare_requests() {
@@ -92,34 +92,36 @@
   if (queue.empty()) return false;
   const double write_count = queue.front().write_count;
   if (write_count == 0) return true;
-  // Of a user's and a scheduling write that both wait, the one whose turn it is goes first, however few
-  // tokens the other needs.
-  const auto waits_to_write = [](const Queue& other) {
+  // If both a user write and a scheduling write wait, they alternate, regardless of how many tokens each
+  // needs.
+  const auto has_waiting_write = [](const Queue& other) {
     return !other.empty() && other.front().write_count > 0;
   };
-  const bool is_user = &queue == &user_writes_;
-  const bool has_turn = is_user ? user_write_is_next_ || !waits_to_write(scheduling_)
-                                : !user_write_is_next_ || !waits_to_write(user_writes_);
+  const bool is_user_queue = &queue == &user_writes_;
+  const bool has_turn = is_user_queue ? user_write_is_next_ || !has_waiting_write(scheduling_)
+                                      : !user_write_is_next_ || !has_waiting_write(user_writes_);
   return has_turn && writes_.can_acquire(write_count, now);
 }
 
-/// In turn, so that neither a storm of queries nor a large commit keeps the others out.
+/// Checks the foreground queues in round-robin order, so that neither a burst of queries nor a large commit
+/// starves the others.
 RequestScheduler::Queue* RequestScheduler::next_queue(Instant now) {
   if (!background_.empty() && now - background_.front().queued_at >= kMaxBackgroundWait) return &background_;
   const std::array<Queue*, kForegroundQueues> queues = {&user_reads_, &user_writes_, &scheduling_};
   for (std::size_t i = 0; i < kForegroundQueues; ++i) {
-    Queue* queue = queues[(next_turn_ + i) % kForegroundQueues];
+    Queue* queue = queues[(next_queue_ + i) % kForegroundQueues];
     if (!may_send(*queue, now)) continue;
-    next_turn_ = (next_turn_ + i + 1) % kForegroundQueues;
+    next_queue_ = (next_queue_ + i + 1) % kForegroundQueues;
     return queue;
   }
-  const bool busy = foreground_waits() || requests_.tokens(now) < requests_.rate() * kBackgroundReserve;
-  return busy || background_.empty() ? nullptr : &background_;
+  const bool keep_reserve =
+      has_foreground_calls() || requests_.tokens(now) < requests_.rate() * kBackgroundReserve;
+  return keep_reserve || background_.empty() ? nullptr : &background_;
 }
 
-/// Sends what may go out now, and looks again later if something is left.
+/// Sends the queued calls that may be sent now, and schedules another check if any are left.
 void RequestScheduler::send_queued() {
-  if (timer_running_) return;
+  if (retry_scheduled_) return;
   const Instant now = runtime_.now();
   while (now >= backoff_until_ && requests_.can_acquire(1, now)) {
     Queue* queue = next_queue(now);
@@ -133,10 +135,10 @@
     }
     call.send();
   }
-  if (!foreground_waits() && background_.empty()) return;
-  timer_running_ = true;
-  runtime_.after(kQueueInterval, [this] {
-    timer_running_ = false;
+  if (!has_foreground_calls() && background_.empty()) return;
+  retry_scheduled_ = true;
+  runtime_.after(kQueueCheckInterval, [this] {
+    retry_scheduled_ = false;
     send_queued();
   });
 }
--- a/src/leader/failover.cpp
+++ b/src/leader/failover.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr int kShardPageSize = 400;
-constexpr time::Micros kRetryRead = time::from_millis(250);
+constexpr time::Micros kReadRetryDelay = time::from_millis(250);
 
 void log_unreadable(const std::string& key) {
   log::error("record_unreadable", "record {key} cannot be read", log::with("key", key));
@@ -44,7 +44,7 @@
                   on_page(reading, page);
                   return;
                 }
-                runtime_.after(kRetryRead, [this, reading] {
+                runtime_.after(kReadRetryDelay, [this, reading] {
                   if (reading->generation == generation_) read_page(reading);
                 });
               });
@@ -56,7 +56,7 @@
     if (reading->reading_shards) {
       read_shard_row(reading->blocks, row);
     } else {
-      // One that cannot be read has been logged; the others go on without it.
+      // A record that cannot be read has been logged and is skipped.
       static_cast<void>(add_stored_job(jobs_, row));
     }
     reading->next_key = row.key;
--- a/src/leader/failover_timer.cpp
+++ b/src/leader/failover_timer.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-/// What has not happened by then is reported as missing.
-constexpr Micros kMaxFailoverTime = time::from_seconds(25);
-/// The share of the machines after whose reports `ninety_percent_machines` is measured.
+/// Phases and machines that are not complete after this time are reported as missing.
+constexpr Micros kMeasurementTimeout = time::from_seconds(25);
+/// `ninety_percent_machines` is the time until this share of the machines had reported.
 constexpr double kMostMachinesShare = 0.9;
 
-/// In seconds, or "-" for what has not happened.
+/// Formats a duration in seconds, or returns "-" for a phase that has not been reached (negative duration).
 std::string seconds_text(Micros duration) {
   return duration.count() < 0 ? "-" : fmt::format("{:.2f}", time::to_seconds(duration));
 }
@@ -19,8 +19,8 @@
 }  // namespace
 
 void FailoverTimer::begin(const events::TermChanged& term, Instant now) {
-  running_ = true;
-  began_ = now;
+  measuring_ = true;
+  term_began_ = now;
   times_so_far_ = {};
   times_so_far_.term = term.fencing_token;
   if (term.last_heartbeat != Instant{}) times_so_far_.since_last_heartbeat = now - term.last_heartbeat;
@@ -31,32 +31,32 @@
 }
 
 void FailoverTimer::expect_machine(const std::string& host) {
-  if (running_) expected_machines_.insert(host);
+  if (measuring_) expected_machines_.insert(host);
 }
 
 void FailoverTimer::on_records_loaded(bool from_replica, Instant now) {
   times_so_far_.from_replica = from_replica;
-  times_so_far_.records_read = now - began_;
+  times_so_far_.records_read = now - term_began_;
 }
 
 void FailoverTimer::on_machine_reported(const std::string& host, Instant now) {
-  if (!running_) return;
-  if (times_so_far_.first_machine.count() < 0) times_so_far_.first_machine = now - began_;
-  if (expected_machines_.erase(host) > 0) report_times_.push_back(now - began_);
+  if (!measuring_) return;
+  if (times_so_far_.first_machine.count() < 0) times_so_far_.first_machine = now - term_began_;
+  if (expected_machines_.erase(host) > 0) report_times_.push_back(now - term_began_);
 }
 
 void FailoverTimer::on_first_start(Instant now) {
-  if (running_ && times_so_far_.first_start.count() < 0) times_so_far_.first_start = now - began_;
+  if (measuring_ && times_so_far_.first_start.count() < 0) times_so_far_.first_start = now - term_began_;
 }
 
 std::optional<events::FailoverTimes> FailoverTimer::finish(std::size_t unconfirmed_assignments, Instant now) {
-  if (!running_ || times_so_far_.records_read.count() < 0) return std::nullopt;
+  if (!measuring_ || times_so_far_.records_read.count() < 0) return std::nullopt;
   if (unconfirmed_assignments == 0 && times_so_far_.all_located.count() < 0)
-    times_so_far_.all_located = now - began_;
+    times_so_far_.all_located = now - term_began_;
   const bool complete = times_so_far_.all_located.count() >= 0 && expected_machines_.empty();
-  if (!complete && now - began_ < kMaxFailoverTime) return std::nullopt;
-  running_ = false;
-  times_so_far_.reported_after = now - began_;
+  if (!complete && now - term_began_ < kMeasurementTimeout) return std::nullopt;
+  measuring_ = false;
+  times_so_far_.reported_after = now - term_began_;
   summarize_machines();
   log_times();
   return times_so_far_;
@@ -75,11 +75,10 @@
   log::info(
       "failover_finished",
       "term {term}: won {silence} s after the last heartbeat of the previous leader and {vacancy} s after "
-      "its "
-      "lease expired; since then records loaded {records} s (from {source}), first machine {first_machine} "
-      "s, "
-      "first start {first_start} s, nine in ten of {machines} machines {most} s, the last {last} s, all "
-      "assignments located {located} s; machines that have not reported: {missing}",
+      "its lease expired; times since then: records loaded {records} s (from {source}), first machine "
+      "reported {first_machine} s, first task started {first_start} s, 90% of {machines} machines reported "
+      "{most} s, last machine reported {last} s, all assignments located {located} s; machines that have not "
+      "reported: {missing}",
       log::with("term", times_so_far_.term),
       log::with("silence", seconds_text(times_so_far_.since_last_heartbeat)),
       log::with("vacancy", seconds_text(times_so_far_.since_lease_expiry)),
--- a/src/leader/hint_adopter.cpp
+++ b/src/leader/hint_adopter.cpp
@@ -8,14 +8,15 @@
 
 namespace {
 
-/// Bounds on what another leader's hint may do to a job's retries.
+/// Limits on how far another leader's hint may delay a job's retries.
 constexpr int kMaxInheritedRetries = 16;
 constexpr time::Micros kMaxInheritedRetryPause = time::from_seconds(60);
-/// A fetch that should be complete by its hint's age counts as having this share left until a report shows
-/// it.
+/// Share of the image that a fetch is assumed to have left when, by the hint's age, it should be complete.
+/// Applies until a report shows that the image is present.
 constexpr double kMinRemainingShare = 0.05;
 
-/// The machine's images in the hint's order, then its fetches, each advanced by the hint's age.
+/// Returns the machine's images in the hint's order, followed by its fetches, whose progress is extrapolated
+/// by the age of the hint.
 std::vector<MachineInventory::InheritedImage> inherited_images(const events::MachineHint& hint,
                                                                const protocol::MachineType* machine_type) {
   std::vector<MachineInventory::InheritedImage> images;
--- a/src/leader/hint_collector.cpp
+++ b/src/leader/hint_collector.cpp
@@ -10,12 +10,12 @@
 namespace {
 
 constexpr time::Micros kHintInterval = time::from_millis(500);
-/// Job classes and jobs change with every task that ends; they are sent less often.
+/// Hints of job classes and jobs are sent less often because they change with every task that ends.
 constexpr time::Micros kClassHintInterval = time::from_seconds(2);
-/// Machines sent at a time; the rest waits for the next turn.
-constexpr std::size_t kMaxHintsPerTurn = 300;
+/// Machine hints per collection; the others are left for the next collection.
+constexpr std::size_t kMaxMachineHintsPerBatch = 300;
 
-/// The names of the machine's images, those used longest ago first.
+/// Returns the names of the machine's images, least recently used first.
 std::vector<const std::string*> images_by_last_use(const Machine& machine) {
   std::vector<std::pair<std::uint64_t, const std::string*>> by_use;
   for (const auto& [image, last_use] : machine.images) by_use.emplace_back(last_use, &image);
@@ -30,12 +30,12 @@
 
 std::shared_ptr<const events::LeaderHints> HintCollector::collect() {
   const Instant now = runtime_.now();
-  if (!settings_.has_standby() || now < next_hints_) return nullptr;
-  next_hints_ = now + kHintInterval;
+  if (!settings_.has_standby() || now < next_collection_) return nullptr;
+  next_collection_ = now + kHintInterval;
   auto hints = std::make_shared<events::LeaderHints>();
   collect_machines(*hints);
-  if (now >= next_class_hints_) {
-    next_class_hints_ = now + kClassHintInterval;
+  if (now >= next_class_collection_) {
+    next_class_collection_ = now + kClassHintInterval;
     collect_job_classes(*hints);
     collect_failing_jobs(*hints, now);
   }
@@ -44,8 +44,8 @@
 }
 
 void HintCollector::collect_machines(events::LeaderHints& hints) {
-  for (Machine* machine : machines_.take_pending_hints(kMaxHintsPerTurn)) {
-    // One that is known from an assignment alone has no address to be reached at.
+  for (Machine* machine : machines_.take_pending_hints(kMaxMachineHintsPerBatch)) {
+    // A machine that is only known from an assignment has no address yet.
     if (machine->address.empty()) continue;
     machines_.advance_fetches(*machine);
     hints.machines.push_back(machine_hint(*machine));
@@ -98,10 +98,10 @@
                           std::max(time::Micros{0}, job.not_before - now),
                           job.retry_count});
   }
-  for (const std::string& job_id : sent_jobs_) {
+  for (const std::string& job_id : sent_failing_jobs_) {
     if (!failing.contains(job_id)) hints.jobs.push_back({job_id, {}, {}, 0});
   }
-  sent_jobs_ = std::move(failing);
+  sent_failing_jobs_ = std::move(failing);
 }
 
 }  // namespace wrenusher::leader
--- a/src/leader/include/wrenusher/leader/failover.hpp
+++ b/src/leader/include/wrenusher/leader/failover.hpp
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Restores the live jobs and their assignments at the start of a term: from the state service, or from this
-/// node's replica of its records once that has been verified.
+/// Restores the live jobs and their assignments at the start of a term, either from the state service or from
+/// this node's verified replica of the records.
 
 #include <compare>
 #include <cstdint>
@@ -24,35 +24,36 @@
 using kv_client::KvClient;
 using runtime::Runtime;
 
-/// Adds a job from its stored root record. False when the key or the record cannot be read; the key is logged
-/// then (`record_unreadable`), and the job is left out.
+/// Adds a job from its stored root record. Returns false if the key or the record cannot be read: the key is
+/// then logged (`record_unreadable`) and the job is skipped.
 [[nodiscard]] bool add_stored_job(JobTable& jobs, const KeyValue& row);
 
-/// Loads the records of the last term into the job table and the commit batcher, both of which its owner
-/// empties first. Owns only the state of a reading under way. Single-threaded: called from the runtime's loop
-/// only. The referenced objects must outlive it.
+/// Loads the records of the previous term into the job table and the commit batcher, which the owner clears
+/// first. Owns only the state of a read in progress. Single-threaded: called from the runtime's loop only.
+/// The referenced objects must outlive it.
 class Failover {
  public:
   Failover(Runtime& runtime, KvClient& store, JobTable& jobs, CommitBatcher& batcher)
       : runtime_(runtime), store_(store), jobs_(jobs), batcher_(batcher) {}
 
-  /// Reads all jobs and shards from the state service page by page and then calls `done` with the revision
-  /// from which changes are to be watched. Retries without limit until `stop` or the next call.
+  /// Reads all jobs and shards from the state service page by page, and then calls `done` with the revision
+  /// from which the caller must watch for changes. Retries failed pages without limit until `stop` or the
+  /// next call.
   void start_reading(std::function<void(std::uint64_t revision)> done);
-  /// Loads a verified replica of the records; abandons a reading under way.
+  /// Loads a verified replica of the records and cancels a read in progress.
   void load_replica(const records::RecordSnapshot& snapshot);
-  /// Abandons a reading under way: its `done` will not be called.
+  /// Cancels a read in progress: its `done` is not called.
   void stop() { ++generation_; }
 
  private:
-  /// Which block of which job.
+  /// Identifies a block of a job.
   struct BlockKey {
     std::string job_id;
     std::uint32_t block = 0;
     // NOLINTNEXTLINE(modernize-use-nullptr): false report on a defaulted comparison
     auto operator<=>(const BlockKey&) const = default;
   };
-  /// A copy of a block and the shard that it was found in.
+  /// A copy of a block and the shard that contained it.
   struct FoundBlock {
     std::uint64_t version = 0;
     std::uint32_t shard = 0;
@@ -60,12 +61,12 @@
   };
   /// The newest copy of every block of a live job.
   using NewestBlocks = std::map<BlockKey, FoundBlock>;
-  /// The state of one reading, shared by the callbacks of its pages.
+  /// The state of one read, shared by the callbacks of its pages.
   struct ReadState {
     std::uint64_t generation = 0;
-    std::uint64_t revision = 0;   ///< of the first page: what changes meanwhile is watched from there
+    std::uint64_t revision = 0;   ///< of the first page; later changes are picked up by the watch
     bool reading_shards = false;  ///< the jobs are read first, then the shards
-    std::string next_key;         ///< the last key of the page before; the next page begins after it
+    std::string next_key;         ///< the last key read so far; the next page begins after it
     NewestBlocks blocks;
     std::function<void(std::uint64_t)> done;
   };
@@ -80,7 +81,7 @@
   KvClient& store_;
   JobTable& jobs_;
   CommitBatcher& batcher_;
-  std::uint64_t generation_ = 0;  ///< rises with every reading; replies to an earlier one are dropped
+  std::uint64_t generation_ = 0;  ///< incremented by every read; replies to an earlier read are dropped
 };
 
 }  // namespace wrenusher::leader
--- a/src/leader/include/wrenusher/leader/failover_timer.hpp
+++ b/src/leader/include/wrenusher/leader/failover_timer.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Measures the parts of a failover.
+/// Measures the duration of each phase of a failover.
 
 #include <optional>
 #include <set>
@@ -16,38 +16,41 @@
 using time::Instant;
 using time::Micros;
 
-/// Measures how long each part of a failover took, and reports them once: when every assignment of the last
-/// term is located and every expected machine has reported, or after 25 s with what is missing. Owns its
-/// measurements. Single-threaded: called from the runtime's loop only.
+/// Measures how long each phase of a failover takes and reports all phases once: when every assignment of the
+/// previous term is accounted for and every expected machine has reported, or after 25 s with the phases and
+/// machines that are still missing. Owns its measurements. Single-threaded: called from the runtime's loop
+/// only.
 class FailoverTimer {
  public:
-  /// A term was won at `now`; forgets the measurements of an earlier one.
+  /// Starts measuring a term that was won at `now` and discards the measurements of an earlier term.
   void begin(const events::TermChanged& term, Instant now);
-  /// Abandons the measurement: nothing is reported.
-  void stop() { running_ = false; }
-  /// A machine that the last term had, and that is expected to report.
+  /// Cancels the measurement: nothing is reported.
+  void stop() { measuring_ = false; }
+  /// Adds a machine of the previous term, which is expected to report.
   void expect_machine(const std::string& host);
-  /// The records of the last term are loaded. `from_replica`: from this node's replica, not by reading them.
+  /// Notes the time at which the records of the previous term are loaded. `from_replica`: whether they came
+  /// from this node's replica rather than from the state service.
   void on_records_loaded(bool from_replica, Instant now);
-  /// A worker that has accepted the term's fencing token reported.
+  /// Notes a report from a worker that has accepted the term's fencing token.
   void on_machine_reported(const std::string& host, Instant now);
-  /// The machine has left: it is not expected any more.
+  /// Stops expecting a report from a machine that has departed.
   void on_machine_departed(const std::string& host) { expected_machines_.erase(host); }
-  /// A report showed a task run that was assigned in this term.
+  /// Notes that a report listed a running task that was assigned in this term.
   void on_first_start(Instant now);
-  /// The measurements, logged and returned once per failover; nothing while it goes on or when none is
-  /// measured. `unconfirmed_assignments`: those of the last term that no report has shown or ended yet.
+  /// Logs and returns the measurements, once per failover. Returns nothing while the failover is in progress
+  /// or no failover is being measured. `unconfirmed_assignments`: the number of assignments of the previous
+  /// term that no report has confirmed or ended yet.
   [[nodiscard]] std::optional<events::FailoverTimes> finish(std::size_t unconfirmed_assignments, Instant now);
 
  private:
   void summarize_machines();
   void log_times() const;
 
-  bool running_ = false;
-  Instant began_{};
+  bool measuring_ = false;
+  Instant term_began_{};
   events::FailoverTimes times_so_far_;
-  std::set<std::string> expected_machines_;  ///< that have not reported yet
-  std::vector<Micros> report_times_;  ///< since the term was won, of the expected machines that reported
+  std::set<std::string> expected_machines_;  ///< those that have not reported yet
+  std::vector<Micros> report_times_;  ///< of the expected machines, measured from when the term was won
 };
 
 }  // namespace wrenusher::leader
--- a/src/leader/include/wrenusher/leader/hint_adopter.hpp
+++ b/src/leader/include/wrenusher/leader/hint_adopter.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Applies the hints that the last leader had sent when this node's term began.
+/// Applies the hints that this node had received from the previous leader when its own term began.
 
 #include <cstdint>
 #include <map>
@@ -20,31 +20,32 @@
 using machine_inventory::MachineInventory;
 using runtime::Runtime;
 
-/// Holds the last leader's hints until each can be applied: a machine's when it first reports in this term,
-/// a job's when the records are loaded. Owns the hints that are not applied yet. Single-threaded: called from
-/// the runtime's loop only. The referenced objects must outlive it.
+/// Keeps the previous leader's hints until each can be applied: a machine's hint when the machine first
+/// reports in this term, a job's hint when the records are loaded. Owns the hints that are not applied yet.
+/// Single-threaded: called from the runtime's loop only. The referenced objects must outlive it.
 class HintAdopter {
  public:
   HintAdopter(Runtime& runtime, estimates::Estimator& estimator, MachineInventory& machines)
       : runtime_(runtime), estimator_(estimator), machines_(machines) {}
 
-  /// A new term, or the records are read anew: forgets the hints not applied yet.
+  /// Drops the hints that are not applied yet; called when a term begins or the records are read again.
   void begin();
-  /// Applies the estimates at once and holds the rest.
+  /// Applies the run time estimates immediately and keeps the other hints.
   void adopt(const events::InheritedHints& hints);
-  /// Applies the hint of a machine that reports for the first time in this term: what the last leader knew of
-  /// it holds until a report says otherwise. False when there is none, or when the machine is another by now;
-  /// the hint is dropped either way.
+  /// Applies the hint of a machine that reports for the first time in this term; the hinted state is valid
+  /// until a report contradicts it. Returns false if there is no hint, or if the host now has another address
+  /// or machine type. The hint is dropped in either case.
   bool adopt_machine(const protocol::WorkerReport& report);
-  /// Drops the hint of a machine that has left.
+  /// Drops the hint of a machine that has departed.
   void remove_machine(const std::string& host);
-  /// Jobs that failed before keep their failures: they are not retried at once on the machines they failed
-  /// on.
+  /// Restores the retry count, back-off and failed machines of jobs, so that a job is not retried immediately
+  /// on the machines on which its tasks failed.
   void adopt_failures(JobTable& jobs);
 
-  /// Machines that have not reported in this term yet, by host.
+  /// Returns the hints of machines that have not reported in this term yet, by host.
   const std::map<std::string, events::MachineHint>& machines() const { return machine_hints_; }
-  /// How many of those that have room hold each image. The reference holds for the adopter's life.
+  /// Returns, for each image, how many of these machines have it cached and have free capacity. The reference
+  /// is valid for the lifetime of the adopter.
   const std::map<std::string, std::uint32_t>& expected_images() const { return expected_images_; }
 
  private:
--- a/src/leader/include/wrenusher/leader/hint_collector.hpp
+++ b/src/leader/include/wrenusher/leader/hint_collector.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Collects what the standbys are sent as hints.
+/// Collects the hints that the leader sends to the standbys.
 
 #include <cstdint>
 #include <map>
@@ -24,18 +24,21 @@
 using settings::Settings;
 using time::Instant;
 
-/// Collects the hints that have changed since they were last sent to the standbys: of machines (every 500 ms,
-/// a bounded number at a time), job classes and failing jobs (every 2 s). Owns what was sent last.
-/// Single-threaded: called from the runtime's loop only. The referenced objects must outlive it.
+/// Collects the hints that have changed since they were last sent to the standbys: hints of machines every
+/// 500 ms, in batches of bounded size, and hints of job classes and failing jobs every 2 s.
+///
+/// Owns the record of what was last sent. Single-threaded: called from the runtime's loop only. The
+/// referenced objects must outlive it.
 class HintCollector {
  public:
   HintCollector(Runtime& runtime, const Settings& settings, const estimates::Estimator& estimator,
                 MachineInventory& machines, const JobTable& jobs)
       : runtime_(runtime), settings_(settings), estimator_(estimator), machines_(machines), jobs_(jobs) {}
 
-  /// A new term, or the records are read anew: every job class is sent again.
+  /// Makes every job class be sent again; called when a term begins or the records are read again.
   void begin() { sent_class_versions_.clear(); }
-  /// What has changed, or null: nothing has, it is not due yet, or there is no standby.
+  /// Returns the hints that have changed, or null if nothing has changed, no collection is due or no standby
+  /// is configured.
   [[nodiscard]] std::shared_ptr<const events::LeaderHints> collect();
 
  private:
@@ -49,11 +52,11 @@
   const estimates::Estimator& estimator_;
   MachineInventory& machines_;
   const JobTable& jobs_;
-  Instant next_hints_{};
-  Instant next_class_hints_{};
+  Instant next_collection_{};
+  Instant next_class_collection_{};
   std::map<std::string, std::uint64_t> sent_class_versions_;  ///< by job class
-  std::set<std::string>
-      sent_jobs_;  ///< those sent as failing; sent once more, empty, when they no longer are
+  /// Jobs that were sent as failing. When one no longer fails, it is sent once more with an empty hint.
+  std::set<std::string> sent_failing_jobs_;
 };
 
 }  // namespace wrenusher::leader
--- a/src/leader/include/wrenusher/leader/leader_actor.hpp
+++ b/src/leader/include/wrenusher/leader/leader_actor.hpp
@@ -1,10 +1,11 @@
 #pragma once
 /// @file
-/// Package leader: the leader's actor. It owns the term and the order in which things happen within it
-/// (failover, changes of the records, reports, scheduling cycles, commits, replies), and one instance of each
-/// part: job table, machine inventory, commit batcher, pending replies, reconciler, scheduling cycle. Each
-/// part keeps its own state; the actor passes events in and results out. It may depend on every part, on
-/// kv_client, events and what they depend on.
+/// Package leader: the leader's actor. It owns the term and the order of the steps within it (failover,
+/// record changes, reports, scheduling cycles, commits, replies), and one instance of each component: job
+/// table, machine inventory, commit batcher, pending replies, reconciler and scheduling cycle. Each component
+/// keeps its own state; the actor passes events to it and forwards its results.
+///
+/// The package may depend on every component, on kv_client, on events and on their dependencies.
 
 #include <cstdint>
 #include <map>
@@ -37,41 +38,45 @@
 
 using runtime::EventSink;
 
-/// Runs the cluster while this node leads: takes over the records of the last term, keeps them in line with
-/// the state service, reconciles the workers' reports, plans and commits. While the node does not lead it
-/// only answers reports without commands. Owns its parts; the runtime, settings and client must outlive it.
-/// Single-threaded: called from the runtime's loop only. Its members are defined in leader_actor.cpp (term
-/// and cycle), leader_records.cpp (records) and leader_machines.cpp (workers and machines).
+/// Runs the cluster while this node leads: takes over the records of the previous term, keeps them
+/// synchronized with the state service, reconciles the workers' reports, plans and commits. While this node
+/// does not lead, it only answers reports with empty replies.
+///
+/// Owns its components; the runtime, settings and client must outlive it. Single-threaded: called from the
+/// runtime's loop only. Its members are defined in leader_actor.cpp (term and cycle), leader_records.cpp
+/// (records) and leader_machines.cpp (workers and machines).
 class LeaderActor {
  public:
   LeaderActor(Runtime& runtime, const Settings& settings, KvClient& store);
-  /// Begins the scheduling cycles; called once, after the sinks are connected.
+  /// Starts the scheduling cycles; called once, after the sinks are connected.
   void start();
 
-  /// This node's term began, ended, or is confirmed; a term that is already known changes nothing.
+  /// Handles the start or the end of this node's term; an event for the current term changes nothing.
   void on_term(const events::TermChanged& term);
   void on_lease_validity(const events::LeaseValidity& event) { lease_valid_until_ = event.until; }
-  /// A worker's report; its reply is called exactly once, at the latest 800 ms from now.
+  /// Handles a worker's report; calls its reply exactly once, within 800 ms.
   void on_report(const events::WorkerReported& event);
   void on_worker_silent(const events::WorkerSilent& event);
   void on_machine_departed(const events::MachineDeparted& event);
   void on_machine_cordoned(const events::MachineCordoned& event);
   void on_catalog(const events::CatalogUpdated& event);
   void on_topology(const events::TopologyActivated& event);
-  /// The full set of suspected machines: the others are not suspected any more.
+  /// Replaces the set of suspected machines; clears the suspicion of all other machines.
   void on_machines_suspected(const events::MachinesSuspected& event);
   void on_job_cancelled(const events::JobCancelled& event);
-  /// What the last leader had sent as hints; comes after the term and before its records.
+  /// Handles the hints received from the previous leader; called after `on_term` and before the records are
+  /// loaded.
   void on_hints_inherited(const std::shared_ptr<const events::InheritedHints>& inherited);
-  /// This node's replica of the records was verified, or the records must be read.
+  /// Loads this node's replica of the records, or reads them from the state service if the event contains no
+  /// verified snapshot.
   void on_replica_verified(const events::ReplicaVerified& event);
   void on_capacity(const events::CapacityChanged& event) { scheduler_.on_capacity(event); }
 
-  /// Recomputes what each part keeps up step by step, and returns the first difference found, as a sentence;
-  /// empty when there is none.
+  /// Recomputes the state that each component maintains incrementally, and returns a sentence that describes
+  /// the first difference, or an empty string if there is none.
   [[nodiscard]] std::string disagreement() const;
 
-  // Where the actor sends its events; connected by the owner before `start`.
+  // The sinks of the actor's events; connected by the owner before `start`.
   EventSink<std::shared_ptr<const events::Workload>> workload;
   EventSink<std::shared_ptr<const events::Progress>> progress;
   EventSink<events::DirectCommands> direct_commands;
@@ -83,24 +88,24 @@
   EventSink<events::RecordsChanged> records_changed;
 
  private:
-  /// Leads, and has loaded the records.
+  /// Returns whether this node leads and has loaded the records.
   bool serving() const { return term_.leading && records_loaded_; }
   bool leading_term(std::uint64_t fencing_token) const {
     return term_.leading && term_.fencing_token == fencing_token;
   }
   bool serving_term(std::uint64_t fencing_token) const { return serving() && leading_term(fencing_token); }
   bool lease_valid() const { return runtime_.now() < lease_valid_until_; }
-  void begin();
+  void reset();
 
   // Records.
   void read_records();
   void on_records_loaded(std::uint64_t revision, bool from_replica);
   void log_records_loaded(std::size_t assignments, bool from_replica) const;
   void report_inherited_cancellations();
-  /// Lists the jobs once more at a slow pace: one that the replica missed and that has no assignments would
-  /// never be run.
-  void find_missed_jobs(const std::string& from, std::uint64_t fencing_token);
-  void watch_records(std::uint64_t from, std::uint64_t fencing_token);
+  /// Lists the jobs once more at a low rate, since a job that is missing from the replica and has no
+  /// assignments would never be run.
+  void find_missed_jobs(const std::string& after_key, std::uint64_t fencing_token);
+  void watch_records(std::uint64_t from_revision, std::uint64_t fencing_token);
   void on_watch_reply(const kv_client::WatchReply& reply, Instant requested_at);
   void apply_watch(const kv_client::WatchReply& reply);
   void add_job(const KeyValue& row);
@@ -110,14 +115,14 @@
 
   // Workers and machines.
   reconciler::Reconciler::Result reconcile(const events::WorkerReported& event);
-  void reply_or_wait(const events::WorkerReported& event, bool tasks_left);
+  void reply_or_defer(const events::WorkerReported& event, bool tasks_left);
 
   // The scheduling cycle.
   void tick();
-  void wake();
+  void request_cycle();
   void run_cycle();
   void reply_pending();
-  void send_direct(const std::vector<events::DirectCommands>& commands) const;
+  void send_direct_commands(const std::vector<events::DirectCommands>& commands) const;
 
   Runtime& runtime_;
   const Settings& settings_;
@@ -138,9 +143,10 @@
   Instant lease_valid_until_{};
   Instant term_began_{};
   bool records_loaded_ = false;
-  bool wake_scheduled_ = false;
+  bool cycle_requested_ = false;
   Instant last_cycle_{};
-  std::map<std::string, events::WorkerReported> early_reports_;  ///< each machine's newest before the records
+  /// The newest report of each machine that reported before the records were loaded.
+  std::map<std::string, events::WorkerReported> early_reports_;
 };
 
 }  // namespace wrenusher::leader
--- a/src/leader/leader_actor.cpp
+++ b/src/leader/leader_actor.cpp
@@ -20,9 +20,9 @@
       hint_adopter_(runtime, estimator_, machines_) {
   batcher_.on_committed = [this] {
     reply_pending();
-    wake();
+    request_cycle();
   };
-  batcher_.on_shard_refreshed = [this] { wake(); };
+  batcher_.on_shard_refreshed = [this] { request_cycle(); };
   batcher_.on_job_refresh_needed = [this](const std::string& job_id) { refresh_job(job_id); };
   batcher_.on_leadership_lost = [this] { leadership_lost(events::LeadershipLost{0}); };
 }
@@ -43,16 +43,18 @@
   const bool unchanged = term.leading && leading_term(term.fencing_token);
   term_ = term;
   if (unchanged) return;
-  begin();
+  reset();
   failover_timer_.stop();
   if (!term_.leading) return;
   failover_timer_.begin(term, runtime_.now());
-  // With standbys the verified replica comes by itself, or the event that there is none.
+  // With standbys configured, `on_replica_verified` is called with the replica, or without one if it was
+  // rejected.
   if (!settings_.has_standby()) read_records();
 }
 
-/// A new term, or the records are to be read again within one: forgets all that was known of them.
-void LeaderActor::begin() {
+/// Clears all state that was loaded from the records; called when a term begins or ends, and when the records
+/// must be read again within a term.
+void LeaderActor::reset() {
   records_loaded_ = false;
   pending_replies_.reply_all_empty();
   jobs_.reset(term_.fencing_token);
@@ -70,14 +72,14 @@
   runtime_.after(settings_.tunables.scheduling_interval, [this] { tick(); });
 }
 
-/// Runs a cycle soon, for changes that should not wait for the next tick: at the earliest half an interval
-/// after the last cycle.
-void LeaderActor::wake() {
-  if (wake_scheduled_) return;
-  wake_scheduled_ = true;
-  const Micros gap = settings_.tunables.scheduling_interval / 2;
-  runtime_.after(std::max(Micros{0}, last_cycle_ + gap - runtime_.now()), [this] {
-    wake_scheduled_ = false;
+/// Schedules a cycle before the next tick, for changes that should be processed early. The cycle runs no
+/// earlier than half an interval after the last one.
+void LeaderActor::request_cycle() {
+  if (cycle_requested_) return;
+  cycle_requested_ = true;
+  const Micros min_gap = settings_.tunables.scheduling_interval / 2;
+  runtime_.after(std::max(Micros{0}, last_cycle_ + min_gap - runtime_.now()), [this] {
+    cycle_requested_ = false;
     run_cycle();
   });
 }
@@ -87,7 +89,7 @@
   if (!serving()) return;
   if (lease_valid() && scheduler_.due()) {
     const scheduling_cycle::SchedulingCycle::Result planned = scheduler_.plan();
-    send_direct(planned.stops);
+    send_direct_commands(planned.stops);
     if (planned.workload) workload(planned.workload);
   }
   batcher_.flush();
@@ -110,7 +112,7 @@
   });
 }
 
-void LeaderActor::send_direct(const std::vector<events::DirectCommands>& commands) const {
+void LeaderActor::send_direct_commands(const std::vector<events::DirectCommands>& commands) const {
   for (const events::DirectCommands& event : commands) direct_commands(event);
 }
 
--- a/src/leader/leader_machines.cpp
+++ b/src/leader/leader_machines.cpp
@@ -1,4 +1,5 @@
-// What workers and machines do to the leader: reports, silence, cordons, departures, types and topology.
+// The leader's handlers for events of workers and machines: reports, silence, cordons, departures, machine
+// types and topology.
 
 #include <algorithm>
 
@@ -9,11 +10,12 @@
 
 namespace {
 
-/// The reply to a report waits this long for the commit of what the report brought: the room that a task
-/// leaves is then used at once, not at the worker's next report.
+/// Longest time for which the reply to a report waits for the commit of the resulting changes. The wait lets
+/// the reply assign new tasks to capacity that the report freed, instead of the reply to the next report.
 constexpr Micros kMaxReplyDelay = time::from_millis(800);
-/// At the start of a term no machine without the image is taken while one that holds it may still report: all
-/// that are up report within about this time, and a fetch takes longer.
+/// At the start of a term, a task is not assigned to a machine without its image while a machine that has the
+/// image cached may still report. All running machines report within about this time, and fetching an image
+/// takes longer.
 constexpr Micros kMachineReportWindow = time::from_millis(1200);
 
 }  // namespace
@@ -21,38 +23,40 @@
 void LeaderActor::on_report(const events::WorkerReported& event) {
   if (!serving()) {
     event.reply({});
-    // A report that came before the records is not lost; its reply has been given, so it settles no start.
+    // A report that arrives before the records are loaded is processed after loading. It has already been
+    // answered, so it is kept as not settled and does not confirm the outcome of any start.
     if (term_.leading)
       early_reports_[event.report->host] = {event.report, event.token_accepted, false, [](const auto&) {}};
     return;
   }
-  // The worker has given up waiting for the last reply; commands in it would come too late to be settled by
-  // this report.
+  // The worker has timed out waiting for the previous reply. Commands in that reply would arrive too late to
+  // be settled by this report.
   pending_replies_.reply_empty(event.report->host);
   const reconciler::Reconciler::Result result = reconcile(event);
   if (result.usable_changed) scheduler_.request_plan();
-  send_direct(result.stops);
+  send_direct_commands(result.stops);
   for (const events::MachineCordoned& cordoned : result.machines_to_cordon) machine_suspect(cordoned);
-  reply_or_wait(event, result.tasks_released);
+  reply_or_defer(event, result.tasks_released);
 }
 
-/// Applies the report to the job table and the inventory, and notes what it shows of a failover.
+/// Applies the report to the job table and the inventory, and updates the failover measurements.
 reconciler::Reconciler::Result LeaderActor::reconcile(const events::WorkerReported& event) {
   const protocol::WorkerReport& report = *event.report;
   const bool adopted = hint_adopter_.adopt_machine(report);
   const std::uint64_t shown_before = reconciler_.confirmed_start_count();
   reconciler::Reconciler::Result result =
       reconciler_.apply(report, event.token_accepted, event.worker_initiated);
-  // A fetch that the report did not show to be under way is not.
+  // An inherited fetch that the report does not list is not in progress.
   if (adopted) machines_.get_or_add(report.host).inherited_fetches.clear();
   if (event.token_accepted) failover_timer_.on_machine_reported(report.host, runtime_.now());
   if (reconciler_.confirmed_start_count() != shown_before) failover_timer_.on_first_start(runtime_.now());
   return result;
 }
 
-/// Only replies to reports carry commands, and the room that a task left is used at once: its worker's reply
-/// waits for the next scheduling cycle and its commit.
-void LeaderActor::reply_or_wait(const events::WorkerReported& event, bool tasks_left) {
+/// Replies to the report, or defers the reply until the next scheduling cycle is committed. New tasks can
+/// only be sent in replies to reports, so deferring the reply lets the worker use freed capacity without
+/// waiting for its next report.
+void LeaderActor::reply_or_defer(const events::WorkerReported& event, bool tasks_left) {
   const protocol::WorkerReport& report = *event.report;
   const Machine& machine = machines_.get_or_add(report.host);
   if (event.worker_initiated && machine.token_accepted && lease_valid() &&
@@ -60,7 +64,7 @@
     pending_replies_.add(report.host, {event.report, event.reply,
                                        runtime_.now() + std::min(kMaxReplyDelay, settings_.worker_lease / 8),
                                        scheduler_.plan_count()});
-    if (tasks_left) wake();
+    if (tasks_left) request_cycle();
     return;
   }
   event.reply(reconciler_.commands_for(machine, report));
@@ -87,7 +91,7 @@
   if (!serving()) return;
   const Machine* machine = machines_.find(event.host);
   if (machine == nullptr) return;
-  // A copy: each release changes the machine's assignments.
+  // A copy is needed because each release changes the machine's assignments.
   const job_table::MachineAssignments released = jobs_.assignments_on(*machine);
   if (!released.empty())
     log::info("machine_lost", "machine {machine} has departed with {tasks} tasks",
--- a/src/leader/leader_records.cpp
+++ b/src/leader/leader_records.cpp
@@ -1,4 +1,5 @@
-// The leader's view of the records: loads them when a term begins, watches them and refreshes single jobs.
+// The leader's copy of the records: loads them when a term begins, watches them for changes and refreshes
+// single jobs.
 
 #include <algorithm>
 #include <utility>
@@ -13,16 +14,16 @@
 
 namespace {
 
-/// How long a watch stays open at the state service: what this node knows of the records is never older than
-/// the watch that was answered last.
-constexpr Micros kWatchWait = time::from_seconds(2);
-/// Between two watches, so that a burst of our own writes does not come back one by one.
+/// How long a watch stays open at the state service. This node's copy of the records is at most as old as the
+/// last answered watch.
+constexpr Micros kWatchTimeout = time::from_seconds(2);
+/// Pause between two watches, which batches the change notifications of this node's own writes.
 constexpr Micros kWatchPause = time::from_millis(100);
-constexpr Micros kRetryRead = time::from_millis(250);
+constexpr Micros kReadRetryDelay = time::from_millis(250);
 constexpr int kMissedJobsPageSize = 100;
 constexpr Micros kMissedJobsPagePause = time::from_millis(500);
 
-/// Whether the stored root record of a job says that a user cancelled it.
+/// Returns whether the stored root record of a job is marked as cancelled by a user.
 bool is_cancelled(const KeyValue& row) {
   return records::cancelled_job(row.key, row.value).has_value();
 }
@@ -44,21 +45,21 @@
   find_missed_jobs({}, term_.fencing_token);
 }
 
-void LeaderActor::find_missed_jobs(const std::string& from, std::uint64_t fencing_token) {
-  store_.list(records::kJobPrefix, from, kMissedJobsPageSize, KvClient::RequestClass::background,
-              [this, from, fencing_token](const ReadReply& page) {
+void LeaderActor::find_missed_jobs(const std::string& after_key, std::uint64_t fencing_token) {
+  store_.list(records::kJobPrefix, after_key, kMissedJobsPageSize, KvClient::RequestClass::background,
+              [this, after_key, fencing_token](const ReadReply& page) {
                 if (!serving_term(fencing_token)) return;
-                std::string last = from;
+                std::string last_key = after_key;
                 for (const KeyValue& row : page.rows) {
-                  last = row.key;
+                  last_key = row.key;
                   const auto job_id = records::parse_job_key(row.key);
-                  // One that has finished since the page was read is added for a moment: its assignments and
-                  // its final state fail on its root record.
+                  // A job that has finished since the page was read is added temporarily: committing its
+                  // assignments or its final state fails because its root record has been deleted.
                   if (job_id && jobs_.find(*job_id) == nullptr) add_job(row);
                 }
                 if (page.result == ReadReply::Result::ok && !page.truncated) return;
-                runtime_.after(kMissedJobsPagePause, [this, last, fencing_token] {
-                  if (serving_term(fencing_token)) find_missed_jobs(last, fencing_token);
+                runtime_.after(kMissedJobsPagePause, [this, last_key, fencing_token] {
+                  if (serving_term(fencing_token)) find_missed_jobs(last_key, fencing_token);
                 });
               });
 }
@@ -88,48 +89,49 @@
 }
 
 void LeaderActor::report_inherited_cancellations() {
-  events::CancellationsRead read{term_began_, {}};
+  events::CancellationsRead cancellations{term_began_, {}};
   for (const auto& [job_id, job] : jobs_.jobs()) {
-    if (job.record.cancelled) read.job_ids.push_back(job_id);
+    if (job.record.cancelled) cancellations.job_ids.push_back(job_id);
   }
-  cancellations_read(read);
+  cancellations_read(cancellations);
 }
 
-void LeaderActor::watch_records(std::uint64_t from, std::uint64_t fencing_token) {
+void LeaderActor::watch_records(std::uint64_t from_revision, std::uint64_t fencing_token) {
   store_.watch(
-      records::kJobPrefix, from, kWatchWait, KvClient::RequestClass::lease,
-      [this, from, fencing_token, requested_at = runtime_.now()](const WatchReply& reply) {
+      records::kJobPrefix, from_revision, kWatchTimeout, KvClient::RequestClass::lease,
+      [this, from_revision, fencing_token, requested_at = runtime_.now()](const WatchReply& reply) {
         if (!serving_term(fencing_token)) return;
         if (reply.result == WatchReply::Result::too_old || reply.result == WatchReply::Result::too_large) {
-          log::warn("watch_changes_missed", "the watch missed changes: reading all live jobs again");
-          begin();
+          log::warn("watch_changes_missed", "the watch missed changes; reading all live jobs again");
+          reset();
           read_records();
           return;
         }
-        std::uint64_t next = from;
+        std::uint64_t next_revision = from_revision;
         if (reply.result == WatchReply::Result::ok) {
-          next = std::max(from, reply.revision);
+          next_revision = std::max(from_revision, reply.revision);
           on_watch_reply(reply, requested_at);
         }
-        runtime_.after(kWatchPause, [this, next, fencing_token] {
-          if (leading_term(fencing_token)) watch_records(next, fencing_token);
+        runtime_.after(kWatchPause, [this, next_revision, fencing_token] {
+          if (leading_term(fencing_token)) watch_records(next_revision, fencing_token);
         });
       });
 }
 
 void LeaderActor::on_watch_reply(const WatchReply& reply, Instant requested_at) {
   apply_watch(reply);
-  events::CancellationsRead read{requested_at, {}};
+  events::CancellationsRead cancellations{requested_at, {}};
   for (const KeyValue& row : reply.puts) {
-    if (auto job_id = records::cancelled_job(row.key, row.value)) read.job_ids.push_back(std::move(*job_id));
+    if (auto job_id = records::cancelled_job(row.key, row.value))
+      cancellations.job_ids.push_back(std::move(*job_id));
   }
-  cancellations_read(read);
+  cancellations_read(cancellations);
 }
 
-/// Adds a job that is not known here yet.
+/// Adds a job that is not in the job table yet.
 void LeaderActor::add_job(const KeyValue& row) {
   if (add_stored_job(jobs_, row))
-    log::debug("job_added", "job {job} is new", log::with("job", *records::parse_job_key(row.key)));
+    log::debug("job_added", "job {job} was added", log::with("job", *records::parse_job_key(row.key)));
 }
 
 void LeaderActor::apply_watch(const WatchReply& reply) {
@@ -139,7 +141,7 @@
     if (job == nullptr) {
       add_job(row);
     } else if (row.mod_revision > job->mod_revision) {
-      // Only users' cancellations change this record while its job is live.
+      // While a job is live, its root record only changes when a user cancels the job.
       job->mod_revision = row.mod_revision;
       if (is_cancelled(row)) cancel_job(*job);
     }
@@ -148,21 +150,21 @@
   for (const KeyValue& row : reply.puts) changed.put(row.key, row.value);
   for (const auto& [key, mod_revision] : reply.deletes) changed.erase(key);
   records_changed(changed);
-  wake();
+  request_cycle();
 }
 
-/// Reads a job's root record again after a conflict or an unknown outcome: it shows a cancellation, or that
-/// our final write had been executed after all.
+/// Reads a job's root record again after a commit with a conflict or an unknown outcome. The record may show
+/// a cancellation, or may be absent because this node's write of the final state was executed.
 void LeaderActor::refresh_job(const std::string& job_id) {
-  Job* uncertain = jobs_.find(job_id);
-  if (uncertain == nullptr) return;
-  uncertain->needs_refresh = true;
+  Job* job = jobs_.find(job_id);
+  if (job == nullptr) return;
+  job->needs_refresh = true;
   store_.get(records::job_key(job_id), KvClient::RequestClass::scheduling,
              [this, job_id, fencing_token = term_.fencing_token](const ReadReply& reply) {
                if (!serving_term(fencing_token)) return;
                if (jobs_.find(job_id) == nullptr) return;
                if (reply.result != ReadReply::Result::ok) {
-                 runtime_.after(kRetryRead, [this, job_id, fencing_token] {
+                 runtime_.after(kReadRetryDelay, [this, job_id, fencing_token] {
                    if (leading_term(fencing_token)) refresh_job(job_id);
                  });
                  return;
@@ -181,7 +183,7 @@
   job.mod_revision = row.mod_revision;
   job.needs_refresh = false;
   if (is_cancelled(row)) cancel_job(job);
-  wake();
+  request_cycle();
 }
 
 void LeaderActor::on_job_cancelled(const events::JobCancelled& event) {
--- a/src/membership/election.cpp
+++ b/src/membership/election.cpp
@@ -22,16 +22,17 @@
 
 constexpr Micros kCheckInterval = from_millis(600);
 constexpr Micros kMaxCheckJitter = from_millis(100);
-/// How long one watch waits for the end of a lease.
+/// How long one watch waits for a change of the `leader` record.
 constexpr Micros kWatchTimeout = from_seconds(10);
-/// A candidate lets each that takes precedence have so long to win: a campaign takes three calls.
-constexpr Micros kCandidateTurn = from_millis(350);
-/// A node that has just started waits so long for its peers' first heartbeat before it takes up the lease of
+/// Time that a candidate grants to each candidate with precedence to win: a campaign takes three calls.
+constexpr Micros kCandidateDelay = from_millis(350);
+/// How long a node that has just started waits for the first heartbeat of a peer before it uses the lease of
 /// its earlier incarnation.
 constexpr Micros kFirstHeartbeatWait = from_millis(200);
-/// Pause of a node whose topology is not the one in force, for a peer that has that.
-constexpr Micros kDeferPause = from_seconds(2);
-/// Pauses after a term has ended here, after a lease was left to a peer, and after a campaign has failed.
+/// Pause of a node that leaves the term to a peer with the active topology.
+constexpr Micros kDeferralPause = from_seconds(2);
+/// Delays until the next check after a term ended here, after a lease was revoked in favor of a peer, and
+/// after a campaign failed.
 constexpr Micros kCheckAfterTerm = from_millis(200);
 constexpr Micros kCheckAfterRevoke = from_millis(200);
 constexpr Micros kCheckAfterFailure = from_millis(100);
@@ -54,7 +55,7 @@
 void Election::check_leader() {
   next_check_ = runtime_.now() + kCheckInterval + runtime_.jitter(kMaxCheckJitter);
   busy_ = true;
-  // A list, not a get, since its reply tells the revision from which changes can be watched.
+  // A list, not a get, since its reply contains the revision from which changes can be watched.
   store_.list(kLeaderKey, {}, 2, KvClient::RequestClass::lease, [this](const ReadReply& reply) {
     busy_ = false;
     if (!term_.leading && reply.result == ReadReply::Result::ok) on_leader_read(reply);
@@ -69,7 +70,7 @@
     on_vacancy();
     return;
   }
-  vacant_since_ = {};
+  vacancy_noticed_at_ = {};
   const Value& value = row->value;
   const std::string node = value["node"].text() != nullptr ? *value["node"].text() : "";
   if (node == settings_.node) {
@@ -79,13 +80,14 @@
   }
 }
 
-/// An earlier incarnation of this node still has the lease. It cannot act any more, so there is nothing to
-/// wait for; but after a hand-over the revocation is on its way.
+/// Handles a `leader` record with the name of this node. The record of an earlier incarnation can be replaced
+/// at once, since that incarnation no longer runs. After a hand-over, the record belongs to this incarnation
+/// and its lease is being revoked, so nothing is done while this node abstains.
 void Election::on_own_lease_found(std::uint64_t leader_revision) {
   if (runtime_.now() < abstain_until_) return;
   if (peers_.last_heartbeat() == Instant{} && !settings_.peers.empty() &&
       runtime_.now() - started_at_ < kFirstHeartbeatWait) {
-    // The peers have not had the time to tell their readiness.
+    // No peer has had time to report its readiness yet.
     next_check_ = runtime_.now() + kFirstHeartbeatWait / 2;
   } else if (readiness_ != Readiness::warm && peers_.has_warm_candidate()) {
     revoke_own_lease(leader_revision);
@@ -94,8 +96,8 @@
   }
 }
 
-/// Ends the lease of this node's earlier incarnation: a peer with a warm replica takes over sooner than this
-/// node, which has just started.
+/// Revokes the lease of this node's earlier incarnation: a peer with a warm replica takes over sooner than
+/// this node, which has just started.
 void Election::revoke_own_lease(std::uint64_t leader_revision) {
   busy_ = true;
   store_.get(kLeaderKey, KvClient::RequestClass::lease, [this, leader_revision](const ReadReply& reply) {
@@ -105,13 +107,13 @@
         reply.rows[0].lease_id == 0)
       return;
     log::info("own_lease_revoked",
-              "the lease of an earlier incarnation of this node is revoked in favor of a warm peer");
+              "revoking the lease of an earlier incarnation of this node in favor of a warm peer");
     store_.revoke_lease(reply.rows[0].lease_id);
   });
 }
 
-/// Waits for changes of the `leader` record, so that the end of a lease is seen as it happens. The periodic
-/// checks go on besides: a watch says nothing while the state service is away.
+/// Watches the `leader` record, so that the end of a lease is noticed at once. The periodic checks continue,
+/// since a watch reports nothing while the state service is unavailable.
 void Election::watch_leader(std::uint64_t from_revision) {
   watching_ = true;
   store_.watch(kLeaderKey, from_revision, kWatchTimeout, KvClient::RequestClass::lease,
@@ -139,30 +141,32 @@
   if (deleted) {
     on_vacancy();
   } else if (last_put != nullptr) {
-    vacant_since_ = {};
+    vacancy_noticed_at_ = {};
     const std::string* node = last_put->value["node"].text();
     if (node != nullptr && *node != settings_.node)
       leader_seen(last_put->value["epoch"].count().value_or(0), *node);
   }
 }
 
-/// Nobody leads. The first in rank campaigns at once, the others when it has had time to win.
+/// Handles a vacancy: the first candidate campaigns at once, each other one after those with precedence have
+/// had time to win.
 void Election::on_vacancy() {
   const Instant now = runtime_.now();
-  if (vacant_since_ == Instant{}) vacant_since_ = now;
+  if (vacancy_noticed_at_ == Instant{}) vacancy_noticed_at_ = now;
   if (busy_ || now < abstain_until_) return;
-  const Instant turn = vacant_since_ + kCandidateTurn * peers_.candidates_ahead(settings_.node, readiness_);
-  if (now >= turn) {
+  const Instant turn_start =
+      vacancy_noticed_at_ + kCandidateDelay * peers_.candidates_ahead(settings_.node, readiness_);
+  if (now >= turn_start) {
     campaign(0);
   } else {
-    next_check_ = std::min(next_check_, turn);
+    next_check_ = std::min(next_check_, turn_start);
   }
 }
 
-/// First step of a campaign: a lease, which the `leader` record will be attached to.
+/// First step of a campaign: obtains the lease that the `leader` record will be attached to.
 void Election::campaign(std::uint64_t leader_revision) {
   busy_ = true;
-  vacancy_noticed_ = vacant_since_;
+  campaign_vacancy_noticed_at_ = vacancy_noticed_at_;
   Campaign campaign{leader_revision, runtime_.now(), 0};
   store_.grant_lease(settings_.tunables.leader_lease, [this, campaign](const LeaseReply& lease) mutable {
     if (lease.result != LeaseReply::Result::ok) {
@@ -174,7 +178,7 @@
   });
 }
 
-/// Second step: the last fencing token, and the topology in force.
+/// Second step: reads the last fencing token and the active topology version.
 void Election::read_token(const Campaign& campaign) {
   store_.get(kTokenKey, KvClient::RequestClass::lease, [this, campaign](const ReadReply& reply) {
     if (reply.result != ReadReply::Result::ok) {
@@ -185,17 +189,18 @@
   });
 }
 
-/// Third step: the compare-and-swap that begins the term, unless a peer should rather lead.
+/// Third step: begins the term by a compare-and-swap, unless this node defers to a peer with the active
+/// topology.
 void Election::claim_term(const Campaign& campaign, const ReadReply& token_record) {
   const KeyValue token_row = token_record.rows.empty() ? KeyValue{} : token_record.rows[0];
   const std::uint64_t last_token = token_row.value["epoch"].count().value_or(0);
   const std::uint64_t fencing_token = std::max(last_token, term_.fencing_token) + 1;
   TopologyVersion active = read_topology_version(token_row.value["topology"]);
-  topology_.note_active(active);
+  topology_.set_active(active);
   if (topology_.differs() && peers_.has_topology(active) && topology_.should_defer()) {
-    topology_.warn_if_different();
+    topology_.warn_on_mismatch();
     abandon_campaign(campaign.lease_id);
-    next_check_ = runtime_.now() + kDeferPause;
+    next_check_ = runtime_.now() + kDeferralPause;
     return;
   }
   if (topology_.own().version > active.version) active = topology_.own();
@@ -211,14 +216,16 @@
           return;
         }
         busy_ = false;
-        vacant_since_ = {};
-        topology_.note_won(active);
-        won({campaign.lease_id, fencing_token, commit.revision, campaign.sent_at, vacancy_noticed_});
+        vacancy_noticed_at_ = {};
+        topology_.on_term_won(active);
+        won({campaign.lease_id, fencing_token, commit.revision, campaign.sent_at,
+             campaign_vacancy_noticed_at_});
       });
 }
 
 void Election::abandon_campaign(std::uint64_t lease_id) {
-  // Also after an unknown outcome: should the write be applied late, the revoked lease takes it away again.
+  // Also revoked after an unknown outcome: if the write is applied late, the revoked lease removes the record
+  // again.
   store_.revoke_lease(lease_id);
   busy_ = false;
   next_check_ = runtime_.now() + kCheckAfterFailure + runtime_.jitter(kMaxFailureJitter);
--- a/src/membership/include/wrenusher/membership/cancellation_log.hpp
+++ b/src/membership/include/wrenusher/membership/cancellation_log.hpp
@@ -1,11 +1,7 @@
 #pragma once
-// The cancellations that users were told of by this node, replicated to every peer; and up to which time this
-// node knows all that any controller has told. A pure state machine: Peer carries its fields in the
-// heartbeats.
-//
-// Claimed: a cancellation that any user was told of before `known_through()` was returned by `merge`, read
-// from the state service (`on_store_read`), or recorded here. docs/design.md, "Cancelled work is gone in
-// time", has the proof.
+// Log of the cancellations that this node confirmed to users, replicated to every peer. It also tracks up to
+// which time this node has received every cancellation that any controller confirmed. It does no I/O: Peer
+// carries its fields in the heartbeats.
 
 #include <cstdint>
 #include <map>
@@ -18,61 +14,66 @@
 
 namespace wrenusher::membership {
 
+/// Invariant: a cancellation that was confirmed to any user before `complete_through()` was returned by
+/// `merge`, read from the state service (`on_store_read`), or recorded here. docs/design.md, "Cancelled work
+/// is gone in time", has the proof.
+///
 /// Owned by Peer. Single-threaded: called from the runtime's loop only.
 class CancellationLog {
  public:
-  /// The value of `known_through()` while nothing can be claimed.
+  /// Value of `complete_through()` while nothing is guaranteed.
   static constexpr Instant kNever = Instant::min();
 
-  /// `incarnation`: of this process, never 0, a different one after each start.
+  /// `incarnation`: identifies this run of the process; never 0, and different after each start.
   CancellationLog(std::uint64_t incarnation, const std::vector<std::string>& peers);
 
-  /// To be called once, when the node starts. `retention`: a job recorded again within this time is not added
-  /// to the log a second time.
-  void begin(Instant now, Micros retention);
+  /// Must be called once, when the node starts. `retention`: a job that is recorded again within this time is
+  /// not added to the log a second time.
+  void start(Instant now, Micros retention);
 
-  /// A user is about to be told here that the job is cancelled. True when the log has a new row, which the
-  /// peers should get soon.
+  /// Records a cancellation that this node is about to confirm to a user. Returns whether the log has a new
+  /// row, which should be sent to the peers soon.
   bool record(const std::string& job_id, Instant now);
 
-  /// Adds the fields of a heartbeat to that peer: what it has not confirmed yet, and what this node has of
-  /// its.
+  /// Adds the fields of a heartbeat to `peer`: the rows that it has not confirmed yet, and the numbers of its
+  /// rows received here.
   void write(const std::string& peer, Value::Map& out) const { log_.write(peer, out); }
 
   struct MergeResult {
-    std::vector<std::string> job_ids;  ///< cancelled jobs, some of them known before
-    std::string error;                 ///< not empty: the field that was refused, and why; nothing was merged
+    std::vector<std::string> job_ids;  ///< cancelled jobs; may include jobs that were received before
+    std::string error;  ///< the refused field and the reason, in which case nothing was merged; else empty
   };
-  /// Reads the fields of a peer's heartbeat, which must be its newest so far. `asked_at`: when this node sent
-  /// the request that the heartbeat answers; empty: it was not an answer and may be an old copy.
-  MergeResult merge(const std::string& peer, const Value& value, std::optional<Instant> asked_at,
+  /// Merges the fields of a peer's heartbeat, which must be its newest so far. `request_sent_at`: send time
+  /// of the request that the heartbeat replies to; empty: it was not a reply and may be a delayed copy.
+  MergeResult merge(const std::string& peer, const Value& value, std::optional<Instant> request_sent_at,
                     Instant now);
 
-  /// All cancellations that the state service had at `asked_at` are known here.
-  void on_store_read(Instant asked_at);
+  /// Records that this node has read all cancellations that the state service had at `request_sent_at`.
+  void on_store_read(Instant request_sent_at);
 
-  /// Every cancellation that any user was told of before this time is known here.
-  [[nodiscard]] Instant known_through() const;
-  /// The peer that holds `known_through()` back most; empty: there are no peers.
+  /// Returns the time before which every cancellation that was confirmed to any user has reached this node.
+  [[nodiscard]] Instant complete_through() const;
+  /// Returns the peer with the earliest `complete_through`; empty: there are no peers.
   [[nodiscard]] std::string slowest_peer() const;
-  /// Rows that some peer has not confirmed.
+  /// Returns the number of rows that some peer has not confirmed.
   [[nodiscard]] std::size_t size() const { return log_.size(); }
 
  private:
-  struct PeerKnowledge {
-    /// What users were told before this time is known only once the state service has been read since.
-    Instant met_at = kNever;
-    bool awaits_store_read = false;  ///< the state service has not been read since `met_at`
-    Instant exchanged_at = kNever;   ///< send time of the newest request whose answer left no rows open
-    Instant known_through = kNever;
+  struct PeerState {
+    /// When this node last detected a restart of the peer or a gap in its log. Cancellations confirmed before
+    /// this time are complete only once the state service has been read since.
+    Instant gap_found_at = kNever;
+    bool awaits_store_read = false;  ///< the state service has not been read since `gap_found_at`
+    Instant caught_up_at = kNever;  ///< send time of the newest request whose reply completed the peer's rows
+    Instant complete_through = kNever;
   };
 
   ReplicatedLog log_;
-  Instant began_at_ = kNever;
+  Instant started_at_ = kNever;
   Micros retention_{};
   Instant store_read_at_ = kNever;
-  std::map<std::string, PeerKnowledge> peers_;
-  containers::AgedSet<std::string> recent_;  ///< jobs recorded within the last `retention_`
+  std::map<std::string, PeerState> peers_;
+  containers::AgedSet<std::string> recently_recorded_;  ///< jobs recorded within the last `retention_`
 };
 
 }  // namespace wrenusher::membership
--- a/src/membership/include/wrenusher/membership/election.hpp
+++ b/src/membership/include/wrenusher/membership/election.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// How a term is won: watching who leads, noticing a vacancy, taking turns with the other candidates, and the
-// compare-and-swap on the `leader` and `epoch` records that begins a term.
+// Election of a leader: watches the `leader` record, notices when it is vacant, waits for candidates with
+// precedence, and begins a term by a compare-and-swap on the `leader` and `epoch` records.
 
 #include <cstdint>
 #include <functional>
@@ -22,15 +22,16 @@
 /// runtime's loop only.
 class Election {
  public:
+  /// Result of a won campaign.
   struct Victory {
     std::uint64_t lease_id = 0;
     std::uint64_t fencing_token = 0;
-    std::uint64_t mod_revision = 0;  ///< of the `leader` and `epoch` records
-    Instant sent_at{};               ///< when the lease was asked for
-    Instant vacancy_noticed{};       ///< when it was first seen that nobody led; 0: it was not
+    std::uint64_t mod_revision = 0;  ///< revision of the `leader` and `epoch` records
+    Instant sent_at{};               ///< send time of the request for the lease
+    Instant vacancy_noticed{};       ///< when the vacancy was noticed; 0: there was none
   };
 
-  /// All arguments must outlive this.
+  /// All arguments must outlive this object.
   Election(runtime::Runtime& runtime, const settings::Settings& settings, kv_client::KvClient& store,
            const TermState& term, const PeerTable& peers, TopologyAgreement& topology)
       : runtime_(runtime),
@@ -40,22 +41,22 @@
         peers_(peers),
         topology_(topology) {}
 
-  /// This node has won a term. To be set before `start`.
+  /// Called when this node has won a term. Must be set before `start`.
   std::function<void(const Victory&)> won;
-  /// The state service names another node as the leader of this term. To be set before `start`.
+  /// Called when the state service names another node as the leader of this term. Must be set before `start`.
   std::function<void(std::uint64_t fencing_token, const std::string& leader)> leader_seen;
 
   void start() { started_at_ = runtime_.now(); }
-  /// Looks who leads, when that is due.
+  /// Checks who leads, when a check is due.
   void tick();
   void on_readiness(events::Readiness readiness) { readiness_ = readiness; }
-  /// This node's term has ended: it does not campaign for so long.
+  /// Ends this node's term: it does not campaign for the duration `abstention`.
   void on_stepped_down(Micros abstention);
 
  private:
-  /// The steps of one attempt to win a term.
+  /// One attempt to win a term.
   struct Campaign {
-    std::uint64_t leader_revision = 0;  ///< the `leader` record to replace; 0: it must be absent
+    std::uint64_t leader_revision = 0;  ///< revision of the `leader` record to replace; 0: it must be absent
     Instant sent_at{};
     std::uint64_t lease_id = 0;
   };
@@ -81,11 +82,11 @@
 
   events::Readiness readiness_ = events::Readiness::cold;
   Instant started_at_{};
-  bool busy_ = false;      ///< a look or a campaign is under way
-  bool watching_ = false;  ///< the `leader` record
+  bool busy_ = false;      ///< whether a check or a campaign is in progress
+  bool watching_ = false;  ///< whether a watch on the `leader` record is in progress
   Instant next_check_{};
-  Instant vacant_since_{};     ///< when it was first seen that nobody leads; 0: somebody does
-  Instant vacancy_noticed_{};  ///< the same, when the campaign under way began
+  Instant vacancy_noticed_at_{};           ///< when this node first saw no leader; 0: there is a leader
+  Instant campaign_vacancy_noticed_at_{};  ///< value of `vacancy_noticed_at_` when the current campaign began
   Instant abstain_until_{};
 };
 
--- a/src/membership/include/wrenusher/membership/leader_lease.hpp
+++ b/src/membership/include/wrenusher/membership/leader_lease.hpp
@@ -1,5 +1,6 @@
 #pragma once
-// The lease on the `leader` record in the state service, and how long this node may be certain of it.
+// Maintains the lease on the `leader` record in the state service and the time until which it is certainly
+// valid.
 
 #include <cstdint>
 #include <functional>
@@ -14,24 +15,24 @@
 /// Owned by Leadership. Single-threaded: called from the runtime's loop only.
 class LeaderLease {
  public:
-  /// `validity` gets every change of `valid_until()`. All arguments must outlive this.
+  /// `validity` is fired at every change of `valid_until()`. All arguments must outlive this object.
   LeaderLease(runtime::Runtime& runtime, const settings::Settings& settings, kv_client::KvClient& store,
               const runtime::EventSink<events::LeaseValidity>& validity)
       : runtime_(runtime), settings_(settings), store_(store), validity_(validity) {}
 
-  /// The state service says that the lease has expired. To be set before `begin`.
+  /// Called when the state service reports that the lease has expired. Must be set before `begin`.
   std::function<void()> expired;
 
-  /// A term begins with this lease, which was granted to a request sent at `sent_at`.
+  /// Begins a term with this lease, which was granted to a request sent at `sent_at`.
   void begin(std::uint64_t lease_id, time::Instant sent_at);
-  /// The term is over. The lease itself is left to expire.
+  /// Ends the term. The lease is not revoked; it expires at the state service.
   void end();
-  /// Gives the lease back at once, so that another node can win.
+  /// Revokes the lease at once, so that another node can win.
   void revoke();
   /// Renews the lease four times within its duration.
   void renew_if_due();
 
-  /// Before this time nobody else can have won a term; 0: no claim.
+  /// Returns the time before which no other node can have won a term; 0: not guaranteed.
   [[nodiscard]] time::Instant valid_until() const { return valid_until_; }
 
  private:
@@ -42,7 +43,7 @@
   const settings::Settings& settings_;
   kv_client::KvClient& store_;
   const runtime::EventSink<events::LeaseValidity>& validity_;
-  bool active_ = false;  ///< a term is running
+  bool active_ = false;  ///< whether a term of this node is running
   std::uint64_t lease_id_ = 0;
   time::Instant valid_until_{};
   time::Instant next_renewal_{};
--- a/src/membership/include/wrenusher/membership/leadership.hpp
+++ b/src/membership/include/wrenusher/membership/leadership.hpp
@@ -1,8 +1,7 @@
 #pragma once
-// Package membership: which controller leads, and what the controllers tell each other. Leadership owns the
-// lease in the state service, the fencing token of each term, the window in which this node is certain that
-// nobody else leads, and which topology is in force; Peer owns the heartbeats between controllers. It may
-// depend on time, value, containers, runtime, settings, protocol, kv_client, topology, events and log.
+// Package membership: elects the leading controller (Leadership) and exchanges heartbeats between controllers
+// (Peer). It may depend on time, value, containers, runtime, settings, protocol, kv_client, topology, events
+// and log.
 
 #include <functional>
 #include <optional>
@@ -20,17 +19,19 @@
 
 namespace wrenusher::membership {
 
-/// Decides whether this node leads: begins the terms that its Election wins, keeps the lease, and steps down
-/// when another node leads or would do better. Single-threaded: called from the runtime's loop only.
+/// Decides whether this node leads: begins the terms that its Election wins, renews the lease, and steps down
+/// when another node leads or is better placed to lead. Owns the lease in the state service, the fencing
+/// token of each term, the period in which this node is certainly the only leader, and the active topology
+/// version. Single-threaded: called from the runtime's loop only.
 class Leadership {
  public:
-  /// All arguments must outlive this.
+  /// All arguments must outlive this object.
   Leadership(runtime::Runtime& runtime, const settings::Settings& settings, kv_client::KvClient& store);
   Leadership(const Leadership&) = delete;
   Leadership& operator=(const Leadership&) = delete;
   ~Leadership() = default;
 
-  /// To be called once, after the sinks are connected.
+  /// Must be called once, after the sinks are connected.
   void start();
 
   void on_peer_status(const events::PeerStatus& status);
@@ -39,7 +40,7 @@
   void on_topology_loaded(const events::TopologyLoaded& event) { topology_.on_loaded(event); }
   void on_readiness(const events::Readiness& readiness) { election_.on_readiness(readiness); }
 
-  /// This node leads, and is certain that nobody else does.
+  /// Returns whether this node leads and is certainly the only leader.
   [[nodiscard]] bool lease_valid() const { return term_.leading && runtime_.now() < lease_.valid_until(); }
 
   runtime::EventSink<events::TermChanged> term_changed;
@@ -48,23 +49,23 @@
   runtime::EventSink<events::SteppingDown> stepping_down;
 
  private:
-  /// Why the lead should go to a peer.
-  struct HandOver {
+  /// Why and to which peers the leadership should be handed over.
+  struct HandOverPlan {
     const char* reason;
-    PeerTable::Predicate fits;  ///< which peers could do better
-    bool rate_limited;          ///< the peer may do no better: not again for some time
+    PeerTable::Predicate is_eligible;  ///< selects the peers that are better placed to lead
+    bool rate_limited;  ///< whether `kHandOverInterval` applies, since the same problem may affect the peer
   };
   void tick();
-  /// The periodic work of a leader.
-  void lead();
-  /// Why this node must stop at once; null: it need not.
+  /// Does the periodic work of a leader.
+  void lead_tick();
+  /// Returns why this node must step down at once; null: no reason.
   [[nodiscard]] const char* stop_reason(const PeerTable::Reachability& peers) const;
-  [[nodiscard]] std::optional<HandOver> hand_over_reason(const PeerTable::Reachability& peers) const;
+  [[nodiscard]] std::optional<HandOverPlan> plan_hand_over(const PeerTable::Reachability& peers) const;
   [[nodiscard]] Micros max_isolation() const;
-  void hand_over(const HandOver& reason);
+  void hand_over(const HandOverPlan& plan);
   void begin_term(const Election::Victory& victory);
   void step_down(const char* reason, Micros abstention);
-  void note_term(std::uint64_t fencing_token, const std::string& leader);
+  void observe_term(std::uint64_t fencing_token, const std::string& leader);
 
   runtime::Runtime& runtime_;
   const settings::Settings& settings_;
@@ -75,10 +76,10 @@
   LeaderLease lease_;
   Election election_;
 
-  Instant last_leader_heartbeat_{};  ///< of a peer that led the newest term known then; 0: never
-  Instant handed_over_at_{};         ///< when the lead was last handed over with a rate limit; 0: never
+  Instant last_leader_heartbeat_{};        ///< from a leader of the newest term known then; 0: none
+  Instant last_rate_limited_hand_over_{};  ///< time of the last rate-limited hand-over; 0: none
   events::WorkerReachability workers_;
-  Instant unheard_since_{};  ///< when `workers_.receives_nothing` became true
+  Instant no_reports_since_{};  ///< when `workers_.receives_nothing` became true
 };
 
 }  // namespace wrenusher::membership
--- a/src/membership/include/wrenusher/membership/peer.hpp
+++ b/src/membership/include/wrenusher/membership/peer.hpp
@@ -1,6 +1,7 @@
 #pragma once
-// Heartbeats between controllers: term, leader, what each of them can reach, which cancellations users were
-// told of, which stages of jobs users are about to be told of, and what other actors attach.
+// Heartbeats between controllers. They carry the term and the leader, what the sender can reach, the
+// cancellations that it confirmed to users, announcements of job stages that it is about to return to users,
+// and data that other actors attach.
 
 #include <cstdint>
 #include <map>
@@ -22,34 +23,38 @@
 
 namespace wrenusher::membership {
 
-/// Sends this node's heartbeats to its peers, every 500 ms and at once when there is urgent news, and reads
-/// theirs, which come as requests and as replies. Single-threaded: called from the runtime's loop only.
+/// Sends heartbeats to the peers every 500 ms, and at once for cancellations and announcements; reads the
+/// peers' heartbeats, which arrive as requests and as replies. Single-threaded: called from the runtime's
+/// loop only.
 class Peer {
  public:
-  /// Both arguments must outlive this.
+  /// Both arguments must outlive this object.
   Peer(runtime::Runtime& runtime, const settings::Settings& settings);
 
-  /// To be called once, after the sinks are connected.
+  /// Must be called once, after the sinks are connected.
   void start();
-  /// Answers another controller's request on `peer_listen`.
-  void serve(const runtime::Request& request, const runtime::Responder& answer);
+  /// Replies to a request of another controller on `peer_listen`.
+  void serve(const runtime::Request& request, const runtime::Responder& respond);
 
   void on_term(const events::TermChanged& term);
-  void on_health(const kv_client::KvHealth& health) { own_.kv_reachable = health.reachable; }
+  void on_health(const kv_client::KvHealth& health) { own_status_.kv_reachable = health.reachable; }
   void on_worker_reachability(const events::WorkerReachability& event) {
-    own_.receives_reports = event.receives_reports;
+    own_status_.receives_reports = event.receives_reports;
   }
-  /// A user is about to be told here that the job is cancelled.
+  /// Replicates a cancellation that this node is about to confirm to a user.
   void on_cancelled(const events::JobCancelled& event);
   void on_cancellations_read(const events::CancellationsRead& event);
-  /// A user is to be told a job's stage once every peer knows it.
+  /// Announces a job's stage to the peers. The stage may be returned to a user once `stage_confirmed` has
+  /// fired for it.
   void on_announcement(const events::StageAnnouncement& event);
   void on_topology_loaded(const events::TopologyLoaded& event);
-  void on_topology_activated(const events::TopologyActivated& event) { own_.active_topology = event.version; }
+  void on_topology_activated(const events::TopologyActivated& event) {
+    own_status_.active_topology = event.version;
+  }
   void on_progress(const std::shared_ptr<const events::Progress>& counts) { progress_pager_.update(counts); }
-  void on_readiness(const events::Readiness& readiness) { own_.readiness = readiness; }
+  void on_readiness(const events::Readiness& readiness) { own_status_.readiness = readiness; }
   void on_stepping_down(const events::SteppingDown& event);
-  /// Goes out with the next heartbeat to its peer.
+  /// Attaches the value to the next heartbeat to its peer.
   void on_attachment(const events::HeartbeatAttachment& event) { attachments_[event.peer] = event.value; }
 
   runtime::EventSink<events::HeartbeatSent> heartbeat_sent;
@@ -57,14 +62,14 @@
   runtime::EventSink<events::PeerStatus> peer_status;
   runtime::EventSink<events::JobCancelled> job_cancelled;
   runtime::EventSink<events::CancellationsKnown> cancellations_known;
-  runtime::EventSink<events::StageAnnouncement> stage_announced;  ///< a peer is about to tell a user so
-  runtime::EventSink<events::StageAnnouncement> stage_confirmed;  ///< every peer knows that this node is
+  runtime::EventSink<events::StageAnnouncement> stage_announced;  ///< received from a peer
+  runtime::EventSink<events::StageAnnouncement> stage_confirmed;  ///< received by every peer
   runtime::EventSink<std::shared_ptr<const events::Progress>> progress;
 
  private:
   enum class HeartbeatScope {
     full,
-    urgent  ///< without task counts, and not to peers that do not answer
+    urgent  ///< without task counts, and not to peers with too many unanswered heartbeats
   };
   void send_heartbeats();
   void send_to_peers(HeartbeatScope scope);
@@ -73,31 +78,31 @@
   [[nodiscard]] value::Value::Map write_heartbeat(const std::string& peer);
   [[nodiscard]] bool abstains() const { return runtime_.now() < abstain_until_; }
 
-  /// `asked_at`: when the request was sent that the heartbeat answers; empty: it came by itself, and may be a
-  /// delayed copy.
-  void read_heartbeat(const value::Value& value, std::optional<Instant> asked_at);
-  bool accept_number(const std::string& node, const value::Value& value, bool is_answer);
+  /// `request_sent_at`: send time of the request that the heartbeat replies to; empty: the heartbeat was not
+  /// a reply and may be a delayed copy.
+  void read_heartbeat(const value::Value& value, std::optional<Instant> request_sent_at);
+  bool accept_if_newest(const std::string& node, const value::Value& value, bool is_reply);
   void merge_cancellations(const std::string& node, const value::Value& value,
-                           std::optional<Instant> asked_at);
+                           std::optional<Instant> request_sent_at);
   [[nodiscard]] bool merge_announcements(const std::string& node, const value::Value& value);
   void log_refused_field(const std::string& node, const std::string& error);
-  void publish_known();
+  void publish_complete_through();
 
   runtime::Runtime& runtime_;
   const settings::Settings& settings_;
-  events::PeerStatus own_;  ///< what this node says of itself; `abstains` is set when it is written
+  events::PeerStatus own_status_;  ///< status of this node; `abstains` is set when a heartbeat is written
   std::uint64_t incarnation_;
   CancellationLog cancellations_;
   ReplicatedLog announcements_;
   ProgressPager progress_pager_;
-  std::map<std::string, value::Value> attachments_;  ///< for the next heartbeat, by peer
-  std::map<std::string, int> unanswered_;            ///< heartbeats that a peer has not answered yet
-  Instant last_urgent_{};                            ///< when urgent news was last sent
-  bool urgent_scheduled_ = false;                    ///< some will be, within the pause between two
+  std::map<std::string, value::Value> attachments_;   ///< by peer, for its next heartbeat
+  std::map<std::string, int> unanswered_heartbeats_;  ///< by peer
+  Instant last_urgent_at_{};                          ///< when an urgent heartbeat was last sent; 0: never
+  bool urgent_scheduled_ = false;  ///< an urgent heartbeat is scheduled within `kMinUrgentInterval`
   Instant abstain_until_{};
   HeartbeatNumber sent_number_;                             ///< of the newest heartbeat sent
   std::map<std::string, HeartbeatNumber> newest_received_;  ///< by peer
-  std::set<std::string> logged_refusals_;                   ///< peer and error, each of which is logged once
+  std::set<std::string> logged_refusals_;                   ///< "peer: error", each logged once
 };
 
 }  // namespace wrenusher::membership
--- a/src/membership/include/wrenusher/membership/peer_table.hpp
+++ b/src/membership/include/wrenusher/membership/peer_table.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// What the peers last said of themselves, and what follows from it for an election or a hand-over.
+// Keeps the latest status of each peer and evaluates the statuses for elections and hand-overs.
 
 #include <functional>
 #include <map>
@@ -14,42 +14,43 @@
 using events::Readiness;
 using time::Instant;
 
-/// A status counts for 1.6 s from the request that it answered. Owned by Leadership. Single-threaded: called
-/// from the runtime's loop only.
+/// A status is fresh for 1.6 s after the request that it answered was sent. Owned by Leadership.
+/// Single-threaded: called from the runtime's loop only.
 class PeerTable {
  public:
   using Predicate = std::function<bool(const PeerStatus&)>;
 
-  /// What the peers with a fresh status reach, all of them together.
+  /// Combined reachability of all peers with a fresh status.
   struct Reachability {
-    bool any_peer = false;          ///< there is a fresh status
-    bool kv_reachable = false;      ///< some peer reaches the state service
-    bool receives_reports = false;  ///< some peer receives heartbeats of workers
+    bool any_peer = false;          ///< at least one peer has a fresh status
+    bool kv_reachable = false;      ///< at least one peer reaches the state service
+    bool receives_reports = false;  ///< at least one peer receives heartbeats of workers
   };
 
   explicit PeerTable(const runtime::Runtime& runtime) : runtime_(runtime) {}
 
   void update(const PeerStatus& status);
 
-  /// The newest time at which any peer is known to have been there; 0: never.
+  /// Returns the latest time at which some peer was certainly alive; 0: none.
   [[nodiscard]] Instant last_heartbeat() const { return last_heartbeat_; }
   [[nodiscard]] Reachability reachability() const;
-  /// How many candidates take precedence over this node in an election.
+  /// Returns how many candidates take precedence over this node in an election.
   [[nodiscard]] int candidates_ahead(const std::string& node, Readiness readiness) const;
-  /// Some peer could lead and has a warm replica.
+  /// Returns whether some candidate has a warm replica.
   [[nodiscard]] bool has_warm_candidate() const;
-  /// Some peer has read this topology and reaches the state service.
+  /// Returns whether some peer has loaded this topology and reaches the state service.
   [[nodiscard]] bool has_topology(const topology::TopologyVersion& version) const;
-  /// The candidate with the highest readiness of those that fit, the first by name; empty: none fits.
-  [[nodiscard]] std::string best_successor(const Predicate& fits) const;
+  /// Returns the eligible candidate with the highest readiness; the first by name among equals, empty if none
+  /// is eligible.
+  [[nodiscard]] std::string best_successor(const Predicate& is_eligible) const;
 
  private:
   struct Entry {
     PeerStatus status;
-    Instant seen_at{};  ///< the peer was there at this time; 0: not known
+    Instant last_alive_at{};  ///< the peer was certainly alive at this time; 0: unknown
   };
   [[nodiscard]] bool is_fresh(const Entry& entry) const;
-  /// The status is fresh, and the peer reaches the state service and wants to lead.
+  /// Returns whether the status is fresh and the peer reaches the state service and does not abstain.
   [[nodiscard]] bool is_candidate(const Entry& entry) const;
 
   const runtime::Runtime& runtime_;
--- a/src/membership/include/wrenusher/membership/term_state.hpp
+++ b/src/membership/include/wrenusher/membership/term_state.hpp
@@ -5,11 +5,11 @@
 
 namespace wrenusher::membership {
 
-/// The newest term that this node knows of. Owned and changed by Leadership alone; its parts read it.
+/// The newest term known to this node. Only Leadership changes it; its parts read it.
 struct TermState {
-  bool leading = false;             ///< this node leads it
-  std::uint64_t fencing_token = 0;  ///< rises with each term
-  std::string leader;               ///< name of the leading node; empty: not known
+  bool leading = false;             ///< whether this node leads the term
+  std::uint64_t fencing_token = 0;  ///< increases with each term
+  std::string leader;               ///< name of the leading node; empty: unknown
 };
 
 }  // namespace wrenusher::membership
--- a/src/membership/include/wrenusher/membership/topology_agreement.hpp
+++ b/src/membership/include/wrenusher/membership/topology_agreement.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// Which version of the operators' map of failure domains all nodes judge by: the one "in force", named in the
-// `epoch` record of the state service.
+// Agreement of all nodes on the active topology version: the version of the operators' map of failure domains
+// that all nodes base decisions on. It is stored in the `epoch` record of the state service.
 
 #include <cstdint>
 #include <memory>
@@ -13,47 +13,48 @@
 
 namespace wrenusher::membership {
 
-/// Compares this node's own topology with the active one, and puts a newer one into force while this node
-/// leads. Owned by Leadership. Single-threaded: called from the runtime's loop only.
+/// Compares the topology that this node has loaded with the active one, and activates a newer one while this
+/// node leads. Owned by Leadership. Single-threaded: called from the runtime's loop only.
 class TopologyAgreement {
  public:
-  /// `activated` gets every change of the topology that decisions are made by. All arguments must outlive
-  /// this.
+  /// `activated` is fired at every change of the topology that decisions are based on. All arguments must
+  /// outlive this object.
   TopologyAgreement(runtime::Runtime& runtime, kv_client::KvClient& store, const TermState& term,
                     const runtime::EventSink<events::TopologyActivated>& activated)
       : runtime_(runtime), store_(store), term_(term), activated_(activated) {}
 
-  /// The version that this node has read from its file; version 0: none.
+  /// Returns the version that this node has loaded from its file; version 0: none.
   [[nodiscard]] topology::TopologyVersion own() const;
-  /// The version in force, as the state service or the leader said last; version 0: none.
+  /// Returns the active version as last reported by the state service or the leader; version 0: none.
   [[nodiscard]] const topology::TopologyVersion& active() const { return active_; }
   [[nodiscard]] bool differs() const { return own() != active_; }
-  /// This node should get a newer file: the version in force differs and this node's is not newer.
+  /// Returns whether this node needs another file: the active version differs and this node's is not newer.
   [[nodiscard]] bool is_outdated() const { return own().version <= active_.version && differs(); }
 
   void on_loaded(const events::TopologyLoaded& event);
-  /// The state service or the leader says that this version is in force.
-  void note_active(const topology::TopologyVersion& version);
-  /// Tells the other actors what to decide by.
+  /// Sets the active version as reported by the state service or the leader.
+  void set_active(const topology::TopologyVersion& version);
+  /// Fires `activated` with the topology that the other actors base decisions on.
   void publish() const;
-  /// Logs that this node's topology is not the one in force, once for each pair of versions.
-  void warn_if_different();
+  /// Logs an error if this node's topology is not the active one, once for each pair of versions.
+  void warn_on_mismatch();
 
-  /// This node has won a term, and with it put `version` into force. Takes effect with `begin_term`.
-  void note_won(const topology::TopologyVersion& version);
-  /// `mod_revision`: of the `leader` and `epoch` records that the term began with.
+  /// Records that this node has won a term and thereby activated `version`. Takes effect with `begin_term`.
+  void on_term_won(const topology::TopologyVersion& version);
+  /// Begins a term. `mod_revision`: revision of the `leader` and `epoch` records that began it.
   void begin_term(std::uint64_t mod_revision);
-  /// Tries again to put this leader's newer topology into force, at most once a second.
+  /// Retries the activation of this leader's newer topology, at most once a second.
   void activate_own_if_due();
 
-  /// Whether this node, which would win a term, should wait for a peer that has the version in force. False
-  /// once it has waited for too long in vain.
+  /// Returns whether this node, which could win a term, should leave it to a peer that has the active
+  /// topology. Returns false once this node has deferred for `kMaxDeferral`.
   [[nodiscard]] bool should_defer();
-  /// Somebody leads: the next deferral begins anew.
-  void on_leader_known() { deferring_since_ = {}; }
+  /// Ends the deferral, since a leader exists; a later deferral starts with the full time.
+  void on_leader_observed() { deferral_started_at_ = {}; }
 
  private:
-  /// Writes this leader's newer topology into the record that the next leader reads before its term.
+  /// Writes this leader's newer topology version into the `epoch` record, which the next leader reads before
+  /// its term begins.
   void activate_own();
   void on_activation_committed(const kv_client::CommitReply& reply, std::uint64_t fencing_token,
                                const topology::TopologyVersion& version);
@@ -72,12 +73,12 @@
     bool operator==(const LoggedMismatch&) const = default;
   };
   LoggedMismatch logged_mismatch_;
-  time::Instant deferring_since_{};  ///< 0: not deferring; nobody has led since
+  time::Instant deferral_started_at_{};  ///< start of the current deferral; 0: not deferring
 
   // While leading:
-  std::uint64_t leader_revision_ = 0;  ///< of the `leader` record
-  std::uint64_t token_revision_ = 0;   ///< of the `epoch` record
-  bool activating_ = false;            ///< a write is under way
+  std::uint64_t leader_revision_ = 0;  ///< revision of the `leader` record
+  std::uint64_t token_revision_ = 0;   ///< revision of the `epoch` record
+  bool activation_pending_ = false;    ///< a commit by `activate_own` has no reply yet
   time::Instant next_activation_{};
 };
 
--- a/src/membership/leader_lease.cpp
+++ b/src/membership/leader_lease.cpp
@@ -8,8 +8,10 @@
 
 namespace {
 
-/// Steady clocks drift apart by at most 0.05%; twice that, for both sides, and a margin for our own delays.
+/// Steady clocks drift apart by at most 0.05%; doubled, since both this node's clock and the service's may
+/// drift.
 constexpr double kMaxClockDrift = 0.001;
+/// Margin for delays within this process.
 constexpr Micros kValidityMargin = time::from_millis(150);
 constexpr int kRenewalsPerLease = 4;
 
--- a/src/membership/peer.cpp
+++ b/src/membership/peer.cpp
@@ -25,17 +25,18 @@
 namespace {
 
 constexpr Micros kHeartbeatInterval = from_millis(500);
-constexpr Micros kTimeout = from_seconds(1);
-/// Urgent news of this time goes out together.
-constexpr Micros kUrgentPause = from_millis(50);
-/// A peer with so many heartbeats to answer gets only the regular ones.
-constexpr int kMaxUnanswered = 3;
-/// Announcements that a peer has not confirmed: so many are kept of those that nobody waits for any more, and
-/// all that are younger than `kAnnouncementWait`, however many machines there are.
+constexpr Micros kHeartbeatTimeout = from_seconds(1);
+/// Minimum time between urgent heartbeats; cancellations and announcements within it are sent together.
+constexpr Micros kMinUrgentInterval = from_millis(50);
+/// A peer with this many unanswered heartbeats is sent only the regular ones.
+constexpr int kMaxUnansweredHeartbeats = 3;
+/// Number of unconfirmed announcements that are kept although no user waits for them any more. Announcements
+/// younger than `kAnnouncementRetention` are all kept, however many machines there are.
 constexpr std::size_t kMaxAnnouncements = 1000;
-/// Twice the time that a reply to a user waits for the peers at most.
-constexpr Micros kAnnouncementWait = from_seconds(4);
-/// A node that handed the lead over says for so long that it abstains, and who its successor is.
+/// Twice the maximum time that a reply to a user waits for the peers.
+constexpr Micros kAnnouncementRetention = from_seconds(4);
+/// How long the heartbeats of a node that handed the leadership over say that it abstains, and name its
+/// successor.
 constexpr Micros kAbstentionPeriod = from_seconds(4);
 
 std::vector<std::string> names_of(const std::vector<PeerAddress>& peers) {
@@ -50,7 +51,7 @@
           "announcements",
           valid_announcement,
           kMaxAnnouncements,
-          kAnnouncementWait};
+          kAnnouncementRetention};
 }
 
 }  // namespace
@@ -61,11 +62,11 @@
       incarnation_(runtime.random()() | 1U),
       cancellations_(incarnation_, names_of(settings.peers)),
       announcements_(incarnation_, names_of(settings.peers), announcement_options()) {
-  own_.node = settings.node;
+  own_status_.node = settings.node;
 }
 
 void Peer::start() {
-  cancellations_.begin(runtime_.now(), settings_.cancel_deadline);
+  cancellations_.start(runtime_.now(), settings_.cancel_deadline);
   sent_number_.started_wall_ms =
       static_cast<std::uint64_t>(runtime_.wall_time().time_since_epoch() / from_millis(1));
   send_heartbeats();
@@ -75,83 +76,85 @@
 
 void Peer::send_heartbeats() {
   send_to_peers(HeartbeatScope::full);
-  progress_pager_.drop_if_sent();
+  progress_pager_.drop_if_all_sent();
   heartbeat_sent(HeartbeatSent{});
   runtime_.after(kHeartbeatInterval, [this] { send_heartbeats(); });
 }
 
 void Peer::send_to_peers(HeartbeatScope scope) {
   for (const PeerAddress& peer : settings_.peers) {
-    int& unanswered = unanswered_[peer.name];
-    if (scope == HeartbeatScope::urgent && unanswered >= kMaxUnanswered) continue;
+    int& unanswered = unanswered_heartbeats_[peer.name];
+    if (scope == HeartbeatScope::urgent && unanswered >= kMaxUnansweredHeartbeats) continue;
     ++unanswered;
     Value::Map heartbeat = write_heartbeat(peer.name);
     if (auto attachment = attachments_.extract(peer.name))
       heartbeat.emplace_back(kAttachmentField, std::move(attachment.mapped()));
     if (scope == HeartbeatScope::full) progress_pager_.write(peer.name, heartbeat);
-    runtime_.call(peer.address, {"POST", "/beat", encode(Value(std::move(heartbeat)))}, kTimeout,
-                  [this, name = peer.name, asked_at = runtime_.now()](const CallResult& result) {
-                    --unanswered_[name];
+    runtime_.call(peer.address, {"POST", "/beat", encode(Value(std::move(heartbeat)))}, kHeartbeatTimeout,
+                  [this, name = peer.name, request_sent_at = runtime_.now()](const CallResult& result) {
+                    --unanswered_heartbeats_[name];
                     if (!result.answered || result.response.status != 200) return;
                     if (const auto value = value::decode(result.response.body))
-                      read_heartbeat(*value, asked_at);
+                      read_heartbeat(*value, request_sent_at);
                   });
   }
 }
 
-/// Tells the peers at once, since the leader may be without the state service; a burst of news goes together.
+/// Sends a heartbeat to the peers at once, since the leader may be unable to reach the state service. Calls
+/// within `kMinUrgentInterval` share one heartbeat.
 void Peer::send_urgent() {
   if (urgent_scheduled_) return;
-  const Micros pause = last_urgent_ + kUrgentPause - runtime_.now();
-  if (last_urgent_ == Instant{} || pause.count() <= 0) {
+  const Micros delay = last_urgent_at_ + kMinUrgentInterval - runtime_.now();
+  if (last_urgent_at_ == Instant{} || delay.count() <= 0) {
     send_urgent_now();
     return;
   }
   urgent_scheduled_ = true;
-  runtime_.after(pause, [this] {
+  runtime_.after(delay, [this] {
     urgent_scheduled_ = false;
     send_urgent_now();
   });
 }
 
 void Peer::send_urgent_now() {
-  last_urgent_ = runtime_.now();
+  last_urgent_at_ = runtime_.now();
   send_to_peers(HeartbeatScope::urgent);
 }
 
 Value::Map Peer::write_heartbeat(const std::string& peer) {
-  own_.abstains = abstains();
+  own_status_.abstains = abstains();
   ++sent_number_.sequence;
-  Value::Map heartbeat = write_heartbeat_head(own_, sent_number_);
+  Value::Map heartbeat = write_heartbeat_head(own_status_, sent_number_);
   cancellations_.write(peer, heartbeat);
   announcements_.write(peer, heartbeat);
-  write_heartbeat_tail(own_, heartbeat);
+  write_heartbeat_tail(own_status_, heartbeat);
   return heartbeat;
 }
 
 // ---------------------------------------------------------------- receiving
 
-void Peer::serve(const Request& request, const Responder& answer) {
+void Peer::serve(const Request& request, const Responder& respond) {
   if (request.target != "/beat") {
-    answer({404, {}, 0});
+    respond({404, {}, 0});
     return;
   }
   const auto value = value::decode(request.body);
   if (!value) {
-    answer({400, {}, 0});
+    respond({400, {}, 0});
     return;
   }
   read_heartbeat(*value, std::nullopt);
   const std::string* node = (*value)["node"].text();
-  answer({200, encode(Value(write_heartbeat(node != nullptr ? *node : ""))), 0});
+  respond({200, encode(Value(write_heartbeat(node != nullptr ? *node : ""))), 0});
 }
 
-void Peer::read_heartbeat(const Value& value, std::optional<Instant> asked_at) {
+void Peer::read_heartbeat(const Value& value, std::optional<Instant> request_sent_at) {
   auto status = read_peer_status(value);
-  if (!status || status->node == settings_.node || !accept_number(status->node, value, asked_at.has_value()))
+  if (!status || status->node == settings_.node ||
+      !accept_if_newest(status->node, value, request_sent_at.has_value()))
     return;
-  status->request_sent_at = asked_at;
-  merge_cancellations(status->node, value, asked_at);
+  status->request_sent_at = request_sent_at;
+  merge_cancellations(status->node, value, request_sent_at);
   status->announcements_complete = merge_announcements(status->node, value);
   if (const auto counts = read_progress(value)) progress(counts);
   peer_status(*status);
@@ -159,29 +162,32 @@
   if (attachment.map() != nullptr) attachment_received(HeartbeatAttachment{status->node, attachment});
 }
 
-/// Whether this is the peer's newest heartbeat; if so, it is remembered as such. Heartbeats may come twice,
-/// long delayed, and mixed with those of an earlier incarnation. An answer to this node's request is no
-/// delayed copy: one that says it began earlier is a new incarnation all the same, whose clock was set back.
-bool Peer::accept_number(const std::string& node, const Value& value, bool is_answer) {
+/// Returns whether this is the peer's newest heartbeat, and if so records its number. Heartbeats may arrive
+/// twice, late, and mixed with those of an earlier incarnation. A reply to this node's request is never a
+/// delayed copy: if its start time is earlier, it comes from a new incarnation whose clock was set back.
+bool Peer::accept_if_newest(const std::string& node, const Value& value, bool is_reply) {
   const auto number = read_heartbeat_number(value);
   if (!number) return true;
   HeartbeatNumber& newest = newest_received_[node];
-  if (*number <= newest && !(is_answer && number->started_wall_ms < newest.started_wall_ms)) return false;
+  if (*number <= newest && !(is_reply && number->started_wall_ms < newest.started_wall_ms)) return false;
   newest = *number;
   return true;
 }
 
-void Peer::merge_cancellations(const std::string& node, const Value& value, std::optional<Instant> asked_at) {
-  const CancellationLog::MergeResult result = cancellations_.merge(node, value, asked_at, runtime_.now());
+void Peer::merge_cancellations(const std::string& node, const Value& value,
+                               std::optional<Instant> request_sent_at) {
+  const CancellationLog::MergeResult result =
+      cancellations_.merge(node, value, request_sent_at, runtime_.now());
   if (!result.error.empty()) {
     log_refused_field(node, result.error);
     return;
   }
   for (const std::string& job_id : result.job_ids) job_cancelled(JobCancelled{job_id});
-  publish_known();
+  publish_complete_through();
 }
 
-/// Returns whether all announcements that the peer had made by then are known here.
+/// Merges the announcements of a heartbeat. Returns whether all announcements that the peer had made by then
+/// have been received.
 bool Peer::merge_announcements(const std::string& node, const Value& value) {
   const ReplicatedLog::MergeResult result = announcements_.merge(node, value);
   if (!result.error.empty()) {
@@ -195,13 +201,14 @@
 
 void Peer::log_refused_field(const std::string& node, const std::string& error) {
   if (logged_refusals_.insert(node + ": " + error).second)
-    log::warn("heartbeat_refused", "a field in heartbeats of {peer} is refused: {reason}",
+    log::warn("heartbeat_refused", "a field in heartbeats of {peer} was refused: {reason}",
               log::with("peer", node), log::with("reason", error));
 }
 
-/// Must follow the events that it covers: whoever gets it has got all of them.
-void Peer::publish_known() {
-  cancellations_known(CancellationsKnown{cancellations_.known_through(), cancellations_.slowest_peer()});
+/// Must be called after the events that it covers were fired, so that receivers have handled those events
+/// first.
+void Peer::publish_complete_through() {
+  cancellations_known(CancellationsKnown{cancellations_.complete_through(), cancellations_.slowest_peer()});
 }
 
 // ---------------------------------------------------------------- events of this node
@@ -210,8 +217,8 @@
   if (cancellations_.record(event.job_id, runtime_.now())) send_urgent();
 }
 
-/// Once a user was told a job's stage, no node may tell an older one. So the peers are told first, which then
-/// read the state service again where they had read it before.
+/// Once a job's stage has been returned to a user, no node may return an older one. So the stage is announced
+/// to the peers first, which then read the state service again if they read it before the announcement.
 void Peer::on_announcement(const StageAnnouncement& event) {
   if (!announcements_.has_peers()) {
     stage_confirmed(event);
@@ -224,30 +231,30 @@
 void Peer::on_cancellations_read(const CancellationsRead& event) {
   for (const std::string& job_id : event.job_ids) job_cancelled(JobCancelled{job_id});
   cancellations_.on_store_read(event.request_sent_at);
-  publish_known();
+  publish_complete_through();
 }
 
 void Peer::on_term(const TermChanged& term) {
-  const bool begins = term.leading && !own_.leading;
-  own_.fencing_token = term.fencing_token;
-  own_.leader = term.leader;
-  own_.leading = term.leading;
+  const bool begins = term.leading && !own_status_.leading;
+  own_status_.fencing_token = term.fencing_token;
+  own_status_.leader = term.leader;
+  own_status_.leading = term.leading;
   if (!begins) return;
-  own_.successor.clear();
+  own_status_.successor.clear();
   abstain_until_ = {};
-  // At once: until the peers know who leads, they redirect no worker.
+  // Sent at once, since peers redirect no workers until they have the new leader's name.
   send_to_peers(HeartbeatScope::full);
 }
 
 void Peer::on_stepping_down(const SteppingDown& event) {
-  own_.successor = event.successor;
+  own_status_.successor = event.successor;
   abstain_until_ = runtime_.now() + kAbstentionPeriod;
-  // Posted, so that the other actors' last attachments go along.
+  // Posted, so that the last attachments of the other actors are included.
   runtime_.post([this] { send_to_peers(HeartbeatScope::full); });
 }
 
 void Peer::on_topology_loaded(const TopologyLoaded& event) {
-  own_.topology = event.topology ? event.topology->version() : topology::TopologyVersion{};
+  own_status_.topology = event.topology ? event.topology->version() : topology::TopologyVersion{};
 }
 
 }  // namespace wrenusher::membership
--- a/src/membership/peer_table.cpp
+++ b/src/membership/peer_table.cpp
@@ -7,21 +7,22 @@
 
 namespace {
 
-/// How long a peer's status counts.
-constexpr time::Micros kStatusFreshness = time::from_seconds(1.6);
+/// How long a status is fresh after the request that it answered was sent.
+constexpr time::Micros kStatusLifetime = time::from_seconds(1.6);
 
 }  // namespace
 
 void PeerTable::update(const PeerStatus& status) {
   Entry& entry = peers_[status.node];
   entry.status = status;
-  // Only an answer proves that the peer is there: a heartbeat that comes by itself may be long delayed.
-  if (status.request_sent_at) entry.seen_at = std::max(entry.seen_at, *status.request_sent_at);
-  last_heartbeat_ = std::max(last_heartbeat_, entry.seen_at);
+  // Only a reply proves that the peer is alive: a heartbeat that was not a reply may have been delayed for
+  // long.
+  if (status.request_sent_at) entry.last_alive_at = std::max(entry.last_alive_at, *status.request_sent_at);
+  last_heartbeat_ = std::max(last_heartbeat_, entry.last_alive_at);
 }
 
 bool PeerTable::is_fresh(const Entry& entry) const {
-  return runtime_.now() - entry.seen_at < kStatusFreshness;
+  return runtime_.now() - entry.last_alive_at < kStatusLifetime;
 }
 
 bool PeerTable::is_candidate(const Entry& entry) const {
@@ -45,9 +46,9 @@
     if (is_fresh(entry) && entry.status.abstains && !entry.status.successor.empty())
       successor = entry.status.successor;
   }
-  // The named successor first, then by readiness, then by name.
-  const auto rank = [&](const std::string& name, Readiness its_readiness) {
-    return std::tuple(name == successor ? 0 : 1, -static_cast<int>(its_readiness), name);
+  // The named successor comes first; the others are ordered by readiness, then by name.
+  const auto rank = [&](const std::string& name, Readiness candidate_readiness) {
+    return std::tuple(name == successor ? 0 : 1, -static_cast<int>(candidate_readiness), name);
   };
   const auto own_rank = rank(node, readiness);
   return static_cast<int>(std::count_if(peers_.begin(), peers_.end(), [&](const auto& peer) {
@@ -68,11 +69,11 @@
   });
 }
 
-std::string PeerTable::best_successor(const Predicate& fits) const {
+std::string PeerTable::best_successor(const Predicate& is_eligible) const {
   std::string successor;
   Readiness best = Readiness::cold;
   for (const auto& [name, entry] : peers_) {
-    if (!is_candidate(entry) || !fits(entry.status)) continue;
+    if (!is_candidate(entry) || !is_eligible(entry.status)) continue;
     if (!successor.empty() && entry.status.readiness <= best) continue;
     successor = name;
     best = entry.status.readiness;
--- a/src/membership/progress_pager.cpp
+++ b/src/membership/progress_pager.cpp
@@ -11,16 +11,16 @@
 namespace {
 
 constexpr const char* kRowsField = "progress";
-/// The jobs that a page lies between: beyond the first, up to the second, which is empty for the last page. A
-/// whole list has no such field.
+/// Range of jobs in a page: after the first job, exclusive, through the second, inclusive, which is empty for
+/// the last page. A complete list has no such field.
 constexpr const char* kPartField = "progress_part";
 
-/// One page: rows and bytes in one heartbeat. The next heartbeat brings the rest.
-constexpr std::size_t kMaxRows = 1000;
-constexpr std::size_t kMaxBytes = std::size_t{24} * 1024;
-/// A row's bytes beside its job's name: CBOR heads, and two counts up to 100,000.
+/// Limits of one page, in rows and bytes. The next heartbeat continues with the remaining rows.
+constexpr std::size_t kMaxPageRows = 1000;
+constexpr std::size_t kMaxPageBytes = std::size_t{24} * 1024;
+/// Bytes of a row besides its job's name: CBOR heads, and two counts up to 100,000.
 constexpr std::size_t kRowOverheadBytes = 12;
-/// What a heartbeat may have in all, some way below the limit of a request's body.
+/// Maximum size of a whole heartbeat, slightly below the limit of a request's body.
 constexpr std::size_t kMaxHeartbeatBytes = std::size_t{60} * 1024;
 
 std::size_t bytes_of(const Progress::Row& row) {
@@ -51,7 +51,7 @@
   }
 }
 
-void ProgressPager::drop_if_sent() {
+void ProgressPager::drop_if_all_sent() {
   const bool sent = std::all_of(cursors_.begin(), cursors_.end(),
                                 [](const auto& cursor) { return cursor.second.finished; });
   if (sent) counts_.reset();
@@ -63,7 +63,7 @@
   const std::vector<Progress::Row>& rows = counts_->rows;
   const std::size_t needed = bytes_of(rows);
   const std::size_t available = available_bytes(out, needed);
-  if (cursor.after.empty() && rows.size() <= kMaxRows && needed <= available) {
+  if (cursor.after.empty() && rows.size() <= kMaxPageRows && needed <= available) {
     Value::List all;
     all.reserve(rows.size());
     for (const Progress::Row& row : rows) all.push_back(write_row(row));
@@ -74,12 +74,12 @@
   }
 }
 
-/// Room for counts beside what the heartbeat has already.
+/// Returns how many bytes of counts fit into the heartbeat beside its other fields.
 std::size_t ProgressPager::available_bytes(const Value::Map& out, std::size_t needed) const {
-  // Only a long list can meet so much else that both do not fit: the others need not be measured.
-  if (needed <= kMaxBytes / 4) return kMaxBytes;
+  // A list this short always fits beside the other fields, so the heartbeat need not be measured.
+  if (needed <= kMaxPageBytes / 4) return kMaxPageBytes;
   const std::size_t used = encode(Value(out)).size();
-  return used < kMaxHeartbeatBytes ? std::min(kMaxBytes, kMaxHeartbeatBytes - used) : 0;
+  return used < kMaxHeartbeatBytes ? std::min(kMaxPageBytes, kMaxHeartbeatBytes - used) : 0;
 }
 
 void ProgressPager::sort_by_job() {
@@ -97,7 +97,7 @@
   auto it = std::upper_bound(all.begin(), all.end(), Progress::Row{after, 0, 0}, by_job);
   Value::List page;
   std::size_t bytes = 0;
-  for (; it != all.end() && page.size() < kMaxRows; ++it) {
+  for (; it != all.end() && page.size() < kMaxPageRows; ++it) {
     bytes += bytes_of(*it);
     if (bytes > max_bytes) break;
     page.push_back(write_row(*it));
--- a/src/membership/replicated_log.cpp
+++ b/src/membership/replicated_log.cpp
@@ -7,11 +7,11 @@
 
 namespace {
 
-/// One page: rows and bytes of one heartbeat, which may have 64 KiB for all that it carries. The next
-/// heartbeat brings the rest.
+/// Limits of one page: the rows and bytes of this log in one heartbeat, which may have 64 KiB for all its
+/// fields. The next heartbeat continues with the remaining rows.
 constexpr std::size_t kMaxRowsPerHeartbeat = 1000;
 constexpr std::size_t kMaxRowBytes = std::size_t{16} * 1024;
-/// A row's CBOR head, before its text.
+/// Size of the CBOR head before a row's text.
 constexpr std::size_t kRowHeadBytes = 2;
 
 std::optional<std::vector<std::uint64_t>> read_counts(const Value& value, std::size_t size) {
@@ -26,8 +26,8 @@
   return counts;
 }
 
-std::string refusal(const std::string& field, const std::string& why) {
-  return field + ": " + why;
+std::string field_error(const std::string& field, const std::string& reason) {
+  return field + ": " + reason;
 }
 
 }  // namespace
@@ -53,7 +53,7 @@
     confirmed_by_all = std::min(confirmed_by_all, peer.confirmed_through);
   const auto has_surplus = [this] {
     return rows_.size() > options_.max_rows &&
-           rows_.back().added_at - rows_.front().added_at >= options_.keep_younger_than;
+           rows_.back().added_at - rows_.front().added_at >= options_.min_retention;
   };
   while (!rows_.empty() && (first_number_ <= confirmed_by_all || has_surplus())) {
     if (first_number_ <= confirmed_by_all) confirmed_.push_back(std::move(rows_.front().text));
@@ -83,52 +83,53 @@
 std::string ReplicatedLog::read_rows(const Value& value, std::vector<std::string>& out) const {
   const Value& rows = value[options_.fields.rows];
   if (rows.is_null()) return {};
-  const std::string why = std::string("must be a list of ") + options_.row_noun;
-  if (rows.list() == nullptr) return refusal(options_.fields.rows, why);
+  const std::string reason = std::string("must be a list of ") + options_.row_noun;
+  if (rows.list() == nullptr) return field_error(options_.fields.rows, reason);
   for (const Value& row : *rows.list()) {
-    if (row.text() == nullptr || !options_.is_valid(*row.text())) return refusal(options_.fields.rows, why);
+    if (row.text() == nullptr || !options_.is_valid(*row.text()))
+      return field_error(options_.fields.rows, reason);
     out.push_back(*row.text());
   }
   return {};
 }
 
 std::string ReplicatedLog::read_numbers(const Value& value, std::size_t row_count,
-                                        const PeerPosition& position, HeartbeatNumbers& out) const {
+                                        const PeerPosition& position, RowNumbers& out) const {
   const FieldNames& fields = options_.fields;
   const auto range = read_counts(value[fields.range], 3);
-  if (!range) return refusal(fields.range, "must be three numbers");
+  if (!range) return field_error(fields.range, "must be three numbers");
   out.incarnation = (*range)[0];
   out.first = (*range)[1];
   out.last = (*range)[2];
   if (out.incarnation == 0 || out.first == 0 || out.last < out.first - 1 ||
       out.last - (out.first - 1) < row_count)
-    return refusal(fields.range, "its numbers don't fit the list");
+    return field_error(fields.range, "its numbers don't fit the number of rows");
   const auto received = read_counts(value[fields.received], 2);
-  if (!received) return refusal(fields.received, "must be two numbers");
+  if (!received) return field_error(fields.received, "must be two numbers");
   out.confirmed_incarnation = (*received)[0];
   out.confirmed_through = (*received)[1];
   if (out.confirmed_incarnation == incarnation_ && out.confirmed_through > last_number())
-    return refusal(fields.received, "names more than there is");
+    return field_error(fields.received, "confirms more rows than there are");
   if (out.incarnation == position.incarnation && out.last < position.received_through)
-    return refusal(fields.range, "has fewer rows than it had before");
+    return field_error(fields.range, "ends before a row that was received earlier");
   return {};
 }
 
 ReplicatedLog::MergeResult ReplicatedLog::merge(const std::string& peer, const Value& value) {
-  const auto refused = [](std::string error) {
+  const auto failure = [](std::string error) {
     MergeResult result;
     result.error = std::move(error);
     return result;
   };
   const auto it = peers_.find(peer);
-  if (it == peers_.end()) return refused(refusal("node", "is none of the peers"));
+  if (it == peers_.end()) return failure(field_error("node", "names none of the peers"));
   PeerPosition& position = it->second;
   MergeResult result;
-  if (std::string error = read_rows(value, result.rows); !error.empty()) return refused(std::move(error));
-  if (value[options_.fields.range].is_null()) return result;  // versions up to 0.6 number nothing
-  HeartbeatNumbers numbers;
+  if (std::string error = read_rows(value, result.rows); !error.empty()) return failure(std::move(error));
+  if (value[options_.fields.range].is_null()) return result;  // versions up to 0.6 do not number their rows
+  RowNumbers numbers;
   if (std::string error = read_numbers(value, result.rows.size(), position, numbers); !error.empty())
-    return refused(std::move(error));
+    return failure(std::move(error));
   result.numbered = true;
   if (numbers.incarnation != position.incarnation || numbers.first > position.received_through + 1) {
     result.continuous = false;
@@ -137,7 +138,7 @@
   }
   position.received_through = std::max(position.received_through, numbers.first - 1 + result.rows.size());
   result.complete = position.received_through >= numbers.last;
-  // What the peer had confirmed to an earlier incarnation of this node says nothing about this one's rows.
+  // A confirmation for an earlier incarnation of this node does not apply to the rows of this one.
   position.confirmed_through = numbers.confirmed_incarnation == incarnation_ ? numbers.confirmed_through : 0;
   trim();
   return result;
--- a/src/membership/topology_agreement.cpp
+++ b/src/membership/topology_agreement.cpp
@@ -17,12 +17,12 @@
 namespace {
 
 constexpr Micros kActivationInterval = from_seconds(1);
-/// How long a node defers to peers that have the topology in force, if none of them comes to lead. Less than
-/// such a peer abstains after it handed the lead over.
+/// How long a node leaves the term to peers that have the active topology if none of them wins one. Shorter
+/// than such a peer abstains after it handed the leadership over.
 constexpr Micros kMaxDeferral = from_seconds(6);
 
 void log_activated(const TopologyVersion& version) {
-  log::info("topology_activated", "topology {version} is in force",
+  log::info("topology_activated", "topology {version} is now active in the cluster",
             log::with("version", topology::to_text(version)));
 }
 
@@ -38,39 +38,39 @@
   publish();
 }
 
-void TopologyAgreement::note_active(const TopologyVersion& version) {
+void TopologyAgreement::set_active(const TopologyVersion& version) {
   if (version == active_) return;
   active_ = version;
   publish();
 }
 
 void TopologyAgreement::publish() const {
-  // A leader decides by its own topology, also until that is in force.
+  // A leader uses its own topology even before that is active.
   activated_(events::TopologyActivated{own_topology_, active_, term_.leading || !differs()});
 }
 
-void TopologyAgreement::warn_if_different() {
+void TopologyAgreement::warn_on_mismatch() {
   const LoggedMismatch mismatch{own(), active_};
   if (!differs() || mismatch == logged_mismatch_) return;
   logged_mismatch_ = mismatch;
   log::error("topology_mismatch",
-             "this node has topology {own}, but {active} is in force: it does not lead while a peer with the "
-             "active one can",
+             "this node has topology {own}, but {active} is active in the cluster: this node does not lead "
+             "while a peer with the active topology can",
              log::with("own", topology::to_text(mismatch.own)),
              log::with("active", topology::to_text(mismatch.active)));
 }
 
-void TopologyAgreement::note_won(const TopologyVersion& version) {
+void TopologyAgreement::on_term_won(const TopologyVersion& version) {
   if (version != active_) log_activated(version);
   active_ = version;
 }
 
 void TopologyAgreement::begin_term(std::uint64_t mod_revision) {
   leader_revision_ = token_revision_ = mod_revision;
-  activating_ = false;
-  deferring_since_ = {};
+  activation_pending_ = false;
+  deferral_started_at_ = {};
   publish();
-  warn_if_different();
+  warn_on_mismatch();
 }
 
 void TopologyAgreement::activate_own_if_due() {
@@ -78,8 +78,8 @@
 }
 
 void TopologyAgreement::activate_own() {
-  if (activating_ || own().version <= active_.version) return;
-  activating_ = true;
+  if (activation_pending_ || own().version <= active_.version) return;
+  activation_pending_ = true;
   next_activation_ = runtime_.now() + kActivationInterval;
   Value::Map record{{"epoch", term_.fencing_token}};
   write_topology_version(record, "topology", own());
@@ -92,14 +92,15 @@
 
 void TopologyAgreement::on_activation_committed(const CommitReply& reply, std::uint64_t fencing_token,
                                                 const TopologyVersion& version) {
-  activating_ = false;
+  activation_pending_ = false;
   if (!term_.leading || fencing_token != term_.fencing_token) return;
   if (reply.result == CommitReply::Result::committed) {
     token_revision_ = reply.revision;
     log_activated(version);
-    note_active(version);
+    set_active(version);
   } else if (reply.result == CommitReply::Result::conflict) {
-    // Either an earlier attempt was executed after all, or the term is over, which the lease will show.
+    // Either an earlier attempt was executed although its reply was lost, or the term is over, in which case
+    // the lease expires.
     read_active();
   }
 }
@@ -113,13 +114,13 @@
                const Value& record = reply.rows[0].value;
                if (record["epoch"].count().value_or(0) != fencing_token) return;
                token_revision_ = reply.rows[0].mod_revision;
-               note_active(read_topology_version(record["topology"]));
+               set_active(read_topology_version(record["topology"]));
              });
 }
 
 bool TopologyAgreement::should_defer() {
-  if (deferring_since_ == Instant{}) deferring_since_ = runtime_.now();
-  return runtime_.now() - deferring_since_ < kMaxDeferral;
+  if (deferral_started_at_ == Instant{}) deferral_started_at_ = runtime_.now();
+  return runtime_.now() - deferral_started_at_ < kMaxDeferral;
 }
 
 }  // namespace wrenusher::membership
--- a/src/records/include/wrenusher/records/record_keys.hpp
+++ b/src/records/include/wrenusher/records/record_keys.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// The keys of the records in the state service.
+// Keys of the records in the state service.
 
 #include <cstdint>
 #include <optional>
@@ -15,11 +15,11 @@
 [[nodiscard]] std::string final_state_key(const std::string& job_id);
 [[nodiscard]] std::string shard_key(std::uint32_t shard);
 
-/// The job of a `job_key`; empty for any other key.
+/// Returns the job ID in a `job_key`, or nothing for any other key.
 [[nodiscard]] std::optional<std::string> parse_job_key(const std::string& key);
-/// The job of a `final_state_key`; empty for any other key.
+/// Returns the job ID in a `final_state_key`, or nothing for any other key.
 [[nodiscard]] std::optional<std::string> parse_final_state_key(const std::string& key);
-/// The number of a `shard_key`; empty for any other key.
+/// Returns the shard number in a `shard_key`, or nothing for any other key.
 [[nodiscard]] std::optional<std::uint32_t> parse_shard_key(const std::string& key);
 
 }  // namespace wrenusher::records
--- a/src/records/include/wrenusher/records/record_snapshot.hpp
+++ b/src/records/include/wrenusher/records/record_snapshot.hpp
@@ -1,4 +1,5 @@
 #pragma once
+// A decoded copy of the records in the state service.
 
 #include <cstdint>
 #include <map>
@@ -10,7 +11,7 @@
 
 namespace wrenusher::records {
 
-/// The live jobs and the shards, as a replica of the state service has them.
+/// The live jobs and the shards in a replica of the state service.
 struct RecordSnapshot {
   struct StoredJob {
     JobRecord record;
@@ -20,9 +21,9 @@
     std::uint64_t mod_revision = 0;
     std::vector<StoredBlock> blocks;
   };
-  std::map<std::string, StoredJob> jobs;  ///< by job
-  std::map<std::uint32_t, Shard> shards;  ///< by number
-  std::uint64_t revision = 0;             ///< later changes of the jobs are not in here
+  std::map<std::string, StoredJob> jobs;  ///< by job ID
+  std::map<std::uint32_t, Shard> shards;  ///< by shard number
+  std::uint64_t revision = 0;             ///< includes all changes of jobs up to this revision
 };
 
 }  // namespace wrenusher::records
--- a/src/records/job_record.cpp
+++ b/src/records/job_record.cpp
@@ -12,12 +12,12 @@
 
 constexpr const char* kCancelledField = "wd";
 
-/// Longest JSON form of one task in a block: ["m-000000000",12345678,[99999,99999]], and its separators.
+/// Size of the longest JSON form of one task in a block, ["m-000000000",12345678,[99999,99999]], including
+/// separators.
 constexpr double kBytesPerTask = 40;
-/// ["req-<60 digits>",block,version,last attempt,[],[]] and its separators: what a block takes before its
-/// first task.
+/// Size of a block without tasks, ["req-<60 digits>",block,version,last attempt,[],[]], including separators.
 constexpr double kBytesPerBlock = 140;
-/// Part of a value's limit that is used.
+/// Share of the value size limit that is used.
 constexpr double kValueMargin = 0.95;
 constexpr double kMaxTasksPerBlock = 4096;
 
--- a/src/records/record_keys.cpp
+++ b/src/records/record_keys.cpp
@@ -9,14 +9,14 @@
 
 namespace {
 
-/// What the key names behind the prefix; empty when it has another prefix.
-std::optional<std::string> rest_after(std::string_view prefix, const std::string& key) {
+/// Returns the part of the key after the prefix, or nothing if the key has another prefix.
+std::optional<std::string> strip_prefix(std::string_view prefix, const std::string& key) {
   if (!key.starts_with(prefix)) return std::nullopt;
   return key.substr(prefix.size());
 }
 
-std::optional<std::string> job_id_after(std::string_view prefix, const std::string& key) {
-  auto job_id = rest_after(prefix, key);
+std::optional<std::string> parse_job_id(std::string_view prefix, const std::string& key) {
+  auto job_id = strip_prefix(prefix, key);
   return job_id && protocol::valid_job_id(*job_id) ? job_id : std::nullopt;
 }
 
@@ -35,15 +35,15 @@
 }
 
 std::optional<std::string> parse_job_key(const std::string& key) {
-  return job_id_after(kJobPrefix, key);
+  return parse_job_id(kJobPrefix, key);
 }
 
 std::optional<std::string> parse_final_state_key(const std::string& key) {
-  return job_id_after(kFinalStatePrefix, key);
+  return parse_job_id(kFinalStatePrefix, key);
 }
 
 std::optional<std::uint32_t> parse_shard_key(const std::string& key) {
-  const auto digits = rest_after(kShardPrefix, key);
+  const auto digits = strip_prefix(kShardPrefix, key);
   if (!digits) return std::nullopt;
   std::uint32_t shard = 0;
   const char* end = digits->data() + digits->size();
--- a/src/records/shard_record.cpp
+++ b/src/records/shard_record.cpp
@@ -19,15 +19,15 @@
 constexpr std::size_t kLastAttemptColumn = 3;
 constexpr std::size_t kDoneColumn = 4;
 constexpr std::size_t kAssignmentsColumn = 5;
-constexpr std::size_t kBlockColumns = 6;
+constexpr std::size_t kBlockColumnCount = 6;
 
-/// The columns of a block's row; null when it is none.
+/// Returns the columns of a block's row, or null if the value is not a row of a block.
 const Value::List* block_columns(const Value& row) {
   const Value::List* columns = row.list();
-  return columns != nullptr && columns->size() == kBlockColumns ? columns : nullptr;
+  return columns != nullptr && columns->size() == kBlockColumnCount ? columns : nullptr;
 }
 
-/// [host, attempt, ranges]
+/// Decodes an assignment, [host, attempt, ranges]. Returns nothing if it is malformed.
 std::optional<AssignmentRow> read_assignment(const Value& value, std::uint32_t task_count) {
   const Value::List* columns = value.list();
   AssignmentRow row;
--- a/src/replica/hint_publisher.cpp
+++ b/src/replica/hint_publisher.cpp
@@ -10,18 +10,18 @@
 
 namespace {
 
-/// Rows of one message, as JSON; a heartbeat may have 64 KiB.
+/// Limit on the rows of one message, as JSON; a heartbeat is limited to 64 KiB.
 constexpr std::size_t kMaxMessageBytes = std::size_t{24} * 1024;
-/// What a row takes beside its key and its value.
+/// Size of a row in addition to its key and its value.
 constexpr std::size_t kRowOverheadBytes = 8;
-/// A message that is not confirmed within this time counts as lost.
+/// A message that is not confirmed within this time is treated as lost.
 constexpr Micros kConfirmTimeout = from_seconds(2.5);
-/// Messages under way to one peer.
+/// Unconfirmed messages to one peer.
 constexpr std::size_t kMaxInFlight = 4;
-/// A peer that was not heard for so long is sent everything when it comes back.
-constexpr Micros kMaxSilence = from_seconds(30);
+/// A peer whose last heartbeat is older than this is removed and is sent all rows when it returns.
+constexpr Micros kPeerTimeout = from_seconds(30);
 constexpr Micros kCleanupInterval = from_seconds(20);
-/// A hint received within this time may not have reached the other peers.
+/// A hint received less than this time ago may not have reached the other peers yet.
 constexpr Micros kPropagationTime = from_seconds(3);
 
 }  // namespace
@@ -47,8 +47,8 @@
 
 void HintPublisher::put(HintRow row, Instant now) {
   const auto it = table_.entries().find(row.key);
-  const bool is_known = it != table_.entries().end() && !it->second.row.is_tombstone();
-  if (is_known && it->second.row.digest == row.digest) return;
+  const bool is_published = it != table_.entries().end() && !it->second.row.is_tombstone();
+  if (is_published && it->second.row.digest == row.digest) return;
   const std::string key = row.key;
   table_.put(std::move(row), now, term_, 0);
   mark_pending(key);
@@ -93,7 +93,8 @@
     const std::size_t row_bytes = row.value.json_size() + key.size() + kRowOverheadBytes;
     if (!rows.empty() && bytes + row_bytes > kMaxMessageBytes) break;
     bytes += row_bytes;
-    // The receiver needs the digest for one thing: once it leads, it need not publish the same row again.
+    // The receiver uses the digest only when it becomes the leader, to avoid publishing an unchanged row
+    // again.
     rows.emplace_back(Value::List{key, row.value, row.digest});
     message.keys.push_back(key);
     subscriber.pending.erase(subscriber.pending.begin());
@@ -106,17 +107,17 @@
   if (it == peers_.end()) return {};
   Subscriber& subscriber = it->second;
   requeue_lost(subscriber, now);
-  const bool has_something = !subscriber.pending.empty() || subscriber.awaits_first;
-  if (!has_something || subscriber.in_flight.size() >= kMaxInFlight) return {};
+  const bool has_content = !subscriber.pending.empty() || subscriber.needs_first_message;
+  if (!has_content || subscriber.in_flight.size() >= kMaxInFlight) return {};
   Message message{now, {}};
   Value::List rows = take_rows(subscriber, message);
-  subscriber.awaits_first = false;
+  subscriber.needs_first_message = false;
   subscriber.in_flight.emplace(++messages_sent_, std::move(message));
   return Value::Map{{"term", term_},
                     {"life", incarnation_},
                     {"n", messages_sent_},
                     {"left", std::uint64_t{subscriber.pending.size()}},
-                    {"since", subscriber.first_message},
+                    {"since", subscriber.first_valid_message},
                     {"rows", std::move(rows)}};
 }
 
@@ -124,7 +125,7 @@
                                  const std::vector<std::uint64_t>& messages, Instant now) {
   Subscriber& subscriber = peers_[peer];
   if (subscriber.incarnation != incarnation) {
-    // It has restarted, or was away for long: it knows nothing that we know of.
+    // The peer has restarted or was removed after the timeout, so it may have none of the rows.
     subscriber = {incarnation, now, messages_sent_ + 1, true, {}, {}};
     for (const auto& [key, entry] : table_.entries()) {
       if (!entry.row.is_tombstone()) subscriber.pending.insert(key);
@@ -135,9 +136,9 @@
   drop_stale(now);
 }
 
-/// Nothing is kept for ever for a peer that is away, and no tombstone once every peer knows it.
+/// Removes peers that have timed out, and drops tombstones once every peer has confirmed them.
 void HintPublisher::drop_stale(Instant now) {
-  std::erase_if(peers_, [now](const auto& peer) { return now - peer.second.last_seen > kMaxSilence; });
+  std::erase_if(peers_, [now](const auto& peer) { return now - peer.second.last_seen > kPeerTimeout; });
   const bool all_confirmed = std::none_of(peers_.begin(), peers_.end(), [](const auto& peer) {
     return !peer.second.pending.empty() || !peer.second.in_flight.empty();
   });
@@ -148,7 +149,7 @@
 
 bool HintPublisher::up_to_date(const std::string& peer, std::uint64_t incarnation) const {
   const auto it = peers_.find(peer);
-  return it != peers_.end() && it->second.incarnation == incarnation && !it->second.awaits_first &&
+  return it != peers_.end() && it->second.incarnation == incarnation && !it->second.needs_first_message &&
          it->second.pending.empty() && it->second.in_flight.empty();
 }
 
--- a/src/replica/hint_row.cpp
+++ b/src/replica/hint_row.cpp
@@ -22,18 +22,18 @@
 
 namespace {
 
-// Limits beyond which a receiver refuses a row.
-/// Items in a list and counts of machines: above every machine of the largest deployment (11,000). What
-/// bounds the size of a row is its sender: a job's row has three machines at most (reconciler), a rental
-/// request fifty (PROTOCOL).
+// Limits above which a receiver rejects a row.
+/// Limit on items in a list and on counts of machines: above the number of machines of the largest deployment
+/// (11,000). The size of a row is limited by its sender: a job's row has at most three machines (reconciler),
+/// a rental request at most fifty (PROTOCOL).
 constexpr std::size_t kMaxItems = 24000;
 constexpr double kMaxSeconds = 7 * 86400;
 constexpr double kMaxGb = 1e6;
-/// Of logarithms of (actual / expected) run times: of one machine, and summed over the tasks of a job.
+/// Limits on logarithms of (actual / expected run time): of one machine, and summed over the tasks of a job.
 constexpr double kMaxSlowness = 3;
 constexpr double kMaxSampleSum = 1e7;
 
-/// A machine's slowness is worth publishing when it changes by 1/20.
+/// A machine's slowness is published again when its value, rounded to 1/20, changes.
 constexpr double kSlownessSteps = 20;
 
 std::uint64_t digest_of(const Value& value) {
@@ -45,10 +45,10 @@
   return time::from_seconds(reader.number(-kMaxSeconds, kMaxSeconds));
 }
 
-/// What a read gave, unless the row is spoilt.
+/// Returns the hint if the row is valid, or nothing.
 template <typename Hint>
-std::optional<Hint> if_good(const RowReader& reader, Hint hint) {
-  return reader.good() ? std::optional(std::move(hint)) : std::nullopt;
+std::optional<Hint> if_valid(const RowReader& reader, Hint hint) {
+  return reader.valid() ? std::optional(std::move(hint)) : std::nullopt;
 }
 
 }  // namespace
@@ -59,27 +59,27 @@
 
 HintRow to_hint_row(const MachineHint& hint) {
   Value::List images;
-  Value::List names;
+  Value::List digest_names;
   for (const auto& image : hint.images) {
     images.emplace_back(Value::List{image.image, image.gb});
-    names.emplace_back(image.image);
+    digest_names.emplace_back(image.image);
   }
   Value::List fetches;
   for (const auto& fetch : hint.fetches) {
     fetches.emplace_back(Value::List{fetch.image, fetch.size_gb, fetch.remaining_gb});
-    names.emplace_back(fetch.image);
+    digest_names.emplace_back(fetch.image);
   }
   Value::List failures;
   for (const auto& failure : hint.failures) {
     failures.emplace_back(Value::List{failure.job_id, to_seconds(failure.ago)});
-    names.emplace_back(failure.job_id);
+    digest_names.emplace_back(failure.job_id);
   }
-  // What changes all the time (how far a fetch is, which image was used last, whether there is room) goes
-  // along with the rest and is no reason to publish a row.
-  const std::uint64_t digest = digest_of(
-      Value::List{hint.address, hint.machine_type, hint.zone, hint.spot, hint.silent, hint.incarnation,
-                  std::int64_t{std::lround(hint.slowness * kSlownessSteps)},
-                  std::uint64_t{hint.images.size()}, std::uint64_t{hint.fetches.size()}, std::move(names)});
+  // Fields that change constantly (the progress of a fetch, the order of image use, free capacity) are sent
+  // with the row, but are not part of the digest, so their changes do not cause it to be published.
+  const std::uint64_t digest = digest_of(Value::List{
+      hint.address, hint.machine_type, hint.zone, hint.spot, hint.silent, hint.incarnation,
+      std::int64_t{std::lround(hint.slowness * kSlownessSteps)}, std::uint64_t{hint.images.size()},
+      std::uint64_t{hint.fetches.size()}, std::move(digest_names)});
   return {hint_key(HintKind::machine, hint.host),
           Value::List{hint.address, hint.machine_type, hint.zone, hint.spot, hint.silent, hint.has_room,
                       hint.incarnation, std::uint64_t(hint.speed_samples), hint.slowness, std::move(images),
@@ -133,44 +133,44 @@
   hint.incarnation = reader.count();
   hint.speed_samples = static_cast<int>(reader.count(kMaxItems));
   hint.slowness = reader.number(-kMaxSlowness, kMaxSlowness);
-  reader.each(2, kMaxItems, [&](RowReader& item) {
+  reader.for_each(2, kMaxItems, [&](RowReader& item) {
     std::string image = item.text();
     hint.images.push_back({std::move(image), item.number(0, kMaxGb)});
   });
-  reader.each(3, kMaxItems, [&](RowReader& item) {
+  reader.for_each(3, kMaxItems, [&](RowReader& item) {
     std::string image = item.text();
     const double size_gb = item.number(0, kMaxGb);
     hint.fetches.push_back({std::move(image), size_gb, item.number(0, kMaxGb)});
   });
-  reader.each(2, kMaxItems, [&](RowReader& item) {
+  reader.for_each(2, kMaxItems, [&](RowReader& item) {
     std::string job_id = item.text();
     hint.failures.push_back({std::move(job_id), read_duration(item)});
   });
-  return if_good(reader, std::move(hint));
+  return if_valid(reader, std::move(hint));
 }
 
 std::optional<JobClassHint> read_job_class_hint(const std::string& name, const Value& value) {
   RowReader reader(value, 1);
   JobClassHint hint;
   hint.job_class = name;
-  reader.each(3, kMaxItems, [&](RowReader& item) {
+  reader.for_each(3, kMaxItems, [&](RowReader& item) {
     std::string job_id = item.text();
     const double sum = item.number(-kMaxSampleSum, kMaxSampleSum);
     const auto tasks = static_cast<int>(item.count(kMaxTasksPerJob));
     if (tasks == 0) return;
     hint.jobs.push_back({std::move(job_id), sum, tasks});
   });
-  return if_good(reader, std::move(hint));
+  return if_valid(reader, std::move(hint));
 }
 
 std::optional<JobHint> read_job_hint(const std::string& name, const Value& value) {
   RowReader reader(value, 3);
   JobHint hint;
   hint.job_id = name;
-  reader.each(1, kMaxItems, [&](RowReader& item) { hint.hosts.push_back(item.text()); });
+  reader.for_each(1, kMaxItems, [&](RowReader& item) { hint.hosts.push_back(item.text()); });
   hint.retry_pause = read_duration(reader);
   hint.retry_count = static_cast<int>(reader.count(kMaxItems));
-  return if_good(reader, std::move(hint));
+  return if_valid(reader, std::move(hint));
 }
 
 std::optional<RentalHint> read_rental_hint(const std::string& name, const Value& value) {
@@ -182,7 +182,7 @@
   hint.spot = reader.flag();
   hint.age = read_duration(reader);
   hint.report_due = read_duration(reader);
-  return if_good(reader, std::move(hint));
+  return if_valid(reader, std::move(hint));
 }
 
 std::optional<RentalRequestHint> read_rental_request_hint(const std::string& name, const Value& value) {
@@ -194,7 +194,7 @@
   hint.spot = reader.flag();
   hint.count = static_cast<std::uint32_t>(reader.count(kMaxItems));
   if (hint.count == 0) return std::nullopt;
-  return if_good(reader, std::move(hint));
+  return if_valid(reader, std::move(hint));
 }
 
 }  // namespace wrenusher::replica
--- a/src/replica/hint_table.cpp
+++ b/src/replica/hint_table.cpp
@@ -65,9 +65,9 @@
 
 bool HintTable::put(HintRow row, Instant now, std::uint64_t term, std::uint64_t message) {
   if (row.key.size() < kMinKeyBytes || row.key.size() > kMaxKeyBytes) return false;
-  // Messages overtake each other: what an older one says of the same thing is outdated.
+  // Messages may arrive out of order: a row from an older message must not replace a newer row.
   const HintVersion version{term, message};
-  const auto [it, added] = rows_.try_emplace(row.key);
+  const auto [it, added] = entries_.try_emplace(row.key);
   Entry& entry = it->second;
   if (!added && version < entry.version) return false;
   entry = {std::move(row), now, version};
@@ -75,25 +75,25 @@
 }
 
 std::size_t HintTable::machine_count() const {
-  return static_cast<std::size_t>(std::count_if(rows_.begin(), rows_.end(), [](const auto& item) {
+  return static_cast<std::size_t>(std::count_if(entries_.begin(), entries_.end(), [](const auto& item) {
     return kind_of(item.first) == HintKind::machine && !item.second.row.is_tombstone();
   }));
 }
 
 void HintTable::drop_before(std::uint64_t term, std::uint64_t message) {
   const HintVersion version{term, message};
-  std::erase_if(rows_, [&](const auto& item) { return item.second.version < version; });
+  std::erase_if(entries_, [&](const auto& item) { return item.second.version < version; });
 }
 
 void HintTable::drop_tombstones(Instant until) {
-  std::erase_if(rows_, [until](const auto& item) {
+  std::erase_if(entries_, [until](const auto& item) {
     return item.second.row.is_tombstone() && item.second.received_at <= until;
   });
 }
 
 InheritedHints HintTable::inherited_hints(Instant now) const {
   InheritedHints hints;
-  for (const auto& [key, entry] : rows_) {
+  for (const auto& [key, entry] : entries_) {
     if (!entry.row.is_tombstone()) add_hint(key, entry.row.value, now - entry.received_at, hints);
   }
   return hints;
--- a/src/replica/include/wrenusher/replica/hint_row.hpp
+++ b/src/replica/include/wrenusher/replica/hint_row.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Hints as they travel: one row for each machine, job class, job, rental or rental request.
+// The wire format of hints: one row for each machine, job class, job, rental or rental request.
 
 #include <cstdint>
 #include <optional>
@@ -10,18 +10,18 @@
 
 namespace wrenusher::replica {
 
-/// What a row is about: the first letter of its key. Rows travel in the order of their keys, so those that
-/// serve urgent work first come first.
+/// The kind of object that a row describes, which is the first letter of the row's key. Rows are sent in the
+/// order of their keys, so kinds that matter for urgent work are sent first.
 enum class HintKind : char { job_class = 'a', rental_request = 'b', rental = 'c', job = 'd', machine = 'm' };
 
-/// The key of a row: its kind and the name of what it is about.
+/// Returns the key of a row: its kind followed by the name of the object that it describes.
 [[nodiscard]] std::string hint_key(HintKind kind, const std::string& name);
 
-/// One hint on its way or in a table.
+/// One encoded hint, in a message or in a table.
 struct HintRow {
   std::string key;
-  value::Value value;        ///< null: there is no such thing any more (a tombstone)
-  std::uint64_t digest = 0;  ///< of the part whose changes are worth publishing
+  value::Value value;        ///< null: the object no longer exists (a tombstone)
+  std::uint64_t digest = 0;  ///< of the fields whose changes cause the row to be published
 
   [[nodiscard]] bool is_tombstone() const { return value.is_null(); }
 };
@@ -32,8 +32,8 @@
 [[nodiscard]] HintRow to_hint_row(const events::RentalHint& hint);
 [[nodiscard]] HintRow to_hint_row(const events::RentalRequestHint& hint);
 
-// The other way. `name`: the key without its kind; `value`: as it came from a peer. Empty when it is
-// malformed.
+// Decoders of rows. `name`: the key without its kind; `value`: the value received from a peer. They return
+// nothing if the value is malformed.
 [[nodiscard]] std::optional<events::MachineHint> read_machine_hint(const std::string& name,
                                                                    const value::Value& value);
 [[nodiscard]] std::optional<events::JobClassHint> read_job_class_hint(const std::string& name,
--- a/src/replica/include/wrenusher/replica/hint_table.hpp
+++ b/src/replica/include/wrenusher/replica/hint_table.hpp
@@ -1,4 +1,5 @@
 #pragma once
+// A table of the newest hint for each object, kept by the leader and by each standby.
 
 #include <compare>
 #include <cstdint>
@@ -13,16 +14,17 @@
 using time::Instant;
 using time::Micros;
 
-/// Which message of which leader brought a hint: a later one has the newer word.
+/// Identifies the message that contained a hint. A hint from a later message replaces one from an earlier
+/// message.
 struct HintVersion {
   std::uint64_t term = 0;
-  std::uint64_t message = 0;  ///< counts the messages of the term's leader
+  std::uint64_t message = 0;  ///< the number that the term's leader gave the message
   // NOLINTNEXTLINE(modernize-use-nullptr): false positive on a defaulted comparison
   auto operator<=>(const HintVersion&) const = default;
 };
 
-/// The hints that are known, by row. Rows may come from a peer, so none is trusted to be well formed: what
-/// cannot be read is left out. Single-threaded.
+/// The newest rows of all hints. Rows may come from a peer and may be malformed: those that cannot be decoded
+/// are skipped. Single-threaded.
 class HintTable {
  public:
   struct Entry {
@@ -30,20 +32,21 @@
     Instant received_at{};
     HintVersion version;
   };
-  /// False when the row is older than what is known of the same thing, or its key has a wrong length.
+  /// Stores a row. Returns false if the table has a newer row with the same key, or if the length of the key
+  /// is out of range.
   bool put(HintRow row, Instant now, std::uint64_t term, std::uint64_t message);
-  [[nodiscard]] const std::map<std::string, Entry>& entries() const { return rows_; }
-  /// How many machines there are hints of.
+  [[nodiscard]] const std::map<std::string, Entry>& entries() const { return entries_; }
+  /// Returns the number of machines that have a hint.
   [[nodiscard]] std::size_t machine_count() const;
-  /// Drops what came with an earlier message.
+  /// Drops all rows from earlier messages.
   void drop_before(std::uint64_t term, std::uint64_t message);
-  /// Drops tombstones that came until then.
+  /// Drops the tombstones received at or before `until`.
   void drop_tombstones(Instant until);
-  /// All hints, with the ages that things have by now.
+  /// Decodes all hints and adjusts their ages and remaining times to `now`.
   [[nodiscard]] events::InheritedHints inherited_hints(Instant now) const;
 
  private:
-  std::map<std::string, Entry> rows_;  ///< by key
+  std::map<std::string, Entry> entries_;  ///< by key
 };
 
 }  // namespace wrenusher::replica
--- a/src/replica/include/wrenusher/replica/record_replica.hpp
+++ b/src/replica/include/wrenusher/replica/record_replica.hpp
@@ -1,12 +1,13 @@
 #pragma once
-// The replica of the records: live jobs and shards, kept current by the state service's changes while another
-// node leads, and verified against it once this node has won a term (ReplicaVerifier).
+// The replica of the records: live jobs and shards, kept current by watching the state service while another
+// node leads, and verified against the service after this node has won a term (ReplicaVerifier).
 //
-// It is read by pages and then watched, both at the rate that nobody else wants. The reply to each watch says
-// up to which revision nothing is missing. Any doubt (a change that is older than what was asked for, a
-// revision that went back, a value under another's key, changes that the service does not have any more)
-// discards it: a replica is complete or cold, never wrong by what is known here. What is not known here, the
-// verifier finds.
+// The replica is read page by page and then watched, with low-priority background requests. The reply to each
+// watch contains the revision up to which no change is missing.
+//
+// The replica is discarded on any inconsistency: a change older than requested, a revision that went back, a
+// value under the wrong key, or changes that the service no longer has. So the replica is either complete or
+// cold, and contains no error that is detectable here. The verifier detects other errors.
 
 #include <array>
 #include <cstdint>
@@ -39,37 +40,37 @@
   RecordReplica(Runtime& runtime, const Settings& settings, KvClient& store)
       : runtime_(runtime), settings_(settings), store_(store) {}
 
-  /// Begins to read and watch, from nothing.
+  /// Discards the replica and starts to read and watch the records.
   void start();
-  /// Stops and forgets everything.
+  /// Stops and discards the replica.
   void stop();
-  /// The replica had everything up to a few seconds ago.
+  /// Returns whether the replica contains all changes up to a few seconds ago.
   [[nodiscard]] bool complete() const;
-  /// Stops, and gives the replica away with what has changed until now; null when it is not complete, cannot
-  /// be brought up to date, or has not reached `min_revision`.
+  /// Stops, fetches the latest changes and passes the replica to `done`. Passes null if the replica is not
+  /// complete, cannot be brought up to date or has not reached `min_revision`.
   void hand_over(std::uint64_t min_revision, const SnapshotHandler& done);
 
-  /// The state service was asked at this time, and these live jobs are cancelled; all others that are were
-  /// named in an earlier call.
-  std::function<void(Instant asked_at, std::vector<std::string> job_ids)> cancellations_read;
-  /// A watch has shown these changes of jobs.
+  /// Called with the time of a request to the state service and the cancelled live jobs in its reply. All
+  /// other cancelled live jobs were passed to an earlier call.
+  std::function<void(Instant requested_at, std::vector<std::string> job_ids)> cancellations_read;
+  /// Called with the changes of jobs that a watch returned.
   std::function<void(const events::RecordsChanged&)> records_changed;
 
-  [[nodiscard]] std::size_t job_count() const { return data_.jobs.size(); }
-  [[nodiscard]] std::size_t shard_count() const { return data_.shards.size(); }
+  [[nodiscard]] std::size_t job_count() const { return snapshot_.jobs.size(); }
+  [[nodiscard]] std::size_t shard_count() const { return snapshot_.shards.size(); }
 
  private:
-  /// The keys with one prefix. Jobs and shards are watched apart, each with its own revision.
+  /// The keys with one prefix. Jobs and shards are watched separately, each with its own revision.
   struct Partition {
     const char* prefix = "";
-    std::uint64_t applied_revision = 0;           ///< nothing is missing up to this revision
-    std::optional<std::uint64_t> first_revision;  ///< of the first page; empty: it has not come
+    std::uint64_t applied_revision = 0;           ///< all changes up to this revision are applied
+    std::optional<std::uint64_t> first_revision;  ///< of the first page; empty: not received yet
     std::string next_key;                         ///< the next page begins after this key
-    bool loaded = false;                          ///< all pages have come
-    Instant current_at{};                         ///< when it was last known to have reached that revision
-    Instant asked_at{};                           ///< when the first page was asked for
+    bool loaded = false;                          ///< all pages have been received
+    Instant last_current_at{};                    ///< when all changes were last known to be applied
+    Instant requested_at{};                       ///< when the first page was requested
   };
-  /// A hand-over that waits for the last changes of both partitions.
+  /// A hand-over that is waiting for the latest changes of both partitions.
   struct HandOver {
     std::uint64_t min_revision = 0;
     SnapshotHandler done;
@@ -78,17 +79,18 @@
   static std::array<Partition, 2> empty_partitions();
   Partition& job_partition() { return partitions_.front(); }
   Partition& shard_partition() { return partitions_.back(); }
-  /// Calls the action after the pause, unless the replica was started, stopped or handed over meanwhile.
-  void after(Micros pause, std::function<void()> action);
+  /// Calls the action after the pause, unless the replica is started, stopped or handed over before that.
+  void run_after(Micros pause, std::function<void()> action);
 
   void load_page(Partition& partition);
   void on_page(Partition& partition, const kv_client::ReadReply& page);
   void on_loaded(Partition& partition);
   void watch(Partition& partition);
-  /// Applies the changes of a watch. False, and the replica is discarded, when they do not fit.
-  bool apply(Partition& partition, const kv_client::WatchReply& reply);
+  /// Applies the changes of a watch. If they are inconsistent with the request, discards the replica and
+  /// returns false.
+  bool apply_changes(Partition& partition, const kv_client::WatchReply& reply);
   void publish_changes(const kv_client::WatchReply& reply) const;
-  void publish_cancellations(Instant asked_at, const std::vector<kv_client::KeyValue>& puts) const;
+  void publish_cancellations(Instant requested_at, const std::vector<kv_client::KeyValue>& puts) const;
   void discard(const char* reason);
   [[nodiscard]] Micros watch_pause() const;
   void on_last_changes(Partition& partition, const std::shared_ptr<HandOver>& hand_over,
@@ -98,9 +100,9 @@
   const Settings& settings_;
   KvClient& store_;
   bool running_ = false;
-  /// Rises with every start, stop and hand-over: replies that belong to an earlier one are dropped.
+  /// Incremented by every start, stop and hand-over; replies to requests of earlier generations are dropped.
   std::uint64_t generation_ = 0;
-  records::RecordSnapshot data_;
+  records::RecordSnapshot snapshot_;
   std::array<Partition, 2> partitions_ = empty_partitions();
 };
 
--- a/src/replica/include/wrenusher/replica/standby_replica.hpp
+++ b/src/replica/include/wrenusher/replica/standby_replica.hpp
@@ -1,9 +1,11 @@
 #pragma once
-// Package replica: what a node that does not lead holds ready, so that its term begins with what the last
-// leader had learnt. It owns a replica of the records (verified against the state service once this node has
-// won a term) and the hints of what no record holds, which the leader publishes in bounded messages that
-// travel in the heartbeats between controllers. A hint may order and estimate, never prove. It may depend on
-// time, value, runtime, settings, protocol, kv_client, records, events and log.
+// Package replica: the warm standby. A node that does not lead keeps the state from which its own term can
+// start: a replica of the records, which is verified against the state service after this node has won a
+// term, and hints about state that is not in any record.
+//
+// The leader publishes hints in messages of bounded size, which are part of the heartbeats between
+// controllers. A hint may affect the order of work and estimates, but is never proof of anything. The package
+// may depend on time, value, runtime, settings, protocol, kv_client, records, events and log.
 
 #include <cstdint>
 #include <map>
@@ -24,22 +26,22 @@
 
 namespace wrenusher::replica {
 
-/// The warm standby of this node: does nothing where the settings have none. Single-threaded: called from the
-/// runtime's loop only.
+/// The warm standby of this node; does nothing if the settings do not enable it. Single-threaded: called from
+/// the runtime's loop only.
 class StandbyReplica {
  public:
   /// All arguments must outlive this.
   StandbyReplica(Runtime& runtime, const Settings& settings, KvClient& store);
-  /// To be called once, after the sinks are connected.
+  /// Starts the standby; must be called once, after the sinks are connected.
   void start();
 
   void on_term(const events::TermChanged& term);
   void on_attachment(const events::HeartbeatAttachment& event);
   void on_heartbeat_sent(const events::HeartbeatSent& event);
   void on_stepping_down(const events::SteppingDown& event);
-  /// What changed at this leader since the last event.
+  /// Publishes the hints that changed at this leader since the last event.
   void on_leader_hints(const std::shared_ptr<const events::LeaderHints>& hints);
-  /// All rentals and rental requests of this leader.
+  /// Publishes all rentals and rental requests of this leader; those not in the event are removed.
   void on_rental_hints(const std::shared_ptr<const events::RentalHints>& hints);
   void on_machine_departed(const events::MachineDeparted& event);
 
@@ -53,17 +55,18 @@
   runtime::EventSink<events::RecordsChanged> records_changed;
 
  private:
-  /// What a peer said of itself.
+  /// The state of a peer, as received in its heartbeats.
   struct PeerState {
     std::uint64_t incarnation = 0;
-    std::uint64_t first_message = 0;        ///< what it published before this message is void
-    std::uint64_t complete_from = 0;        ///< incarnation of the leader whose hints it has all of; 0: none
-    std::vector<std::uint64_t> to_confirm;  ///< messages that came from it
+    std::uint64_t first_valid_message = 0;  ///< hints in its earlier messages are invalid
+    /// The leader incarnation whose hints the peer has completely; 0: none.
+    std::uint64_t synced_leader_incarnation = 0;
+    std::vector<std::uint64_t> messages_to_confirm;  ///< messages received from it, not confirmed yet
   };
   void tick();
   void publish_readiness(events::Readiness readiness);
   void warn_if_cold(events::Readiness readiness);
-  [[nodiscard]] bool is_term(std::uint64_t fencing_token) const {
+  [[nodiscard]] bool leading_term(std::uint64_t fencing_token) const {
     return term_.leading && term_.fencing_token == fencing_token;
   }
 
@@ -88,8 +91,9 @@
   HintPublisher publisher_;  ///< while this node leads
   HintTable hints_;          ///< while another node leads
   std::map<std::string, PeerState> peers_;
-  std::uint64_t complete_from_ = 0;  ///< incarnation of the leader whose hints `hints_` has all of; 0: none
-  Instant complete_at_{};            ///< when that was last so
+  /// The leader incarnation whose hints `hints_` contains completely; 0: none.
+  std::uint64_t synced_leader_incarnation_ = 0;
+  Instant last_synced_at_{};  ///< when `hints_` was last confirmed to be complete
   std::optional<events::Readiness> published_readiness_;
   Instant not_warm_since_{};
   Instant next_warning_{};
--- a/src/replica/row_reader.cpp
+++ b/src/replica/row_reader.cpp
@@ -11,11 +11,11 @@
 }  // namespace
 
 RowReader::RowReader(const Value& row, std::size_t column_count)
-    : columns_(row.list()), good_(columns_ != nullptr && columns_->size() == column_count) {}
+    : columns_(row.list()), valid_(columns_ != nullptr && columns_->size() == column_count) {}
 
 const Value& RowReader::next() {
   static const Value none;
-  return good_ ? (*columns_)[next_column_++] : none;
+  return valid_ ? (*columns_)[next_column_++] : none;
 }
 
 std::string RowReader::text() {
