--- a/src/replica/standby_replica.cpp
+++ b/src/replica/standby_replica.cpp
@@ -33,15 +33,15 @@
 
 namespace {
 
-constexpr Micros kTick = from_millis(500);
-/// Hints that the leader has not called complete for so long are not complete any more; at the beginning of a
-/// term the former leader is silent, and they have twice as long.
+constexpr Micros kReadinessInterval = from_millis(500);
+/// Hints are treated as incomplete if the leader last confirmed their completeness longer ago than this.
+/// Twice this time is allowed at the beginning of a term, since the previous leader has stopped sending.
 constexpr Micros kMaxHintAge = from_seconds(5);
-/// A node that stays cold for so long warns, and again after as long.
-constexpr Micros kColdWarning = from_seconds(60);
-/// Confirmations in one heartbeat; a message that is not confirmed comes again.
+/// A standby that has not been warm for this long logs a warning, and repeats it at this interval.
+constexpr Micros kNotWarmWarningInterval = from_seconds(60);
+/// Confirmations per heartbeat; a message that is not confirmed is sent again.
 constexpr std::size_t kMaxConfirmations = 8;
-/// Older hints of machines are not inherited: images move, machines go.
+/// Older hints of machines are not inherited, since images are replaced and machines are returned.
 constexpr Micros kMaxMachineHintAge = from_seconds(300);
 
 const char* readiness_name(Readiness readiness) {
@@ -56,7 +56,7 @@
   return "cold";
 }
 
-/// The numbers in a list; empty when it is none.
+/// Returns the numbers in a list, or no numbers if the value is not a list.
 std::vector<std::uint64_t> read_counts(const Value& value) {
   std::vector<std::uint64_t> counts;
   const Value::List* list = value.list();
@@ -79,8 +79,8 @@
 
 void StandbyReplica::start() {
   if (!settings_.has_standby()) return;
-  replica_.cancellations_read = [this](Instant asked_at, std::vector<std::string> job_ids) {
-    cancellations_read(CancellationsRead{asked_at, std::move(job_ids)});
+  replica_.cancellations_read = [this](Instant requested_at, std::vector<std::string> job_ids) {
+    cancellations_read(CancellationsRead{requested_at, std::move(job_ids)});
   };
   replica_.records_changed = [this](const RecordsChanged& event) { records_changed(event); };
   replica_.start();
@@ -92,7 +92,7 @@
 Readiness StandbyReplica::readiness() const {
   if (term_.leading) return Readiness::warm;
   const bool has_records = replica_.complete();
-  const bool has_hints = complete_from_ != 0 && runtime_.now() - complete_at_ < kMaxHintAge;
+  const bool has_hints = synced_leader_incarnation_ != 0 && runtime_.now() - last_synced_at_ < kMaxHintAge;
   if (has_records && has_hints) return Readiness::warm;
   return has_records || has_hints ? Readiness::partial : Readiness::cold;
 }
@@ -101,7 +101,7 @@
   const Readiness current = readiness();
   if (current != published_readiness_) publish_readiness(current);
   warn_if_cold(current);
-  runtime_.after(kTick, [this] { tick(); });
+  runtime_.after(kReadinessInterval, [this] { tick(); });
 }
 
 void StandbyReplica::publish_readiness(Readiness readiness) {
@@ -121,31 +121,31 @@
     not_warm_since_ = now;
     return;
   }
-  if (now - not_warm_since_ <= kColdWarning || now <= next_warning_) return;
-  next_warning_ = now + kColdWarning;
+  if (now - not_warm_since_ <= kNotWarmWarningInterval || now <= next_warning_) return;
+  next_warning_ = now + kNotWarmWarningInterval;
   log::warn("standby_not_warm",
             "this standby has been {state} for {seconds:.0f} s: records {records}, hints {hints}",
             log::with("state", readiness_name(readiness)),
             log::with("seconds", to_seconds(now - not_warm_since_)),
             log::with("records", replica_.complete() ? "complete" : "incomplete"),
-            log::with("hints", complete_from_ != 0 ? "complete" : "incomplete"));
+            log::with("hints", synced_leader_incarnation_ != 0 ? "complete" : "incomplete"));
 }
 
 // ---------------------------------------------------------------- terms
 
 void StandbyReplica::on_term(const TermChanged& term) {
   if (!settings_.has_standby()) return;
-  const bool begins = term.leading && !is_term(term.fencing_token);
-  const bool ends = term_.leading && !term.leading;
+  const bool term_begins = term.leading && !leading_term(term.fencing_token);
+  const bool term_ends = term_.leading && !term.leading;
   term_ = term;
-  if (begins) {
+  if (term_begins) {
     begin_term();
-  } else if (ends) {
+  } else if (term_ends) {
     end_term();
   }
 }
 
-/// Publishes the hints at hand, and has the records verified.
+/// Publishes the hints received from the previous leader and starts to verify the records.
 void StandbyReplica::begin_term() {
   const Instant now = runtime_.now();
   publish_inherited_hints(now);
@@ -153,16 +153,16 @@
   hints_ = {};
   replica_.hand_over(term_.mod_revision, [this, fencing_token = term_.fencing_token](
                                              const std::shared_ptr<RecordSnapshot>& snapshot) {
-    if (is_term(fencing_token)) verify_records(snapshot);
+    if (leading_term(fencing_token)) verify_records(snapshot);
   });
 }
 
 void StandbyReplica::end_term() {
   verifier_.stop();
-  // What this node knew as leader is the newest hint there is, until the next leader publishes its own.
+  // The hints that this node published as leader are the newest until the next leader publishes its own.
   hints_ = publisher_.table();
   publisher_.end();
-  complete_from_ = 0;
+  synced_leader_incarnation_ = 0;
   replica_.start();
 }
 
@@ -170,21 +170,21 @@
   auto hints = std::make_shared<InheritedHints>(hints_.inherited_hints(now));
   std::erase_if(hints->machines, [](const auto& machine) { return machine.second.age > kMaxMachineHintAge; });
   hints->term = term_.fencing_token;
-  hints->complete = complete_from_ != 0 && now - complete_at_ < kMaxHintAge * 2;
+  hints->complete = synced_leader_incarnation_ != 0 && now - last_synced_at_ < kMaxHintAge * 2;
   hints_inherited(std::move(hints));
 }
 
-/// The peers, with their incarnations, that have all hints of the same leader as this node.
+/// Returns the peers, with their incarnations, that have all hints of the same leader as this node.
 std::map<std::string, std::uint64_t> StandbyReplica::synchronized_peers() const {
   std::map<std::string, std::uint64_t> result;
-  if (complete_from_ == 0) return result;
+  if (synced_leader_incarnation_ == 0) return result;
   for (const auto& [name, peer] : peers_) {
-    if (peer.complete_from == complete_from_) result[name] = peer.incarnation;
+    if (peer.synced_leader_incarnation == synced_leader_incarnation_) result[name] = peer.incarnation;
   }
   return result;
 }
 
-/// `snapshot`: null if the replica was not complete; then the new leader reads all records itself.
+/// `snapshot`: null if the replica was not complete; the new leader then reads all records itself.
 void StandbyReplica::verify_records(const std::shared_ptr<RecordSnapshot>& snapshot) {
   const std::uint64_t fencing_token = term_.fencing_token;
   if (!snapshot) {
@@ -192,14 +192,14 @@
     return;
   }
   verifier_.verify(snapshot, [this, fencing_token, snapshot](const ReplicaVerifier::Result& result) {
-    if (is_term(fencing_token)) on_verified(result, snapshot);
+    if (leading_term(fencing_token)) on_verified(result, snapshot);
   });
 }
 
 void StandbyReplica::on_verified(const ReplicaVerifier::Result& result,
                                  const std::shared_ptr<RecordSnapshot>& snapshot) {
-  const bool is_expected = result.verified && result.reread == 0;
-  log::say(is_expected ? spdlog::level::debug : spdlog::level::warn, "replica_verified",
+  const bool is_clean = result.verified && result.reread == 0;
+  log::say(is_clean ? spdlog::level::debug : spdlog::level::warn, "replica_verified",
            "the replica of the records is {verdict}: {keys} keys compared, {reread} read again",
            log::with("keys", result.compared), log::with("reread", result.reread),
            log::with("verdict", result.verified ? "verified" : "rejected"));
@@ -252,7 +252,7 @@
   send_all_hints();
 }
 
-/// The last hints of the term.
+/// Sends the last hints of the term.
 void StandbyReplica::on_stepping_down(const SteppingDown&) {
   send_all_hints();
 }
@@ -265,15 +265,16 @@
 void StandbyReplica::send_hints(const std::string& peer) {
   PeerState& state = peers_[peer];
   Value::List confirmed;
-  for (const std::uint64_t message : std::exchange(state.to_confirm, {})) confirmed.emplace_back(message);
+  for (const std::uint64_t message : std::exchange(state.messages_to_confirm, {}))
+    confirmed.emplace_back(message);
   Value::Map out{{"life", incarnation_},
                  {"got", std::move(confirmed)},
-                 {"told_by", term_.leading ? incarnation_ : complete_from_}};
+                 {"told_by", term_.leading ? incarnation_ : synced_leader_incarnation_}};
   if (term_.leading) {
     if (Value message = publisher_.next_message(peer, runtime_.now()); !message.is_null()) {
       out.emplace_back("hints", std::move(message));
     } else if (publisher_.up_to_date(peer, state.incarnation)) {
-      // The peer has to know that there is nothing new: what that incarnation of it has is complete.
+      // Confirms to the peer that the hints of this incarnation of it are still complete.
       out.emplace_back("even", state.incarnation);
     }
   }
@@ -287,15 +288,15 @@
   if (!incarnation) return;
   if (peer.incarnation != *incarnation) peer = {};
   peer.incarnation = *incarnation;
-  peer.complete_from = event.value["told_by"].count().value_or(0);
+  peer.synced_leader_incarnation = event.value["told_by"].count().value_or(0);
   if (term_.leading) {
     publisher_.on_confirmed(event.peer, peer.incarnation, read_counts(event.value["got"]), runtime_.now());
     return;
   }
   if (!event.value["hints"].is_null()) merge_hints(event.value["hints"], peer);
   if (event.value["even"].count() == incarnation_) {
-    complete_from_ = peer.incarnation;
-    complete_at_ = runtime_.now();
+    synced_leader_incarnation_ = peer.incarnation;
+    last_synced_at_ = runtime_.now();
   }
 }
 
@@ -304,11 +305,11 @@
   const Value::List* rows = message["rows"].list();
   if (version.term < term_.fencing_token || version.message == 0 || rows == nullptr) return;
   const Instant now = runtime_.now();
-  // A leader that began from nothing with this node sends everything: what it had sent before is void.
-  const std::uint64_t first_message = message["since"].count().value_or(0);
-  if (first_message > sender.first_message) {
-    sender.first_message = first_message;
-    hints_.drop_before(version.term, first_message);
+  // The leader has restarted publishing to this node and sends all rows, so its earlier messages are invalid.
+  const std::uint64_t first_valid_message = message["since"].count().value_or(0);
+  if (first_valid_message > sender.first_valid_message) {
+    sender.first_valid_message = first_valid_message;
+    hints_.drop_before(version.term, first_valid_message);
   }
   for (const Value& row : *rows) {
     const Value::List* columns = row.list();
@@ -316,12 +317,13 @@
     hints_.put({*(*columns)[0].text(), (*columns)[1], (*columns)[2].count().value_or(0)}, now, version.term,
                version.message);
   }
-  if (sender.to_confirm.size() < kMaxConfirmations) sender.to_confirm.push_back(version.message);
+  if (sender.messages_to_confirm.size() < kMaxConfirmations)
+    sender.messages_to_confirm.push_back(version.message);
   if (message["left"].count() == std::uint64_t{0}) {
-    complete_from_ = sender.incarnation;
-    complete_at_ = now;
-  } else if (complete_from_ != sender.incarnation) {
-    complete_from_ = 0;
+    synced_leader_incarnation_ = sender.incarnation;
+    last_synced_at_ = now;
+  } else if (synced_leader_incarnation_ != sender.incarnation) {
+    synced_leader_incarnation_ = 0;
   }
 }
 
--- a/tests/golden_values.hpp
+++ b/tests/golden_values.hpp
@@ -1,7 +1,6 @@
 #pragma once
-// Values of every stored record, heartbeat and hint, and the bytes in which this build writes them. The
-// golden test compares these with files that the production version wrote; golden_writer.cpp writes such
-// files.
+// A value of every kind of stored record, heartbeat and hint, and its encoding by this build. The golden test
+// compares the encodings with files written by the production version; golden_writer.cpp writes such files.
 
 #include <map>
 #include <string>
@@ -19,18 +18,18 @@
 using namespace runtime;
 using namespace protocol;
 
-/// Settings of one of the three controllers c0, c1 and c2.
+/// Returns the settings of one of the three controllers c0, c1 and c2.
 settings::Settings settings_of(const std::string& node);
-std::shared_ptr<const topology::Topology> topology_in_use();
+std::shared_ptr<const topology::Topology> active_topology();
 
 // Records
 JobSpec array_job();
 JobSpec gang_job();
 JobSpec service_job();
-inline constexpr WallTime kAccepted{from_millis(1764676800123)};
+inline constexpr WallTime kAcceptedAt{from_millis(1764676800123)};
 inline constexpr std::uint32_t kTasksPerBlock = 358;
-inline constexpr std::uint32_t kSlot = 7;
-std::vector<records::StoredBlock> blocks();
+inline constexpr std::uint32_t kShard = 7;
+std::vector<records::StoredBlock> stored_blocks();
 Catalog catalog();
 
 // Heartbeats
@@ -39,17 +38,18 @@
 
 // Hints
 events::MachineHint machine_hint();
-events::JobClassHint queue_hint();
+events::JobClassHint job_class_hint();
 events::JobHint job_hint();
 events::RentalHint rental_hint();
-events::RentalRequestHint booking_hint();
+events::RentalRequestHint rental_request_hint();
 
-/// All of them by name, encoded by this build: the name of the file that holds the production version's
-/// bytes.
+/// Returns all values, encoded by this build, by the name of the golden file with the encoding of the
+/// production version.
 std::map<std::string, std::string> encoded_by_this_build();
 
-/// Bytes as lines of 64 hexadecimal digits, and back.
+/// Formats bytes as lines of 64 hexadecimal digits.
 std::string to_hex(const std::string& bytes);
+/// Parses the format of `to_hex`; white space is ignored.
 std::string from_hex(const std::string& text);
 
 }  // namespace wrenusher::golden
--- a/tests/golden_writer.cpp
+++ b/tests/golden_writer.cpp
@@ -1,5 +1,5 @@
-// Writes the golden files: golden_writer DIRECTORY. Meant to be built against the version whose bytes are to
-// be kept; tests/golden/README.md says how.
+// Writes the golden files to a directory: golden_writer DIRECTORY. It must be built with the version whose
+// encoding is to be recorded; see tests/golden/README.md.
 
 #include <filesystem>
 #include <fstream>
@@ -9,7 +9,7 @@
 
 int main(int argc, char** argv) {
   if (argc != 2) {
-    std::cerr << "golden_writer: needs the directory to write to\n";
+    std::cerr << "usage: golden_writer DIRECTORY\n";
     return 2;
   }
   for (const auto& [name, bytes] : wrenusher::golden::encoded_by_this_build()) {
--- a/tests/kv_client_test.cpp
+++ b/tests/kv_client_test.cpp
@@ -1,4 +1,5 @@
-// Whose turn it is at the state service: reads, changes, scheduling and what is only spare share one pace.
+// Rate limits and queues of KvClient: user reads, user writes, scheduling commits and background calls share
+// one rate.
 
 #include "wrenusher/kv_client/kv_client.hpp"
 
@@ -20,147 +21,155 @@
 using wrenusher::settings::Settings;
 using wrenusher::testbed::World;
 
-/// A node alone with a state service that answers 200 to everything, at once.
-struct StoreByHand {
+/// A single node whose state service replies 200 to every call at once.
+struct KvClientFixture {
   Settings settings = [] {
-    Settings s = World::small_site();
-    s.state_rps = 100;
-    s.state_write_rps = 10;
-    return s;
+    Settings site = World::small_site();
+    site.state_rps = 100;
+    site.state_write_rps = 10;
+    return site;
   }();
-  ByHand rt;
-  KvClient store{rt, settings};
-  int reads = 0;    ///< that reached the service
-  int commits = 0;  ///< likewise
+  ByHand runtime;
+  KvClient store{runtime, settings};
+  int reads = 0;    ///< number of reads that reached the service
+  int commits = 0;  ///< number of commits that reached the service
 
-  void pass(Micros time) {
-    for (Micros t{}; t < time; t += from_millis(10)) {
-      rt.pass(from_millis(10));
-      answer();
+  void advance(Micros duration) {
+    for (Micros elapsed{}; elapsed < duration; elapsed += from_millis(10)) {
+      runtime.pass(from_millis(10));
+      reply_to_calls();
     }
   }
-  void answer() {
-    while (!rt.calls.empty()) {
-      const auto calls = std::exchange(rt.calls, {});
-      for (const ByHand::Call& c : calls) {
-        (c.request.method == "GET" ? reads : commits) += 1;
-        c.done({true, true, {200, encode(Value::Map{{"ledger_rev", 5}, {"value", 1}}), 0}});
+  void reply_to_calls() {
+    while (!runtime.calls.empty()) {
+      const auto calls = std::exchange(runtime.calls, {});
+      for (const ByHand::Call& call : calls) {
+        (call.request.method == "GET" ? reads : commits) += 1;
+        call.done({true, true, {200, encode(Value::Map{{"ledger_rev", 5}, {"value", 1}}), 0}});
       }
     }
   }
-  void change(KvClient::RequestClass urgent, int puts, std::function<void(CommitReply)> done) {
-    std::vector<Mutation> changes;
-    for (int i = 0; i < puts; ++i) changes.push_back({"k" + std::to_string(i), Value(1), 0});
-    store.commit({}, changes, urgent, std::move(done));
+  void submit_commit(KvClient::RequestClass request_class, int put_count,
+                     std::function<void(CommitReply)> done) {
+    std::vector<Mutation> mutations;
+    for (int i = 0; i < put_count; ++i) mutations.push_back({"k" + std::to_string(i), Value(1), 0});
+    store.commit({}, mutations, request_class, std::move(done));
   }
-  /// Uses up what a second's rest has left of the changes' pace.
-  void use_up_changes() {
-    change(KvClient::RequestClass::lease, 10, [](const CommitReply&) {});
-    answer();
+  /// Uses up the write tokens that have accumulated.
+  void drain_write_tokens() {
+    submit_commit(KvClient::RequestClass::lease, 10, [](const CommitReply&) {});
+    reply_to_calls();
   }
 };
 
-// While a third of the requests' pace was left, questions waited behind submissions that waited for theirs.
-TEST(StorePace, QuestionsDoNotWaitBehindChanges) {
-  StoreByHand s;
-  s.use_up_changes();
-  for (int i = 0; i < 20; ++i) s.change(KvClient::RequestClass::user, 1, [](const CommitReply&) {});
-  int answered = 0;
+// Guards against reads that wait behind submissions waiting for write tokens while a third of the request
+// rate is unused.
+TEST(KvClientTest, ReadsDoNotWaitBehindWrites) {
+  KvClientFixture fixture;
+  fixture.drain_write_tokens();
+  for (int i = 0; i < 20; ++i)
+    fixture.submit_commit(KvClient::RequestClass::user, 1, [](const CommitReply&) {});
+  int replied = 0;
   for (int i = 0; i < 30; ++i) {
-    s.store.get("x", KvClient::RequestClass::user,
-                [&](const ReadReply& r) { answered += r.result == ReadReply::Result::ok; });
+    fixture.store.get("x", KvClient::RequestClass::user,
+                      [&](const ReadReply& reply) { replied += reply.result == ReadReply::Result::ok; });
   }
-  s.pass(from_millis(200));
-  EXPECT_EQ(answered, 30);
-  EXPECT_LE(s.commits, 4);
-  s.pass(from_seconds(3));
-  EXPECT_GE(s.commits, 20);
+  fixture.advance(from_millis(200));
+  EXPECT_EQ(replied, 30);
+  EXPECT_LE(fixture.commits, 4);
+  fixture.advance(from_seconds(3));
+  EXPECT_GE(fixture.commits, 20);
 }
 
-TEST(StorePace, ChangesGoOnWhileQuestionsStorm) {
-  StoreByHand s;
+TEST(KvClientTest, WritesProceedDuringBurstOfReads) {
+  KvClientFixture fixture;
   int committed = 0;
   for (int second = 0; second < 5; ++second) {
     for (int i = 0; i < 100; ++i) {
-      for (int k = 0; k < 3; ++k) s.store.get("x", KvClient::RequestClass::user, [](const ReadReply&) {});
+      for (int read = 0; read < 3; ++read)
+        fixture.store.get("x", KvClient::RequestClass::user, [](const ReadReply&) {});
       if (i % 10 == 0) {
-        for (const auto urgent : {KvClient::RequestClass::user, KvClient::RequestClass::scheduling}) {
+        for (const auto request_class : {KvClient::RequestClass::user, KvClient::RequestClass::scheduling}) {
           if (i % 20 == 0)
-            s.change(urgent, 1,
-                     [&](const CommitReply& c) { committed += c.result == CommitReply::Result::committed; });
+            fixture.submit_commit(request_class, 1, [&](const CommitReply& reply) {
+              committed += reply.result == CommitReply::Result::committed;
+            });
         }
       }
-      s.pass(from_millis(10));
+      fixture.advance(from_millis(10));
     }
   }
-  EXPECT_GE(committed, 45);  // 10 a second were asked for, and there is pace for 9.5
+  EXPECT_GE(committed, 45);  // 10 writes per second were submitted; the rate allows 9.5
 }
 
-// Of two kinds of change that wait neither starves the other, though one needs ten times as much at a time.
-TEST(StorePace, SchedulingAndUsersChangesTakeTurns) {
-  StoreByHand s;
-  int users = 0;
-  int scheduled = 0;
+// Neither kind of waiting write starves the other, though one of them needs several times as many tokens at a
+// time.
+TEST(KvClientTest, SchedulingAndUserWritesAlternate) {
+  KvClientFixture fixture;
+  int user_commits = 0;
+  int scheduling_commits = 0;
   for (int i = 0; i < 200; ++i) {
-    s.change(KvClient::RequestClass::user, 1,
-             [&](const CommitReply& c) { users += c.result == CommitReply::Result::committed; });
+    fixture.submit_commit(KvClient::RequestClass::user, 1, [&](const CommitReply& reply) {
+      user_commits += reply.result == CommitReply::Result::committed;
+    });
     if (i % 10 == 0)
-      s.change(KvClient::RequestClass::scheduling, 5, [&](const CommitReply&) { ++scheduled; });
-    s.pass(from_millis(100));
+      fixture.submit_commit(KvClient::RequestClass::scheduling, 5,
+                            [&](const CommitReply&) { ++scheduling_commits; });
+    fixture.advance(from_millis(100));
   }
-  // 9.5 a second for 20 s: five for scheduling, one for a user, and so on.
-  EXPECT_GE(scheduled, 18);
-  EXPECT_GE(users, 18);
+  // 9.5 writes per second for 20 s: five for scheduling, one for a user, and so on.
+  EXPECT_GE(scheduling_commits, 18);
+  EXPECT_GE(user_commits, 18);
 }
 
-TEST(StorePace, WhatWouldWaitTooLongIsRefusedAtOnceAndSaysSo) {
-  StoreByHand s;
-  s.use_up_changes();
+TEST(KvClientTest, RefusesWritesThatWouldWaitTooLong) {
+  KvClientFixture fixture;
+  fixture.drain_write_tokens();
   int refused = 0;
   int committed = 0;
-  Instant last{};
+  Instant last_commit{};
   for (int i = 0; i < 60; ++i) {
-    s.change(KvClient::RequestClass::user, 1, [&](const CommitReply& c) {
-      if (c.result == CommitReply::Result::committed) {
+    fixture.submit_commit(KvClient::RequestClass::user, 1, [&](const CommitReply& reply) {
+      if (reply.result == CommitReply::Result::committed) {
         ++committed;
-        last = s.rt.at;
+        last_commit = fixture.runtime.at;
         return;
       }
-      EXPECT_TRUE(c.queue_full);
-      EXPECT_EQ(c.result, CommitReply::Result::refused);
+      EXPECT_TRUE(reply.queue_full);
+      EXPECT_EQ(reply.result, CommitReply::Result::refused);
       ++refused;
     });
   }
-  const Instant asked = s.rt.at;
+  const Instant submitted_at = fixture.runtime.at;
   EXPECT_GE(refused, 20);
-  s.pass(from_seconds(8));
+  fixture.advance(from_seconds(8));
   EXPECT_EQ(committed + refused, 60);
-  // Nobody waits for more than a user waits.
-  EXPECT_LE(last - asked, from_seconds(4.5));
+  // No write waits longer than a user waits.
+  EXPECT_LE(last_commit - submitted_at, from_seconds(4.5));
 }
 
-TEST(StorePace, FollowsForUsersAreRefusedTooWhenTooManyWait) {
-  StoreByHand s;
-  int answered = 0;
+TEST(KvClientTest, RefusesUserWatchesWhenTooManyWait) {
+  KvClientFixture fixture;
+  int replied = 0;
   int failed = 0;
   for (int i = 0; i < 400; ++i) {
-    s.store.watch("job/", 3, Micros{0}, KvClient::RequestClass::user, [&](const WatchReply& f) {
-      ++(f.result == WatchReply::Result::failed ? failed : answered);
+    fixture.store.watch("job/", 3, Micros{0}, KvClient::RequestClass::user, [&](const WatchReply& reply) {
+      ++(reply.result == WatchReply::Result::failed ? failed : replied);
     });
   }
-  s.pass(from_seconds(4));
-  EXPECT_EQ(answered + failed, 400);
+  fixture.advance(from_seconds(4));
+  EXPECT_EQ(replied + failed, 400);
   EXPECT_GE(failed, 100);
 }
 
-TEST(StorePace, SparesNothingWhileAnythingWaits) {
-  StoreByHand s;
-  EXPECT_TRUE(s.store.has_spare_requests());
-  s.use_up_changes();
-  s.change(KvClient::RequestClass::user, 1, [](const CommitReply&) {});
-  EXPECT_FALSE(s.store.has_spare_requests());
-  s.pass(from_seconds(2));
-  EXPECT_TRUE(s.store.has_spare_requests());
+TEST(KvClientTest, HasNoSpareRequestsWhileUserCallWaits) {
+  KvClientFixture fixture;
+  EXPECT_TRUE(fixture.store.has_spare_requests());
+  fixture.drain_write_tokens();
+  fixture.submit_commit(KvClient::RequestClass::user, 1, [](const CommitReply&) {});
+  EXPECT_FALSE(fixture.store.has_spare_requests());
+  fixture.advance(from_seconds(2));
+  EXPECT_TRUE(fixture.store.has_spare_requests());
 }
 
 }  // namespace
