--- a/src/commit_batcher/commit_batcher.cpp
+++ b/src/commit_batcher/commit_batcher.cpp
@@ -9,27 +9,28 @@
 
 namespace {
 
-/// Bytes of a transaction that are filled, conditions included; the service takes 64 KiB.
-constexpr std::size_t kTxnBytes = std::size_t{60} * 1024;
+/// Maximum size of a transaction including its conditions; the service accepts 64 KiB.
+constexpr std::size_t kMaxTransactionBytes = std::size_t{60} * 1024;
 constexpr std::size_t kConditionBytes = 48;
-/// Estimate for a mutation of a final state or a deletion.
+/// Estimated size of a mutation that writes a final state or deletes a record.
 constexpr std::size_t kMutationBytes = 200;
-/// Values of blocks in one transaction.
+/// Maximum number of shards written by one transaction.
 constexpr std::size_t kMaxShardsPerCommit = 4;
-/// Final states may take one in so many of a transaction's operations.
-constexpr std::size_t kFinalStateShare = 3;
-/// Conditions per operation that a transaction may have.
+/// Final states use at most 1/kFinalStateOpsDivisor of a transaction's operations.
+constexpr std::size_t kFinalStateOpsDivisor = 3;
+/// Maximum number of conditions of a transaction, per operation that it may have.
 constexpr std::size_t kConditionsPerOperation = 4;
-/// Progress opens a value of its own only while this part of a second's writes is available.
+/// Blocks without new assignments get a value of their own only while at least this fraction of a second's
+/// writes is available.
 constexpr double kProgressWriteShare = 0.25;
-/// Nothing new is written while so many shards are uncertain: what a leader may have written beyond the
-/// shards that others know of stays bounded, so that a standby can read it by name.
+/// Nothing is written while this many shards are uncertain. This bounds the number of shards that a leader
+/// may have written without others having a record of them, so that a standby can read these shards by name.
 constexpr std::uint32_t kMaxUncertainShards = 8;
-constexpr time::Micros kRetryCommit = time::from_millis(250);
-constexpr time::Micros kRetryRead = time::from_millis(250);
-/// After a transaction that the service calls malformed.
-constexpr time::Micros kMalformedPause = time::from_seconds(5);
-/// Progress without new assignments waits this long for a commit that it can be added to.
+constexpr time::Micros kCommitRetryDelay = time::from_millis(250);
+constexpr time::Micros kReadRetryDelay = time::from_millis(250);
+/// Delay before the next transaction after the service rejected one as malformed.
+constexpr time::Micros kMalformedRetryDelay = time::from_seconds(5);
+/// Time that blocks without new assignments wait for a commit that they can be added to.
 constexpr time::Micros kProgressWait = time::from_millis(400);
 
 }  // namespace
@@ -54,7 +55,7 @@
   ++shards_[shard_number].live_blocks;
 }
 
-/// The shard that stores the block, or `kNoShard`.
+/// Returns the shard that stores the block, or `kNoShard`.
 std::uint32_t& CommitBatcher::shard_of(const Job& job, std::uint32_t block_number) {
   auto& shard_numbers = shard_by_block_[job.id];
   if (shard_numbers.empty()) shard_numbers.resize(job.blocks.size(), kNoShard);
@@ -74,21 +75,23 @@
   jobs_.remove(job_id);
 }
 
-/// A shard that stores no block and that this transaction does not use yet.
-std::uint32_t CommitBatcher::free_shard(const std::vector<std::uint32_t>& taken) {
+/// Returns a shard that stores no block and is not in `used_shards`, the shards of the current transaction.
+/// Adds a shard if there is none.
+std::uint32_t CommitBatcher::free_shard(const std::vector<std::uint32_t>& used_shards) {
   for (std::uint32_t n = 0; n < shards_.size(); ++n) {
     if (shards_[n].live_blocks == 0 && !shards_[n].uncertain &&
-        std::find(taken.begin(), taken.end(), n) == taken.end())
+        std::find(used_shards.begin(), used_shards.end(), n) == used_shards.end())
       return n;
   }
   shards_.emplace_back();
   return static_cast<std::uint32_t>(shards_.size() - 1);
 }
 
-/// Final states, each put together with the deletion of the live record.
+/// Adds final states to the batch, each together with the deletion of the job's live record.
 void CommitBatcher::add_final_states(Batch& batch) const {
   for (const std::string& job_id : jobs_.finished_jobs()) {
-    if (batch.mutations.size() + 2 > std::max<std::size_t>(2, settings_.txn_ops / kFinalStateShare)) break;
+    if (batch.mutations.size() + 2 > std::max<std::size_t>(2, settings_.txn_ops / kFinalStateOpsDivisor))
+      break;
     const Job& job = *jobs_.find(job_id);
     if (job.needs_refresh) continue;
     batch.conditions.push_back({records::job_key(job_id), job.mod_revision});
@@ -100,7 +103,7 @@
   }
 }
 
-/// Adds as many blocks as there is room for, in their order.
+/// Adds as many blocks as there is room for, in write order.
 void CommitBatcher::add_blocks(Batch& batch, std::size_t writes_available) {
   Packing packing = begin_packing(batch, writes_available);
   const bool progress_left = pack_blocks(batch, packing);
@@ -123,64 +126,67 @@
   return packing;
 }
 
-/// Packs the unwritten blocks into values until one does not fit; returns whether progress is left for a
-/// later commit for want of room or because it is not due.
+/// Packs the unwritten blocks into values until one does not fit. Returns whether blocks are left for a later
+/// commit because they have no room in this one or are not due yet.
 bool CommitBatcher::pack_blocks(Batch& batch, Packing& packing) {
-  for (const auto& [order, job] : jobs_.unwritten()) {
-    const bool assigns = order.rank < job_table::kProgressRank;
+  for (const auto& [order, job] : jobs_.unwritten_blocks()) {
+    const bool has_new_assignments = order.rank < job_table::kProgressRank;
     if (jobs_.finished_jobs().contains(job->spec().job_id)) continue;  // its final state replaces its blocks
-    if (assigns && job->needs_refresh) continue;
+    if (has_new_assignments && job->needs_refresh) continue;
     if (batch.conditions.size() + kMaxShardsPerCommit + 1 > settings_.txn_ops * kConditionsPerOperation)
       return false;
-    if (!assigns && packing.values.empty() && !packing.progress_due) return true;
+    if (!has_new_assignments && packing.values.empty() && !packing.progress_due) return true;
     Value row = jobs_.block_row(*job, order.block);
     const std::size_t size = row.json_size() + 1;
-    if (size > packing.room_bytes && !open_value(batch, packing, size, assigns || packing.progress_due))
+    if (size > packing.room_bytes &&
+        !open_value(batch, packing, size, has_new_assignments || packing.progress_due))
       return true;
     packing.room_bytes -= size;
     packing.batch_bytes += size;
-    add_block(batch, *job, order.block, assigns);
+    add_block(batch, *job, order.block, has_new_assignments);
     packing.values.back().push_back(std::move(row));
   }
   return false;
 }
 
-/// Opens one more value, in a free shard, that has room for the block; false where the batch has none.
+/// Adds a value in a free shard with room for the block. Returns false if the batch has no room for it.
 bool CommitBatcher::open_value(Batch& batch, Packing& packing, std::size_t block_bytes, bool may_open) {
   const auto value_limit = static_cast<std::size_t>(settings_.value_kb * 1024) - 2;
-  // With the shard's own condition and, for an assignment, its job's. A room too small by a few bytes must
-  // not be subtracted from: it would wrap round and let the value grow without bound.
-  const std::size_t taken = packing.batch_bytes + (batch.conditions.size() + 2) * kConditionBytes;
-  const std::size_t fresh = std::min(value_limit, kTxnBytes - std::min(kTxnBytes, taken));
-  if (packing.values.size() == packing.max_values || block_bytes + records::kShardOverheadBytes > fresh ||
-      !may_open)
+  // The two extra conditions are those of the shard and, for an assignment, of its job. The subtractions are
+  // clamped at 0: an unsigned underflow of a few bytes would let the value grow without bound.
+  const std::size_t used_bytes = packing.batch_bytes + (batch.conditions.size() + 2) * kConditionBytes;
+  const std::size_t available_bytes =
+      std::min(value_limit, kMaxTransactionBytes - std::min(kMaxTransactionBytes, used_bytes));
+  if (packing.values.size() == packing.max_values ||
+      block_bytes + records::kShardOverheadBytes > available_bytes || !may_open)
     return false;
   const std::uint32_t shard_number = free_shard(batch.shards);
   batch.shards.push_back(shard_number);
   batch.conditions.push_back({records::shard_key(shard_number), shards_[shard_number].mod_revision});
   packing.values.emplace_back();
-  packing.room_bytes = fresh - std::min(fresh, records::kShardOverheadBytes);
+  packing.room_bytes = available_bytes - std::min(available_bytes, records::kShardOverheadBytes);
   packing.batch_bytes += records::kShardOverheadBytes;
   return true;
 }
 
-/// Notes that the block is written to the last of the batch's shards, and on which condition.
-void CommitBatcher::add_block(Batch& batch, const Job& job, std::uint32_t block_number, bool assigns) const {
+/// Records that the block is written to the last of the batch's shards, and adds the condition on its job.
+void CommitBatcher::add_block(Batch& batch, const Job& job, std::uint32_t block_number,
+                              bool has_new_assignments) const {
   const std::string& job_id = job.spec().job_id;
-  // A cancellation that came first must make new assignments fail.
-  if (assigns && batch.assigning_jobs.insert(job_id).second)
+  // The condition makes new assignments fail if the job was cancelled first.
+  if (has_new_assignments && batch.assigning_jobs.insert(job_id).second)
     batch.conditions.push_back({records::job_key(job_id), job.mod_revision});
   batch.blocks.push_back({job_id, block_number, job.blocks[block_number].version, batch.shards.back()});
 }
 
-/// Every write has the revision of the `leader` key as a condition, so whatever a former leader still has on
-/// its way fails by itself.
+/// Every write has the revision of the `leader` key as a condition, so that a write that a former leader
+/// still has in flight fails.
 void CommitBatcher::flush() {
   if (committing_ || runtime_.now() < commit_not_before_ ||
-      (jobs_.unwritten().empty() && jobs_.finished_jobs().empty()))
+      (jobs_.unwritten_blocks().empty() && jobs_.finished_jobs().empty()))
     return;
   if (uncertain_shards_ >= kMaxUncertainShards) return;
-  const std::size_t writes_available = store_.writes_available();
+  const std::size_t writes_available = kv_client_.writes_available();
   if (writes_available < 2) return;
   Batch batch;
   batch.conditions.push_back({"leader", leader_revision_});
@@ -190,10 +196,10 @@
   committing_ = true;
   const auto conditions = std::move(batch.conditions);
   const auto mutations = std::move(batch.mutations);
-  store_.commit(conditions, mutations, KvClient::RequestClass::scheduling,
-                [this, batch = std::move(batch), generation = generation_](const CommitReply& reply) {
-                  if (generation == generation_) on_reply(reply, batch);
-                });
+  kv_client_.commit(conditions, mutations, KvClient::RequestClass::scheduling,
+                    [this, batch = std::move(batch), generation = generation_](const CommitReply& reply) {
+                      if (generation == generation_) on_reply(reply, batch);
+                    });
 }
 
 void CommitBatcher::on_commit(const Batch& batch, std::uint64_t revision) {
@@ -219,16 +225,16 @@
 void CommitBatcher::log_reply(const CommitReply& reply, const Batch& batch) const {
   log::debug(
       "commit",
-      "commit of {blocks} blocks in {shards} shards and {final_states} final states: {result}{failed}",
+      "commit of {blocks} blocks in {shards} shards and {final_states} final states: result {result}{failed}",
       log::with("blocks", batch.blocks.size()), log::with("shards", batch.shards.size()),
       log::with("final_states", batch.finished_jobs.size()),
       log::with("result", static_cast<int>(reply.result)),
       log::with("failed", reply.failed_keys.empty() ? "" : ", failed on " + reply.failed_keys.front()));
   if (reply.result == CommitReply::Result::invalid)
-    log::error("commit_malformed",
-               "the state service calls a write of {blocks} blocks and {final_states} final states malformed",
-               log::with("blocks", batch.blocks.size()),
-               log::with("final_states", batch.finished_jobs.size()));
+    log::error(
+        "commit_malformed",
+        "the state service rejected a write of {blocks} blocks and {final_states} final states as malformed",
+        log::with("blocks", batch.blocks.size()), log::with("final_states", batch.finished_jobs.size()));
 }
 
 void CommitBatcher::on_reply(const CommitReply& reply, const Batch& batch) {
@@ -251,40 +257,40 @@
       on_uncertain(batch);
       return;
     case CommitReply::Result::invalid:
-      commit_not_before_ = runtime_.now() + kMalformedPause;
+      commit_not_before_ = runtime_.now() + kMalformedRetryDelay;
       return;
     case CommitReply::Result::refused:
-      commit_not_before_ = runtime_.now() + kRetryCommit + runtime_.jitter(kRetryCommit);
+      commit_not_before_ = runtime_.now() + kCommitRetryDelay + runtime_.jitter(kCommitRetryDelay);
       return;
   }
 }
 
-/// A conflict, or the outcome is not known: what the batch depends on must be read again.
+/// Reads the shards and root records of the batch again, after a conflict or an unknown outcome.
 void CommitBatcher::on_uncertain(const Batch& batch) {
   for (const std::uint32_t shard_number : batch.shards) refresh_shard(shard_number);
   for (const std::string& job_id : batch.assigning_jobs) on_job_refresh_needed(job_id);
   for (const std::string& job_id : batch.finished_jobs) on_job_refresh_needed(job_id);
 }
 
-/// Reads a shard's revision again. What is stored in it does not matter any more: a copy of a block that was
-/// applied late has a lower version than the one that is written next.
+/// Reads a shard's revision again. The shard's content is not needed: a copy of a block that was written late
+/// has a lower version than the copy that is written next.
 void CommitBatcher::refresh_shard(std::uint32_t shard_number) {
   if (!std::exchange(shards_[shard_number].uncertain, true)) ++uncertain_shards_;
-  store_.get(records::shard_key(shard_number), KvClient::RequestClass::scheduling,
-             [this, shard_number, generation = generation_](const kv_client::ReadReply& reply) {
-               if (generation != generation_) return;
-               if (reply.result != kv_client::ReadReply::Result::ok) {
-                 runtime_.after(kRetryRead, [this, shard_number, generation] {
-                   if (generation == generation_) refresh_shard(shard_number);
+  kv_client_.get(records::shard_key(shard_number), KvClient::RequestClass::scheduling,
+                 [this, shard_number, generation = generation_](const kv_client::ReadReply& reply) {
+                   if (generation != generation_) return;
+                   if (reply.result != kv_client::ReadReply::Result::ok) {
+                     runtime_.after(kReadRetryDelay, [this, shard_number, generation] {
+                       if (generation == generation_) refresh_shard(shard_number);
+                     });
+                     return;
+                   }
+                   Shard& shard = shards_[shard_number];
+                   shard.mod_revision = reply.rows.empty() ? 0 : reply.rows[0].mod_revision;
+                   shard.uncertain = false;
+                   --uncertain_shards_;
+                   on_shard_refreshed();
                  });
-                 return;
-               }
-               Shard& shard = shards_[shard_number];
-               shard.mod_revision = reply.rows.empty() ? 0 : reply.rows[0].mod_revision;
-               shard.uncertain = false;
-               --uncertain_shards_;
-               on_shard_refreshed();
-             });
 }
 
 std::string CommitBatcher::disagreement() const {
@@ -296,14 +302,14 @@
   }
   for (std::size_t n = 0; n < live_blocks.size(); ++n) {
     if (live_blocks[n] != shards_[n].live_blocks)
-      return "shard " + std::to_string(n) + " counts its blocks wrongly";
+      return "shard " + std::to_string(n) + " has a wrong count of live blocks";
   }
   for (const auto& [job_id, job] : jobs_.jobs()) {
     const auto it = shard_by_block_.find(job.id);
     for (std::uint32_t n = 0; n < job.blocks.size(); ++n) {
       const bool stored = it != shard_by_block_.end() && it->second[n] != kNoShard;
       if (stored != (job.blocks[n].committed_version != 0))
-        return "a block of " + job_id + " is committed and in no shard, or the other way round";
+        return "a block of " + job_id + " is committed but in no shard, or in a shard but not committed";
     }
   }
   return {};
--- a/src/commit_batcher/include/wrenusher/commit_batcher/commit_batcher.hpp
+++ b/src/commit_batcher/include/wrenusher/commit_batcher/commit_batcher.hpp
@@ -1,11 +1,13 @@
 #pragma once
 /// @file
-/// Package commit_batcher: packs what the job table has to write into shards, orders it and commits it on the
-/// condition that this node still leads. It owns the shards (values in the state service that hold blocks of
-/// many jobs), which block is stored in which, and the one transaction under way. Invariant: a shard's count
-/// is the number of blocks whose last committed state is stored in it, and only a shard with none is written
-/// (`disagreement` verifies both). It may depend on time, value, runtime, settings, kv_client, records and
-/// job_table.
+/// Package commit_batcher: packs the unwritten blocks of the job table into shards, orders the writes and
+/// commits them on the condition that this node still leads. It owns the shards (values in the state service
+/// that hold blocks of many jobs), the mapping from blocks to shards, and the one transaction in progress.
+///
+/// Invariant: a shard's count is the number of blocks whose last committed state is stored in it, and only a
+/// shard with a count of 0 is written (`disagreement` verifies both).
+///
+/// It may depend on time, value, runtime, settings, kv_client, records and job_table.
 
 #include <cstdint>
 #include <functional>
@@ -34,29 +36,30 @@
 /// are set once, before the first `reset`, and called from the reply to a transaction or read.
 class CommitBatcher {
  public:
-  CommitBatcher(Runtime& runtime, const Settings& settings, KvClient& store, JobTable& jobs)
-      : runtime_(runtime), settings_(settings), store_(store), jobs_(jobs) {}
+  CommitBatcher(Runtime& runtime, const Settings& settings, KvClient& kv_client, JobTable& jobs)
+      : runtime_(runtime), settings_(settings), kv_client_(kv_client), jobs_(jobs) {}
 
-  /// A new term, or none, or the records are read again: nothing is known of the shards, and the replies to
-  /// what is under way are dropped. `leader_revision`: of the `leader` key, a condition of every write.
+  /// Discards all shards and ignores the replies to requests in flight. Called when a term begins or ends,
+  /// and when the records are read again within a term. `leader_revision` is the revision of the `leader`
+  /// key, which is a condition of every write.
   void reset(std::uint64_t leader_revision);
-  /// A shard found at failover.
+  /// Adds a shard that was read at failover.
   void restore_shard(std::uint32_t shard_number, std::uint64_t mod_revision);
-  /// A block whose newest copy is in this shard, which was restored before.
+  /// Adds a block whose newest copy is in this shard. The shard must have been restored before.
   void restore_block(const Job& job, std::uint32_t block_number, std::uint32_t shard_number);
-  /// The job is over: removes it from the job table and its blocks from their shards.
+  /// Removes a job that is over from the job table, and its blocks from their shards.
   void remove(const std::string& job_id);
-  /// Writes what has changed, if the rate limit allows and no transaction is under way: final states first,
-  /// then blocks in their order, many to a value.
+  /// Writes the unwritten changes, if the rate limit allows and no transaction is in progress: final states
+  /// first, then blocks in their write order, several to a value.
   void flush();
 
-  /// A transaction has been committed.
+  /// Called after a transaction has been committed.
   std::function<void()> on_committed;
-  /// A shard of uncertain content has been read again: more can be written.
+  /// Called after an uncertain shard has been read again, so that more can be written.
   std::function<void()> on_shard_refreshed;
-  /// The job's root record must be read again before more of the job is written.
+  /// Called when the job's root record must be read again before more of the job is written.
   std::function<void(const std::string& job_id)> on_job_refresh_needed;
-  /// Another node leads.
+  /// Called when a commit has failed because another node leads.
   std::function<void()> on_leadership_lost;
 
   /// Recomputes the counts of the shards, and returns the first difference found, as a sentence; empty when
@@ -65,14 +68,14 @@
 
  private:
   static constexpr std::uint32_t kNoShard = UINT32_MAX;
-  /// A value in the state service that holds blocks. Blocks move: each is written to a free shard, and a
-  /// shard is free again once every block that was stored in it is stored in another.
+  /// A value in the state service that holds blocks. A block is never updated in place: each write of a block
+  /// goes to a free shard, and a shard is free once every block stored in it has been written to another.
   struct Shard {
     std::uint64_t mod_revision = 0;
-    std::uint32_t live_blocks = 0;
-    bool uncertain = false;  ///< its revision is being read again
+    std::uint32_t live_blocks = 0;  ///< blocks whose last committed state is stored here
+    bool uncertain = false;         ///< its revision is being read again
   };
-  /// One transaction, and what it is to change here once it is committed.
+  /// One transaction, and the changes to apply to the table and the shards once it is committed.
   struct Batch {
     struct BlockWrite {
       std::string job_id;
@@ -89,37 +92,37 @@
   };
   /// The values of a batch while blocks are packed into them.
   struct Packing {
-    std::size_t max_values = 0;  ///< that the batch may have
-    bool progress_due = false;   ///< progress may open a value of its own
+    std::size_t max_values = 0;  ///< maximum number of values in the batch
+    bool progress_due = false;   ///< blocks without new assignments may open a value of their own
     std::vector<Value::List> values;
     std::size_t room_bytes = 0;   ///< left in the last of the values
-    std::size_t batch_bytes = 0;  ///< of the batch, its conditions excluded
+    std::size_t batch_bytes = 0;  ///< size of the batch without its conditions
   };
   void add_final_states(Batch& batch) const;
   void add_blocks(Batch& batch, std::size_t writes_available);
   Packing begin_packing(const Batch& batch, std::size_t writes_available) const;
   [[nodiscard]] bool pack_blocks(Batch& batch, Packing& packing);
   [[nodiscard]] bool open_value(Batch& batch, Packing& packing, std::size_t block_bytes, bool may_open);
-  void add_block(Batch& batch, const Job& job, std::uint32_t block_number, bool assigns) const;
+  void add_block(Batch& batch, const Job& job, std::uint32_t block_number, bool has_new_assignments) const;
   void on_reply(const CommitReply& reply, const Batch& batch);
   void on_commit(const Batch& batch, std::uint64_t revision);
   void on_uncertain(const Batch& batch);
   void log_reply(const CommitReply& reply, const Batch& batch) const;
   void refresh_shard(std::uint32_t shard_number);
-  std::uint32_t free_shard(const std::vector<std::uint32_t>& taken);
+  std::uint32_t free_shard(const std::vector<std::uint32_t>& used_shards);
   std::uint32_t& shard_of(const Job& job, std::uint32_t block_number);
   void release_shard(const Job& job, std::uint32_t block_number);
 
   Runtime& runtime_;
   const Settings& settings_;
-  KvClient& store_;
+  KvClient& kv_client_;
   JobTable& jobs_;
-  /// Rises with every term and reading: replies to what an earlier one sent are dropped.
+  /// Incremented by every `reset`; a reply to a request of an earlier generation is ignored.
   std::uint64_t generation_ = 0;
   std::uint64_t leader_revision_ = 0;
-  bool committing_ = false;  ///< a transaction is under way
+  bool committing_ = false;  ///< a transaction is in progress
   Instant commit_not_before_{};
-  Instant progress_pending_since_{};  ///< when the last commit left no progress behind
+  Instant progress_pending_since_{};  ///< time of the last commit that left no progress unwritten
   std::vector<Shard> shards_;
   std::uint32_t uncertain_shards_ = 0;
   /// Job number -> the shard of each of its blocks.
--- a/src/containers/include/wrenusher/containers/aged_set.hpp
+++ b/src/containers/include/wrenusher/containers/aged_set.hpp
@@ -10,34 +10,34 @@
 
 namespace wrenusher::containers {
 
-/// A set whose members are forgotten in the order of their insertion, by age or by number. A member that is
-/// inserted again while it is there keeps its first time. Single-threaded.
+/// A set that erases its members in the order of their insertion, by age or by number. Inserting a member
+/// again while it is in the set does not change its insertion time. Single-threaded.
 template <typename Key, typename Hash = std::hash<Key>>
 class AgedSet {
  public:
-  /// Adds the key with the time `now`, which must not be before that of an earlier call. False when the key
-  /// is there already.
+  /// Inserts the key with the insertion time `now`, which must not be before that of an earlier call. Returns
+  /// false if the set already contains the key.
   bool insert(const Key& key, time::Instant now) {
     if (!members_.insert(key).second) return false;
     insertions_.push_back({now, key});
     return true;
   }
 
-  /// Forgets every member that was inserted more than `max_age` before `now`.
+  /// Erases every member that was inserted more than `max_age` before `now`.
   void erase_older_than(time::Micros max_age, time::Instant now) {
-    while (!insertions_.empty() && now - insertions_.front().at > max_age) forget_oldest();
+    while (!insertions_.empty() && now - insertions_.front().at > max_age) erase_oldest();
   }
 
-  /// Forgets the oldest members until at most `max_size` are left.
+  /// Erases the oldest members until at most `max_size` are left.
   void shrink_to(std::size_t max_size) {
-    while (insertions_.size() > max_size) forget_oldest();
+    while (insertions_.size() > max_size) erase_oldest();
   }
 
   [[nodiscard]] bool contains(const Key& key) const { return members_.contains(key); }
   [[nodiscard]] std::size_t size() const { return insertions_.size(); }
   [[nodiscard]] bool empty() const { return insertions_.empty(); }
 
-  /// Forgets every member.
+  /// Erases every member.
   void clear() {
     members_.clear();
     insertions_.clear();
@@ -49,13 +49,13 @@
     Key key;
   };
 
-  void forget_oldest() {
+  void erase_oldest() {
     members_.erase(insertions_.front().key);
     insertions_.pop_front();
   }
 
   std::unordered_set<Key, Hash> members_;
-  std::deque<Insertion> insertions_;  ///< of the members, oldest first
+  std::deque<Insertion> insertions_;  ///< one per member, oldest first
 };
 
 }  // namespace wrenusher::containers
--- a/src/job_table/include/wrenusher/job_table/job_table.hpp
+++ b/src/job_table/include/wrenusher/job_table/job_table.hpp
@@ -1,12 +1,14 @@
 #pragma once
 /// @file
-/// Package job_table: the live jobs and the assignments of their tasks. It owns which task of a job waits, is
-/// assigned (to which machine, in which state) or is done, what each team uses, and which blocks of which
-/// jobs differ from the state service, in the order in which they are to be written. Invariant: a task of a
-/// job that is not cancelled is in exactly one of the three, and a block is due for writing exactly when its
-/// version is above the committed one (`disagreement` verifies both). Every change of an assignment goes
-/// through here, so that machines and teams never differ from the assignments. It may depend on time, value,
-/// runtime, protocol, records and machine_inventory.
+/// Package job_table: the live jobs and the assignments of their tasks. It owns the state of every task
+/// (waiting, assigned or done), the resource usage of each team, and the list of blocks that differ from the
+/// state service, in the order in which they are to be written. Every change of an assignment goes through
+/// here, so that the counts of machines and teams always match the assignments.
+///
+/// Invariant: a task of a job that is not cancelled is either waiting, assigned or done, and a block is due
+/// for writing exactly when its version is above the committed one (`disagreement` verifies both).
+///
+/// It may depend on time, value, runtime, protocol, records and machine_inventory.
 
 #include <compare>
 #include <cstdint>
@@ -39,88 +41,91 @@
 using value::RangeSet;
 using value::Value;
 
-/// How far an assigned task has come, as far as reports have shown.
+/// The state of an assigned task according to the reports of its machine.
 enum class TaskState {
-  assigned,          ///< assigned in this term, not shown by a report yet
-  recovered,         ///< found in the records at failover, not shown by a report yet
-  fetching_image,    ///< its machine fetches the image
-  waiting_for_gang,  ///< ready, waits for the other tasks of its gang
+  assigned,          ///< assigned in this term, not listed in a report yet
+  recovered,         ///< read from the records at failover, not listed in a report yet
+  fetching_image,    ///< its machine is fetching the image
+  waiting_for_gang,  ///< ready to run, waits for the other tasks of its gang
   running,
-  checkpointing  ///< saves its progress before it stops
+  checkpointing  ///< saving its progress before it stops
 };
 
 /// A task's assignment to a machine.
 struct TaskAssignment {
   Machine* machine = nullptr;  ///< never null; owned by the machine inventory
   std::uint64_t attempt = 0;
-  std::uint64_t version = 0;  ///< of the change that made it; 0: found in the state service
+  std::uint64_t version = 0;  ///< of the change that made it; 0: read from the state service
   TaskState state = TaskState::assigned;
   Instant assigned_at{};
-  Instant fetching_since{};   ///< when a report first showed it fetch its image
-  Instant gang_wait_since{};  ///< when a report first showed it wait for its gang
-  Instant running_since{};    ///< when a report first showed it run
-  bool start_in_flight =
-      false;              ///< found, but written in this term: the command to start it may be on its way
-  bool stopping = false;  ///< it is to stop
-  Micros grace_period{};  ///< of a stop: how long it has to save its progress
-  std::uint64_t last_shown = 0;      ///< the number of the last report that listed it
-  bool counted_as_fetching = false;  ///< counted among the tasks that wait for their image
+  Instant fetching_since{};   ///< time of the first report in which it was fetching its image
+  Instant gang_wait_since{};  ///< time of the first report in which it was waiting for its gang
+  Instant running_since{};    ///< time of the first report in which it was running
+  /// Read from the records, but written in this term: the command to start the task may still be in flight.
+  bool start_in_flight = false;
+  bool stopping = false;                 ///< a stop has been requested
+  Micros grace_period{};                 ///< time that a stopping task has to save its progress
+  std::uint64_t last_report_number = 0;  ///< number of the last report that listed the task
+  bool counted_as_fetching = false;      ///< counted among the tasks that wait for their image
 };
 
-/// A range of a job's tasks, written as a whole.
+/// A range of a job's tasks that is written as a unit.
 struct Block {
   std::uint64_t version = 0;            ///< of the last change in memory
   std::uint64_t assigned_version = 0;   ///< of the last new assignment
   std::uint64_t committed_version = 0;  ///< changes up to this one are in the state service
-  std::uint64_t dirty_since = 0;        ///< version of the first change not written; 0: nothing to write
+  std::uint64_t dirty_since = 0;        ///< version of the first unwritten change; 0: nothing to write
   int write_rank = 0;                   ///< see `WriteOrder::rank`
 };
 
-/// A live job. Owned by the job table, which keeps its assignments, blocks, `done` and `waiting` in line; the
-/// retry fields at the end belong to the reconciler and the scheduling cycle.
+/// A live job. Owned by the job table, which keeps its assignments, blocks, `done` and `waiting` consistent;
+/// the retry fields at the end are written by the reconciler and the scheduling cycle.
 struct Job {
-  std::uint64_t id = 0;  ///< a number that rises with every job added, so that orders by it repeat
+  /// Number of the job, in the order of addition. Containers are ordered by it, so that runs are
+  /// reproducible.
+  std::uint64_t id = 0;
   records::JobRecord record;
   std::uint64_t mod_revision = 0;  ///< of the root record; a condition of the writes that assign its tasks
   std::vector<Block> blocks;       ///< by block number
   RangeSet done;                   ///< tasks that have completed
   RangeSet waiting;                ///< tasks that are neither assigned nor done
   std::map<std::uint32_t, TaskAssignment> assignments;      ///< by task
-  std::map<std::uint32_t, std::uint64_t> uncommitted_done;  ///< done, not committed yet: task -> version
+  std::map<std::uint32_t, std::uint64_t> uncommitted_done;  ///< done but not committed: task -> version
   std::uint64_t last_attempt = 0;                           ///< the highest attempt of any of its tasks
   bool needs_refresh = false;   ///< the root record must be read before the next write
-  bool attempt_broken = false;  ///< gang: the attempt has failed, its tasks are being stopped
-  bool gang_started = false;    ///< gang: a report has shown a task of the attempt run
-  Instant incomplete_since{};   ///< gang: a task was lost before the start and is to be replaced; 0: none
-  std::map<std::string, Instant> avoided_machines;  ///< host -> until when it gets no task of this job
+  bool attempt_failed = false;  ///< gang: the attempt has failed, its tasks are being stopped
+  bool gang_started = false;    ///< gang: a report has listed a task of the attempt as running
+  Instant incomplete_since{};   ///< gang: when a task to be replaced was lost before the start; 0: none
+  std::map<std::string, Instant> avoided_machines;  ///< host -> time before which it gets no task of this job
   std::set<std::string> failed_hosts;               ///< hosts where a task failed since the last retry pause
-  Instant not_before{};                             ///< no task is assigned before then
-  Instant near_image_until{};  ///< a service waits until then for room where its image is
+  Instant not_before{};                             ///< no task is assigned before this time
+  Instant near_image_until{};  ///< until then a service is placed only on machines that have its image
   int retry_count = 0;         ///< pauses after failures on several hosts; each is longer than the one before
-  std::uint64_t change_count = 0;  ///< rises whenever what waits, is assigned or done changes
+  std::uint64_t change_count = 0;  ///< rises with every change of `waiting`, `assignments` or `done`
 
   const JobSpec& spec() const { return record.spec; }
   std::uint32_t block_of(std::uint32_t task) const { return task / record.tasks_per_block; }
-  /// Whether the assignment or the end of the task that `version` made is in the state service.
+  /// Returns whether the change of the task with this version is in the state service.
   bool committed(std::uint32_t task, std::uint64_t version) const {
     return version <= blocks[block_of(task)].committed_version;
   }
-  /// Whether this task is assigned to this machine under this attempt.
+  /// Returns whether the task is assigned to this machine under this attempt.
   bool is_assigned(std::uint32_t task, const Machine& machine, std::uint64_t attempt) const;
 };
 
-/// Blocks with new assignments are ranked by their job's priority, below this; the rest is progress.
+/// Write rank of blocks without new assignments (progress). Blocks with new assignments have their job's
+/// priority as their rank, which is lower and therefore written earlier.
 inline constexpr int kProgressRank = 4;
-/// Where a block stands in the order of writing: the fields in this order.
+/// Sort key of the unwritten blocks, compared field by field in this order.
 struct WriteOrder {
   int rank = 0;                   ///< the job's priority, or `kProgressRank` without new assignments
-  std::uint64_t dirty_since = 0;  ///< version of the first change not written
+  std::uint64_t dirty_since = 0;  ///< version of the first unwritten change
   std::uint64_t job_number = 0;   ///< `Job::id`
   std::uint32_t block = 0;
   // NOLINTNEXTLINE(modernize-use-nullptr): false report on a defaulted comparison
   auto operator<=>(const WriteOrder&) const = default;
 };
-/// An assignment among those of a machine.
+/// Identifies an assignment among those of a machine.
 struct AssignmentKey {
   std::uint64_t job_number = 0;  ///< `Job::id`
   std::uint32_t task = 0;
@@ -132,84 +137,90 @@
 /// The assignments on a machine, each with its job, which is never null.
 using MachineAssignments = std::map<AssignmentKey, Job*>;
 
-/// The live jobs and the assignments of their tasks. Owns the jobs; references and pointers to a job hold
-/// until it is removed, replaced by `add` or the table begins anew. The runtime and the inventory must
+/// The live jobs and the assignments of their tasks. Owns the jobs; references and pointers to a job stay
+/// valid until it is removed, replaced by `add`, or the table is reset. The runtime and the inventory must
 /// outlive it. Single-threaded: called from the runtime's loop only.
 class JobTable {
  public:
   JobTable(Runtime& runtime, MachineInventory& machines) : runtime_(runtime), machines_(machines) {}
 
-  /// A new term, or the records are read again within one: empties the table. Versions go on above those of
-  /// before. The owner clears the machine inventory with it.
+  /// Empties the table at the start of a term, or when the records are read again within one. Versions
+  /// continue above the earlier ones. The caller clears the machine inventory as well.
   void reset(std::uint64_t fencing_token);
 
-  /// Null when the job is not known.
+  /// Returns the job, or null if the table does not contain it.
   Job* find(const std::string& job_id);
   const Job* find(const std::string& job_id) const;
-  /// All live jobs, by name.
+  /// Returns all live jobs, by job id.
   std::unordered_map<std::string, Job>& jobs() { return jobs_; }
   const std::unordered_map<std::string, Job>& jobs() const { return jobs_; }
-  /// Changed by `assign`, `release`, `finish_task` and `remove`: copy it to call them while iterating.
+  /// Returns the assignments on a machine. `assign`, `release`, `finish_task` and `remove` change them: copy
+  /// them to call these functions while iterating.
   const MachineAssignments& assignments_on(const Machine& machine) const;
-  /// What each team's assignments use.
-  const std::map<std::string, Resources>& teams() const { return teams_; }
-  /// Rises whenever room is freed or work arrives: reasons to plan.
+  /// Returns the resources that the assignments of each team use.
+  const std::map<std::string, Resources>& team_usage() const { return team_usage_; }
+  /// Returns a counter that rises whenever capacity is freed or work arrives, that is, when a new plan may
+  /// place more tasks.
   std::uint64_t change_count() const { return change_count_; }
-  /// Assignments found in the records that no report has shown or ended yet.
+  /// Returns the number of assignments read from the records that no report has confirmed or ended yet.
   std::size_t unconfirmed_count() const { return unconfirmed_count_; }
   /// Jobs that were added and removed.
   struct JobChanges {
-    std::vector<std::string> added;      ///< names; some may have been removed again
+    std::vector<std::string> added;      ///< job ids; some of the jobs may have been removed again
     std::vector<std::uint64_t> removed;  ///< numbers (`Job::id`)
   };
-  /// The changes since the last call; a caller that starts anew drops them.
+  /// Returns the changes since the last call and clears them. A caller that rebuilds its state from `jobs`
+  /// ignores the result.
   JobChanges take_job_changes() { return std::exchange(job_changes_, {}); }
 
-  /// Adds a job, all of whose tasks wait unless it is cancelled; replaces one of the same name.
+  /// Adds a job, or replaces the one with the same id. All of its tasks are waiting unless it is cancelled.
   Job& add(const std::string& job_id, records::JobRecord record, std::uint64_t mod_revision);
-  /// The job is over: releases all that it has. It must be known.
+  /// Removes a job and all its assignments. The table must contain it.
   void remove(const std::string& job_id);
-  /// Assigns the task, in place of an assignment that it may have.
+  /// Assigns the task to a machine, and replaces its previous assignment if it has one.
   void assign(Job& job, std::uint32_t task, Machine& machine, std::uint64_t attempt, TaskState state);
-  /// Restores a block as it was found in the state service: it is not to be written again.
+  /// Restores a block that was read from the state service; it does not become due for writing.
   void restore_block(Job& job, std::uint32_t block_number, std::uint64_t version,
                      const records::BlockRecord& record);
-  /// The task is known to have left its machine, and is not done: it waits again. `lost`: the machine knows
-  /// nothing of it any more, so that it may be started once more under the same attempt. `reason` is logged.
+  /// Removes the assignment of a task that has left its machine without being done; the task waits again.
+  /// `lost`: the machine does not list the task any more, so it may be started again under the same attempt.
+  /// `reason` is logged.
   void release(Job& job, std::uint32_t task, const char* reason, bool lost = false);
-  /// Whether the gang still waits for its start, and lacks only tasks that it lost: they are to be started
-  /// again under the same attempt, where the rest is.
-  [[nodiscard]] static bool can_complete_gang(const Job& job);
-  /// A gang's tasks share one attempt: stops the rest of it before the next one begins.
-  void break_gang(Job& job);
-  /// The task is done; no effect when it was before.
+  /// Returns whether lost tasks of the gang can be replaced: the gang has not started, and its other tasks
+  /// still wait. The replacements start under the same attempt.
+  [[nodiscard]] static bool can_replace_lost_tasks(const Job& job);
+  /// Ends the gang's attempt: stops its remaining tasks, since all tasks of a gang share one attempt and the
+  /// next attempt can begin only after them.
+  void abort_gang_attempt(Job& job);
+  /// Marks the task as done; no effect if it is done already.
   void finish_task(Job& job, std::uint32_t task);
-  /// No task of the job starts any more; those assigned are still to be stopped (`stop_job`).
+  /// Marks the job as cancelled, so that no more of its tasks start. The caller stops the assigned ones with
+  /// `stop_job`.
   void cancel(Job& job);
-  /// Marks all tasks of a job as stopping, and returns the commands for the machines that may have them. A
-  /// gang's progress is saved only if all its tasks get theirs within a few seconds, so these commands do not
-  /// wait for reports.
+  /// Marks all tasks of a job as stopping, and returns the commands for the machines that may have them. The
+  /// commands are sent at once and not with the replies to reports: a gang's progress is saved only if all
+  /// its tasks get the command within a few seconds.
   [[nodiscard]] CommandsByMachine stop_job(Job& job, Micros grace_period);
-  /// Marks the task as stopping; it has `grace_period` to save its progress.
+  /// Marks the task as stopping, with `grace_period` to save its progress.
   void stop_task(TaskAssignment& assignment, Micros grace_period);
-  /// Changes the state of an assignment and keeps the counts that depend on it.
+  /// Changes the state of an assignment and updates the counts that depend on it.
   void set_state(Job& job, TaskAssignment& assignment, TaskState state);
-  /// The task waits for its image, unless its machine holds that.
+  /// Counts the task among those that wait for their image, unless its machine has the image.
   void begin_fetch(const Job& job, TaskAssignment& assignment);
-  /// The task has its image, or has left the machine.
+  /// Ends the count of `begin_fetch`: the task has its image, or has left the machine.
   void end_fetch(const Job& job, TaskAssignment& assignment);
 
-  /// The blocks to be written, each with its job, in order.
-  const std::map<WriteOrder, Job*>& unwritten() const { return unwritten_; }
-  /// Jobs whose final state is due to be written.
+  /// Returns the blocks due for writing, each with its job, in write order.
+  const std::map<WriteOrder, Job*>& unwritten_blocks() const { return unwritten_blocks_; }
+  /// Returns the jobs whose final state is due for writing.
   const std::set<std::string>& finished_jobs() const { return finished_jobs_; }
-  /// The block is in the state service as of this version.
+  /// Records that the state service has the block's changes up to this version.
   void mark_written(Job& job, std::uint32_t block_number, std::uint64_t version);
-  /// The block as a row of a shard's value.
+  /// Returns the block as a row of a shard's value.
   Value block_row(const Job& job, std::uint32_t block_number) const;
 
-  /// Recomputes what is kept up step by step, and returns the first difference found, as a sentence; empty
-  /// when there is none.
+  /// Recomputes the incrementally updated state from the jobs, and returns the first difference found, as a
+  /// sentence; empty when there is none.
   [[nodiscard]] std::string disagreement() const;
 
  private:
@@ -222,23 +233,23 @@
   void restore_assignment(Job& job, std::uint32_t task, Machine& machine, std::uint64_t attempt,
                           std::uint64_t version);
   void mark_dirty(Job& job, std::uint32_t task, bool newly_assigned);
-  void rank_block(Job& job, std::uint32_t block_number);
-  void unrank_block(Job& job, std::uint32_t block_number);
+  void update_write_order(Job& job, std::uint32_t block_number);
+  void remove_from_write_order(Job& job, std::uint32_t block_number);
   static WriteOrder write_order(const Job& job, std::uint32_t block_number);
-  void check_finished(const Job& job);
+  void update_finished(const Job& job);
 
   Runtime& runtime_;
   MachineInventory& machines_;
   std::uint64_t version_ = 0;             ///< version of the newest change
-  std::uint64_t term_start_version_ = 0;  ///< versions above it are of this term
+  std::uint64_t term_start_version_ = 0;  ///< changes of this term have higher versions
   std::uint64_t jobs_added_ = 0;
   std::uint64_t change_count_ = 0;
   std::size_t unconfirmed_count_ = 0;
   JobChanges job_changes_;
   std::unordered_map<std::string, Job> jobs_;
-  std::unordered_map<const Machine*, MachineAssignments> by_machine_;
-  std::map<std::string, Resources> teams_;
-  std::map<WriteOrder, Job*> unwritten_;
+  std::unordered_map<const Machine*, MachineAssignments> assignments_by_machine_;
+  std::map<std::string, Resources> team_usage_;
+  std::map<WriteOrder, Job*> unwritten_blocks_;
   std::set<std::string> finished_jobs_;
 };
 
--- a/src/job_table/job_table.cpp
+++ b/src/job_table/job_table.cpp
@@ -13,13 +13,14 @@
 
 void JobTable::reset(std::uint64_t fencing_token) {
   jobs_.clear();
-  by_machine_.clear();
-  teams_.clear();
-  unwritten_.clear();
+  assignments_by_machine_.clear();
+  team_usage_.clear();
+  unwritten_blocks_.clear();
   finished_jobs_.clear();
   unconfirmed_count_ = 0;
-  // Versions rise across terms too, and when the records are read again within one while an earlier write may
-  // still be on its way: of two copies of a block the newer one is always known.
+  // Versions rise across terms, and also when the records are read again within a term while an earlier write
+  // may still be in flight. The newer of two copies of a block is therefore always the one with the higher
+  // version.
   term_start_version_ = fencing_token << 32U;
   version_ = std::max(version_, term_start_version_);
   ++change_count_;
@@ -38,8 +39,8 @@
 
 const MachineAssignments& JobTable::assignments_on(const Machine& machine) const {
   static const MachineAssignments none;
-  const auto it = by_machine_.find(&machine);
-  return it == by_machine_.end() ? none : it->second;
+  const auto it = assignments_by_machine_.find(&machine);
+  return it == assignments_by_machine_.end() ? none : it->second;
 }
 
 Job& JobTable::add(const std::string& job_id, records::JobRecord record, std::uint64_t mod_revision) {
@@ -59,14 +60,15 @@
 void JobTable::remove(const std::string& job_id) {
   Job& job = jobs_.at(job_id);
   while (!job.assignments.empty()) unassign(job, job.assignments.begin()->first);
-  for (std::uint32_t n = 0; n < job.blocks.size(); ++n) unrank_block(job, n);
+  for (std::uint32_t n = 0; n < job.blocks.size(); ++n) remove_from_write_order(job, n);
   finished_jobs_.erase(job_id);
   job_changes_.removed.push_back(job.id);
   jobs_.erase(job_id);
 }
 
-/// A job's final state is due once every task is done, or for a cancelled job once none is assigned any more.
-void JobTable::check_finished(const Job& job) {
+/// Updates whether the job's final state is due for writing: once every task is done, or for a cancelled job
+/// once no task is assigned any more.
+void JobTable::update_finished(const Job& job) {
   const JobSpec& spec = job.spec();
   const bool finished = job.record.cancelled
                             ? job.assignments.empty()
@@ -83,28 +85,28 @@
   return {block.write_rank, block.dirty_since, job.id, block_number};
 }
 
-void JobTable::unrank_block(Job& job, std::uint32_t block_number) {
+void JobTable::remove_from_write_order(Job& job, std::uint32_t block_number) {
   Block& block = job.blocks[block_number];
   if (block.dirty_since == 0) return;
-  unwritten_.erase(write_order(job, block_number));
+  unwritten_blocks_.erase(write_order(job, block_number));
   block.dirty_since = 0;
 }
 
-/// Puts a block where it belongs in the order of writing.
-void JobTable::rank_block(Job& job, std::uint32_t block_number) {
+/// Updates the block's position among the unwritten blocks, or removes it if all its changes are committed.
+void JobTable::update_write_order(Job& job, std::uint32_t block_number) {
   Block& block = job.blocks[block_number];
   if (block.version <= block.committed_version) {
-    unrank_block(job, block_number);
+    remove_from_write_order(job, block_number);
     return;
   }
   const int rank = block.assigned_version > block.committed_version ? static_cast<int>(job.spec().priority)
                                                                     : kProgressRank;
   if (block.dirty_since != 0 && block.write_rank == rank) return;
   const std::uint64_t since = block.dirty_since != 0 ? block.dirty_since : version_;
-  unrank_block(job, block_number);
+  remove_from_write_order(job, block_number);
   block.write_rank = rank;
   block.dirty_since = since;
-  unwritten_.emplace(write_order(job, block_number), &job);
+  unwritten_blocks_.emplace(write_order(job, block_number), &job);
 }
 
 void JobTable::mark_dirty(Job& job, std::uint32_t task, bool newly_assigned) {
@@ -112,7 +114,7 @@
   Block& block = job.blocks[block_number];
   block.version = ++version_;
   if (newly_assigned) block.assigned_version = version_;
-  rank_block(job, block_number);
+  update_write_order(job, block_number);
 }
 
 void JobTable::assign(Job& job, std::uint32_t task, Machine& machine, std::uint64_t attempt,
@@ -127,15 +129,15 @@
   assignment.state = state;
   assignment.assigned_at = runtime_.now();
   TaskAssignment& added = job.assignments.emplace(task, assignment).first->second;
-  // What was found at failover may have run for long; reports show which of it still waits for its image.
+  // A task that was read at failover may be running already; reports list those that still fetch their image.
   if (state == TaskState::assigned) begin_fetch(job, added);
   if (state == TaskState::recovered) ++unconfirmed_count_;
   job.last_attempt = std::max(job.last_attempt, attempt);
-  by_machine_[&machine].emplace(AssignmentKey{job.id, task}, &job);
+  assignments_by_machine_[&machine].emplace(AssignmentKey{job.id, task}, &job);
   machines_.reserve(machine, job.spec());
   ++job.change_count;
-  teams_[job.spec().team] += job.spec().resources;
-  if (job.record.cancelled) check_finished(job);
+  team_usage_[job.spec().team] += job.spec().resources;
+  if (job.record.cancelled) update_finished(job);
 }
 
 void JobTable::unassign(Job& job, std::uint32_t task) {
@@ -144,17 +146,17 @@
   set_state(job, it->second, TaskState::assigned);
   end_fetch(job, it->second);
   Machine& machine = *it->second.machine;
-  const auto on_machine = by_machine_.find(&machine);
+  const auto on_machine = assignments_by_machine_.find(&machine);
   on_machine->second.erase(AssignmentKey{job.id, task});
-  // A machine that is removed leaves no entry behind: a new one may be allocated at the same address.
-  if (on_machine->second.empty()) by_machine_.erase(on_machine);
+  // The entry is erased because a removed machine's address may be reused for a new machine.
+  if (on_machine->second.empty()) assignments_by_machine_.erase(on_machine);
   machines_.release(machine, job.spec());
   ++job.change_count;
-  teams_[job.spec().team] -= job.spec().resources;
+  team_usage_[job.spec().team] -= job.spec().resources;
   job.assignments.erase(it);
   mark_dirty(job, task, false);
   ++change_count_;
-  if (job.record.cancelled) check_finished(job);
+  if (job.record.cancelled) update_finished(job);
 }
 
 void JobTable::restore_block(Job& job, std::uint32_t block_number, std::uint64_t version,
@@ -169,12 +171,12 @@
     }
   }
   ++job.change_count;
-  // What is written next must be newer than what was found, or it would never be written.
+  // Later changes must have higher versions than the restored block, or they would never be written.
   version_ = std::max(version_, version);
   Block& block = job.blocks[block_number];
-  unrank_block(job, block_number);
+  remove_from_write_order(job, block_number);
   block.version = block.assigned_version = block.committed_version = version;
-  check_finished(job);
+  update_finished(job);
 }
 
 void JobTable::restore_done(Job& job, const RangeSet& done) {
@@ -228,17 +230,17 @@
   if (job.record.cancelled) return;
   if (!job.done.contains(task)) job.waiting.add(task);
   if (job.spec().type != JobType::gang) return;
-  if (!lost || job.attempt_broken || job.gang_started || job.assignments.empty()) {
-    break_gang(job);
+  if (!lost || job.attempt_failed || job.gang_started || job.assignments.empty()) {
+    abort_gang_attempt(job);
   } else if (job.incomplete_since == Instant{}) {
-    // The rest goes on waiting, and a task of the same attempt completes it. Whether the gang had started
-    // after all is known as soon as a report shows the rest.
+    // The other tasks keep waiting, and a replacement starts under the same attempt. If the gang had started
+    // after all, the next report of another task shows it.
     job.incomplete_since = runtime_.now();
   }
 }
 
-bool JobTable::can_complete_gang(const Job& job) {
-  return !job.attempt_broken && !job.gang_started &&
+bool JobTable::can_replace_lost_tasks(const Job& job) {
+  return !job.attempt_failed && !job.gang_started &&
          std::all_of(job.assignments.begin(), job.assignments.end(), [](const auto& entry) {
            const TaskAssignment& assignment = entry.second;
            return !assignment.stopping &&
@@ -247,16 +249,16 @@
          });
 }
 
-void JobTable::break_gang(Job& job) {
+void JobTable::abort_gang_attempt(Job& job) {
   job.incomplete_since = {};
   if (job.assignments.empty()) {
-    job.attempt_broken = job.gang_started = false;
+    job.attempt_failed = job.gang_started = false;
     return;
   }
-  if (job.attempt_broken) return;
-  job.attempt_broken = true;
+  if (job.attempt_failed) return;
+  job.attempt_failed = true;
   for (auto& [task, assignment] : job.assignments) {
-    if (!assignment.stopping) stop_task(assignment, Micros{0});  // else it may be checkpointing
+    if (!assignment.stopping) stop_task(assignment, Micros{0});  // a stopping task may be checkpointing
   }
 }
 
@@ -268,9 +270,9 @@
   ++job.change_count;
   mark_dirty(job, task, false);
   job.uncommitted_done[task] = version_;
-  check_finished(job);
+  update_finished(job);
   if (job.spec().type == JobType::gang) {
-    // The tasks of a gang complete together: one done means all done.
+    // The tasks of a gang finish together, so one finished task implies that all are finished.
     for (std::uint32_t other = 0; other < job.spec().task_count; ++other) finish_task(job, other);
   }
 }
@@ -279,9 +281,9 @@
   job.record.cancelled = true;
   job.waiting = {};
   ++job.change_count;
-  log::info("job_cancelled", "job {job} is cancelled, {tasks} tasks to stop",
+  log::info("job_cancelled", "job {job} is cancelled; {tasks} tasks have to be stopped",
             log::with("job", job.spec().job_id), log::with("tasks", job.assignments.size()));
-  check_finished(job);
+  update_finished(job);
   ++change_count_;
 }
 
@@ -299,8 +301,8 @@
 void JobTable::mark_written(Job& job, std::uint32_t block_number, std::uint64_t version) {
   Block& block = job.blocks[block_number];
   block.committed_version = version;
-  unrank_block(job, block_number);
-  rank_block(job, block_number);
+  remove_from_write_order(job, block_number);
+  update_write_order(job, block_number);
   std::erase_if(job.uncommitted_done, [&](const auto& entry) {
     const auto& [task, done_version] = entry;
     return job.block_of(task) == block_number && done_version <= block.committed_version;
@@ -310,7 +312,7 @@
 Value JobTable::block_row(const Job& job, std::uint32_t block_number) const {
   const std::uint32_t first = block_number * job.record.tasks_per_block;
   const std::uint32_t last = std::min(first + job.record.tasks_per_block, job.spec().task_count) - 1;
-  /// One row for all tasks that a machine has under one attempt.
+  /// Identifies a row, which lists all of the job's tasks on one machine under one attempt.
   struct RowKey {
     const Machine* machine;
     std::uint64_t attempt;
@@ -318,7 +320,7 @@
     auto operator<=>(const RowKey&) const = default;
   };
   std::vector<records::AssignmentRow> assignments;
-  std::map<RowKey, std::size_t> rows;  // -> index of the row; looked up only, so its order does not matter
+  std::map<RowKey, std::size_t> rows;  // -> index of the row; the order of the map is not used
   for (auto it = job.assignments.lower_bound(first); it != job.assignments.end() && it->first <= last; ++it) {
     const TaskAssignment& assignment = it->second;
     const auto [row, added] =
@@ -330,10 +332,10 @@
                               job.last_attempt, job.done, assignments, first, last);
 }
 
-/// What follows from the jobs alone, to be compared with what is kept up step by step.
+/// Counts computed from the jobs alone, for comparison with those that are updated incrementally.
 struct JobTable::RecomputedTable {
   std::map<const Machine*, MachineInventory::Recomputed> machines;
-  std::map<std::string, Resources> teams;
+  std::map<std::string, Resources> team_usage;
   std::size_t dirty_blocks = 0;
   std::size_t assignments = 0;
 };
@@ -361,16 +363,16 @@
     }
     if (assignment.state == TaskState::running) machine.use.running += spec.resources;
     if (assignment.counted_as_fetching) ++machine.fetching_tasks[spec.image];
-    table.teams[spec.team] += spec.resources;
+    table.team_usage[spec.team] += spec.resources;
     ++table.assignments;
     if (!assignments_on(*assignment.machine).contains(AssignmentKey{job.id, task}))
-      return "an assignment of " + spec.job_id + " is not among its machine's";
+      return "an assignment of " + spec.job_id + " is not among its machine's assignments";
     if (job.done.contains(task) || job.waiting.contains(task))
-      return "an assigned task of " + spec.job_id + " waits or is done";
+      return "an assigned task of " + spec.job_id + " also waits or is done";
   }
   if (!job.record.cancelled &&
       job.assignments.size() + job.done.size() + job.waiting.size() != spec.task_count)
-    return "tasks of " + spec.job_id + " are lost";
+    return "some tasks of " + spec.job_id + " are neither waiting, assigned nor done";
   return {};
 }
 
@@ -379,23 +381,25 @@
   for (std::uint32_t n = 0; n < job.blocks.size(); ++n) {
     const Block& block = job.blocks[n];
     if ((block.dirty_since != 0) != (block.version > block.committed_version))
-      return "a block of " + job_id + " is due for writing and unchanged, or the other way round";
+      return "a block of " + job_id + " is due for writing but unchanged, or changed but not due for writing";
     if (block.dirty_since == 0) continue;
     ++table.dirty_blocks;
-    if (!unwritten_.contains(write_order(job, n))) return "a block of " + job_id + " would not be written";
+    if (!unwritten_blocks_.contains(write_order(job, n)))
+      return "a changed block of " + job_id + " is not among the unwritten blocks";
   }
   return {};
 }
 
 std::string JobTable::total_disagreement(const RecomputedTable& table) const {
-  if (table.dirty_blocks != unwritten_.size()) return "blocks of finished jobs would be written";
+  if (table.dirty_blocks != unwritten_blocks_.size())
+    return "blocks of finished or removed jobs are due for writing";
   std::size_t on_machines = 0;
-  for (const auto& [machine, assignments] : by_machine_) on_machines += assignments.size();
+  for (const auto& [machine, assignments] : assignments_by_machine_) on_machines += assignments.size();
   if (table.assignments != on_machines) return "machines hold assignments that no job has";
-  for (const auto& [team, used] : teams_) {
-    const auto recomputed = table.teams.find(team);
-    if (!(used == (recomputed == table.teams.end() ? Resources{} : recomputed->second)))
-      return "what team " + team + " uses is counted wrongly";
+  for (const auto& [team, used] : team_usage_) {
+    const auto recomputed = table.team_usage.find(team);
+    if (!(used == (recomputed == table.team_usage.end() ? Resources{} : recomputed->second)))
+      return "the recorded usage of team " + team + " differs from what its assignments use";
   }
   return {};
 }
--- a/src/pending_replies/include/wrenusher/pending_replies/pending_replies.hpp
+++ b/src/pending_replies/include/wrenusher/pending_replies/pending_replies.hpp
@@ -1,9 +1,12 @@
 #pragma once
 /// @file
-/// Package pending_replies: the replies to workers' reports that wait for the commit of what the report
-/// brought, so that the worker gets its next tasks with the same reply. It owns these replies and nothing
-/// else. Invariant: at most one per machine, and each is given exactly once. It may depend on time and
-/// protocol.
+/// Package pending_replies: the replies to workers' reports that are held back until the changes caused by
+/// the report are committed, so that the worker gets its next tasks with the same reply. It owns these
+/// replies and nothing else.
+///
+/// Invariant: at most one reply per machine is pending, and each is sent exactly once.
+///
+/// It may depend on time and protocol.
 
 #include <cstdint>
 #include <functional>
@@ -23,37 +26,37 @@
 using protocol::WorkerReport;
 using time::Instant;
 
-/// Gives a report its reply, with the commands for the worker.
+/// Sends the reply to a report, with the commands for the worker.
 using Reply = std::function<void(std::vector<WorkerCommand>)>;
 
-/// A reply that waits.
+/// A reply that has not been sent yet.
 struct PendingReply {
   std::shared_ptr<const WorkerReport> report;  ///< never null
   Reply reply;
-  Instant deadline{};                      ///< it is given then at the latest
-  std::uint64_t plan_count_at_report = 0;  ///< how many plans had been made when the report came
+  Instant deadline{};                      ///< the latest time at which the reply is sent
+  std::uint64_t plan_count_at_report = 0;  ///< number of plans made before the report arrived
 };
 
-/// Decides on a reply: its commands, or nothing while it is to wait on.
+/// Returns the commands with which to send a pending reply, or nothing to keep it pending.
 using CommandSource =
     std::function<std::optional<std::vector<WorkerCommand>>(const std::string& host, const PendingReply&)>;
 
-/// The replies that wait, by machine. Owns them. Single-threaded: called from the runtime's loop only; a
-/// reply must not call back into this object.
+/// Owns the pending replies, by machine. Single-threaded: called from the runtime's loop only; a reply must
+/// not call back into this object.
 class PendingReplies {
  public:
-  /// Holds a reply. One that the machine had before must have been given (`reply_empty`).
-  void add(const std::string& host, PendingReply pending) { waiting_[host] = std::move(pending); }
-  /// Gives the machine's reply, if any waits, without commands: the worker has given up waiting, or its
-  /// machine has departed.
+  /// Adds a pending reply. An earlier one of the same machine must have been sent before (`reply_empty`).
+  void add(const std::string& host, PendingReply pending) { by_host_[host] = std::move(pending); }
+  /// Sends the machine's pending reply, if there is one, without commands: the worker has timed out waiting
+  /// for it, or its machine has departed.
   void reply_empty(const std::string& host);
-  /// Gives all replies without commands.
+  /// Sends all pending replies without commands.
   void reply_all_empty();
-  /// Gives the replies for which `commands` has a result; the others stay.
+  /// Sends the replies for which `commands` returns a result; the others stay pending.
   void reply_ready(const CommandSource& commands);
 
  private:
-  std::map<std::string, PendingReply> waiting_;  ///< by host
+  std::map<std::string, PendingReply> by_host_;
 };
 
 }  // namespace wrenusher::pending_replies
--- a/src/reconciler/commands.cpp
+++ b/src/reconciler/commands.cpp
@@ -1,4 +1,4 @@
-// Which commands a worker gets: derived from the job table as it stands, given the worker's newest report.
+// Derives the commands for a worker from the job table and the worker's newest report.
 #include <algorithm>
 
 #include "wrenusher/reconciler/reconciler.hpp"
@@ -9,35 +9,36 @@
 
 namespace {
 
-WorkerCommand command(WorkerCommand::Verb verb, const TaskReport& task, Micros grace_period = {}) {
+WorkerCommand make_command(WorkerCommand::Verb verb, const TaskReport& task, Micros grace_period = {}) {
   return {verb, task.job_id, task.task, task.attempt, grace_period};
 }
 
-/// The task is done, but the state service does not have it yet.
+/// Returns whether the task is done but its end is not committed to the state service yet.
 bool awaits_done_commit(const Job* job, const TaskReport& task) {
   return job != nullptr && job->uncommitted_done.contains(task.task);
 }
 
-/// The command for a task that ended: nothing while its assignment stands or its end is not committed, for
-/// until then the worker must keep reporting it.
+/// Adds the command to delete a task that exited. None is added while the task is assigned or its end is not
+/// committed, since the worker must keep reporting it until then.
 void add_command_for_exited(const Job* job, const Machine& machine, const TaskReport& task,
                             std::vector<WorkerCommand>& commands) {
   if (awaits_done_commit(job, task)) return;
   if (job != nullptr && job->is_assigned(task.task, machine, task.attempt)) return;
-  commands.push_back(command(WorkerCommand::Verb::forget, task));
+  commands.push_back(make_command(WorkerCommand::Verb::forget, task));
 }
 
-/// The command for a task on the machine: a stop, where it has no assignment there or is to stop.
+/// Adds a stop for a task on the machine if it has no assignment there or has been requested to stop.
 void add_command_for_present(const Job* job, const Machine& machine, const TaskReport& task,
                              std::vector<WorkerCommand>& commands) {
   if (job == nullptr || !job->is_assigned(task.task, machine, task.attempt)) {
-    commands.push_back(command(WorkerCommand::Verb::stop, task));
+    commands.push_back(make_command(WorkerCommand::Verb::stop, task));
     return;
   }
   const TaskAssignment& assignment = job->assignments.at(task.task);
-  const bool saving = assignment.state == TaskState::checkpointing && assignment.grace_period.count() != 0;
-  if (assignment.stopping && !saving)
-    commands.push_back(command(WorkerCommand::Verb::stop, task, assignment.grace_period));
+  const bool saves_checkpoint =
+      assignment.state == TaskState::checkpointing && assignment.grace_period.count() != 0;
+  if (assignment.stopping && !saves_checkpoint)
+    commands.push_back(make_command(WorkerCommand::Verb::stop, task, assignment.grace_period));
 }
 
 bool awaits_start(const TaskAssignment& assignment) {
--- a/src/reconciler/include/wrenusher/reconciler/reconciler.hpp
+++ b/src/reconciler/include/wrenusher/reconciler/reconciler.hpp
@@ -1,8 +1,10 @@
 #pragma once
-// Package reconciler: reconciles a worker's heartbeat with the job table and the machine inventory, and
-// derives the commands for that worker. This is where assignments end: only a newer heartbeat, or the cloud's
-// confirmation that the machine is gone, proves that a task is off its machine. It may depend on time, value,
-// runtime, protocol, events, job_table, machine_inventory, estimates, usage_metrics and log.
+// Package reconciler: applies a worker's heartbeat to the job table and the machine inventory, and derives
+// the commands for that worker. Assignments end here: only a newer heartbeat, or the cloud's confirmation
+// that the machine no longer exists, proves that a task is off its machine.
+//
+// It may depend on time, value, runtime, protocol, events, job_table, machine_inventory, estimates,
+// usage_metrics and log.
 
 #include <cstdint>
 #include <vector>
@@ -45,33 +47,34 @@
         estimator_(estimator),
         start_latency_(start_latency) {}
 
-  /// What the leader has to do after a heartbeat.
+  /// The effects of a report that the leader has to act on.
   struct Result {
     bool usable_changed = false;                      ///< the machine became usable, or stopped being so
     bool tasks_released = false;                      ///< fewer tasks are assigned to the machine than before
     std::vector<DirectCommands> stops;                ///< to be sent at once
     std::vector<MachineCordoned> machines_to_cordon;  ///< machines on which tasks of several jobs fail
   };
-  /// Brings job table and inventory in line with a heartbeat.
+  /// Updates the job table and the inventory from a report.
   /// @param token_accepted the worker has accepted this term's fencing token
-  /// @param settled the report is a heartbeat, not the reply to /orders, so that every start sent before it
-  ///        either shows in it or will never take effect
-  Result apply(const WorkerReport& report, bool token_accepted, bool settled);
-  /// The commands for the worker, given its newest report.
+  /// @param is_heartbeat the report is a heartbeat, not the reply to /orders; every start sent before a
+  ///        heartbeat is either listed in it or will never take effect
+  Result apply(const WorkerReport& report, bool token_accepted, bool is_heartbeat);
+  /// Returns the commands for the worker, given its newest report.
   [[nodiscard]] std::vector<WorkerCommand> commands_for(const Machine& machine,
                                                         const WorkerReport& report) const;
-  /// Whether a commit in progress or due would add commands to the reply.
+  /// Returns whether a commit that is in progress or due would add commands to the reply.
   [[nodiscard]] bool awaits_commit(const Machine& machine, const WorkerReport& report) const;
-  /// How many tasks assigned in this term have been seen on their machines, since this object was made.
+  /// Returns how many tasks assigned in this term have been reported by their machines, since this object was
+  /// constructed.
   std::uint64_t confirmed_start_count() const { return confirmed_start_count_; }
 
  private:
-  /// One heartbeat while it is being applied.
+  /// A report while it is being applied.
   struct Update {
     Machine& machine;
     const WorkerReport& report;
-    bool settled;            ///< as passed to `apply`
-    std::uint64_t sequence;  ///< number of this report, marks the assignments that it shows
+    bool is_heartbeat;            ///< as passed to `apply`
+    std::uint64_t report_number;  ///< copied to the assignments that the report lists
     Result result;
   };
   /// A task of a job in the table.
@@ -96,7 +99,7 @@
   void apply_missing(const Update& update);
   void release_missing(Job& job, std::uint32_t task, const Update& update);
 
-  void apply_eviction_notice(Update& update, Micros left);
+  void apply_eviction_notice(Update& update, Micros time_left);
   Micros estimate_remaining(const JobSpec& spec, const TaskAssignment& assignment) const;
   void stop_before_eviction(const TaskRef& ref, Micros grace_period, Result& result);
 
--- a/src/reconciler/reconciler.cpp
+++ b/src/reconciler/reconciler.cpp
@@ -1,5 +1,5 @@
-// How a heartbeat changes the job table: tasks that it shows, tasks that ended, assignments that it lacks,
-// and the notice that the machine will be taken away. Commands are derived in commands.cpp.
+// How a heartbeat changes the job table: tasks that it lists as present, tasks that it lists as exited,
+// assignments that it does not list, and the eviction notice. Commands are derived in commands.cpp.
 #include "wrenusher/reconciler/reconciler.hpp"
 
 #include <algorithm>
@@ -19,29 +19,29 @@
 
 namespace {
 
-/// A failure counts against its machine for this long.
-constexpr Micros kFailureMemory = from_seconds(180);
-/// A job that failed on this many machines is to blame itself.
+/// Time for which a failure counts against its machine.
+constexpr Micros kFailureRetention = from_seconds(180);
+/// A job that failed on this many machines is itself considered the cause.
 constexpr std::size_t kMaxFailedHosts = 3;
-/// A machine is blamed once this many jobs have failed on it and nowhere else.
-constexpr int kJobsToSuspectMachine = 2;
-/// A job avoids a machine on which it failed for this long.
-constexpr Micros kAvoidMachine = from_seconds(60);
-/// The pause of a job that fails everywhere doubles from the first to the second, with each retry.
+/// A machine is considered the cause once this many jobs have failed on it and on no other machine.
+constexpr int kFailingJobsToCordon = 2;
+/// Time for which a job is not placed on a machine on which it failed.
+constexpr Micros kAvoidMachineTime = from_seconds(60);
+/// Pause of a job that fails on every machine. It doubles with each retry, from the minimum to the maximum.
 constexpr Micros kMinJobPause = from_seconds(5);
 constexpr Micros kMaxJobPause = from_seconds(60);
 constexpr int kMaxPauseDoublings = 4;
-/// A machine that refused a start for lack of room gets no new tasks for this long.
+/// Time for which a machine that refused a start for lack of room gets no new tasks.
 constexpr Micros kNoRoomPause = from_seconds(3);
-/// A running task is never estimated to end sooner than this.
+/// Minimum of the estimated remaining time of a running task.
 constexpr Micros kMinRemaining = from_seconds(1);
 
-/// What a worker's exit reason means for the assignment.
+/// The effect of a worker's exit reason on the assignment.
 enum class ExitOutcome {
-  done,           ///< the task has finished; a service never does
+  done,           ///< the task has finished; a service never finishes
   failed,         ///< the task itself failed
-  start_refused,  ///< the machine has no room, or runs the task already
-  interrupted     ///< anything else: it is to be started again
+  start_refused,  ///< the machine has no room, or is running the task already
+  interrupted     ///< any other reason: the task is to be started again
 };
 
 ExitOutcome classify_exit(const std::string& reason) {
@@ -66,18 +66,18 @@
 
 }  // namespace
 
-Reconciler::Result Reconciler::apply(const WorkerReport& report, bool token_accepted, bool settled) {
+Reconciler::Result Reconciler::apply(const WorkerReport& report, bool token_accepted, bool is_heartbeat) {
   Machine& machine = machines_.get_or_add(report.host);
   if (machine.incarnation != 0 && report.incarnation > machine.incarnation)
     log::info("machine_new_incarnation",
-              "machine {machine} started incarnation {incarnation}: its earlier tasks are gone",
+              "machine {machine} started incarnation {incarnation}; its earlier tasks no longer exist",
               log::with("machine", report.host), log::with("incarnation", report.incarnation));
   const bool was_usable = machine.usable();
   machines_.update_from_report(machine, report, token_accepted);
-  Update update{machine, report, settled, ++report_count_, {}};
+  Update update{machine, report, is_heartbeat, ++report_count_, {}};
   update.result.usable_changed = machine.usable() != was_usable;
   const std::uint32_t assigned_before = machine.use.assignments;
-  // Present tasks before exited ones: a refused start must not hide an older attempt.
+  // Present tasks are applied before exited ones, so that a refused start does not hide an older attempt.
   apply_present(update);
   if (report.eviction_notice) apply_eviction_notice(update, *report.eviction_notice);
   apply_exited(update);
@@ -97,28 +97,30 @@
         !adopt_unassigned(*job, task, update.machine))
       continue;
     TaskAssignment& assignment = job->assignments.at(task.task);
-    assignment.last_shown = update.sequence;
+    assignment.last_report_number = update.report_number;
     apply_task(*job, assignment, task);
     if (job->record.cancelled && !assignment.stopping) jobs_.stop_task(assignment, assignment.grace_period);
   }
 }
 
-/// Assigns a task to the machine that shows it without an assignment; otherwise it could be started a second
-/// time elsewhere. False where another assignment stands, or where the report may be a late copy from before
-/// this term, of a task that left long ago: only reports after the worker accepted the token count.
+/// Assigns a task to the machine that lists it without an assignment; otherwise it could be started a second
+/// time elsewhere. Returns false if the task has another assignment, or if the worker has not accepted this
+/// term's token: the report may then be a delayed copy from before this term, and the task may have left the
+/// machine since.
 bool Reconciler::adopt_unassigned(Job& job, const TaskReport& task, Machine& machine) {
   const auto it = job.assignments.find(task.task);
   if (it != job.assignments.end() &&
       (it->second.machine != &machine || it->second.state != TaskState::assigned))
     return false;
   if (!machine.token_accepted) return false;
-  log::warn("task_adopted", "task {task} is on {machine} without an assignment: adopted",
+  log::warn("task_adopted",
+            "task {task} is on {machine} without an assignment; it is assigned to that machine",
             log::with("task", task_name(task.job_id, task.task)), log::with("machine", machine.name));
   jobs_.assign(job, task.task, machine, task.attempt, TaskState::recovered);
   return true;
 }
 
-/// Takes over the state of an assigned task that a report shows on its machine.
+/// Updates the state of an assigned task that a report lists on its machine.
 void Reconciler::apply_task(Job& job, TaskAssignment& assignment, const TaskReport& task) {
   const TaskState state = state_of(task.status);
   const Instant now = runtime_.now();
@@ -141,7 +143,7 @@
   jobs_.set_state(job, assignment, state);
 }
 
-/// Adds a task that has just begun to run to the start latencies.
+/// Records the start latencies of a task that has just begun to run.
 void Reconciler::record_start(const JobSpec& spec, std::uint32_t task, const TaskAssignment& assignment) {
   const Instant ready =
       assignment.gang_wait_since != Instant{} ? assignment.gang_wait_since : assignment.running_since;
@@ -176,8 +178,8 @@
 }
 
 void Reconciler::finish_task(Job& job, const TaskReport& task, const Machine& machine, bool assigned_here) {
-  // It was started again elsewhere. It ends there as well once the image has arrived, and only the end of
-  // that attempt frees its capacity.
+  // The task was started again on another machine. Its new attempt ends there as well once the image has
+  // arrived, and its capacity is freed only then.
   if (!assigned_here && job.assignments.contains(task.task)) return;
   if (assigned_here) {
     const TaskAssignment& assignment = job.assignments.at(task.task);
@@ -187,7 +189,7 @@
   jobs_.finish_task(job, task.task);
 }
 
-/// The task ended without being done, so it is to be started again.
+/// Releases a task that ended without being done, so that it is started again.
 void Reconciler::release_exited(Job& job, const TaskReport& task, Update& update) {
   const ExitOutcome outcome = classify_exit(task.exit_reason);
   if (outcome == ExitOutcome::failed) record_failure(job, task, update);
@@ -203,24 +205,24 @@
             log::with("reason", task.exit_reason));
 }
 
-/// Decides whether the job or the machine is to blame for a task that failed.
+/// Records the failure of a task, and decides whether the job or the machine is considered its cause.
 void Reconciler::record_failure(Job& job, const TaskReport& task, Update& update) {
   const Instant now = runtime_.now();
   Machine& machine = update.machine;
   log::info("task_failed", "task {task} failed on {machine}",
             log::with("task", task_name(task.job_id, task.task)), log::with("machine", machine.name));
   job.failed_hosts.insert(machine.name);
-  job.avoided_machines[machine.name] = now + kAvoidMachine;
+  job.avoided_machines[machine.name] = now + kAvoidMachineTime;
   if (job.failed_hosts.size() >= kMaxFailedHosts) {
     pause_failing_job(job);
     return;
   }
   machine.task_failures[task.job_id] = now;
-  if (count_jobs_failing_only_on(machine) >= kJobsToSuspectMachine && !machine.cordoned)
+  if (count_jobs_failing_only_on(machine) >= kFailingJobsToCordon && !machine.cordoned)
     update.result.machines_to_cordon.push_back({machine.name, "tasks of several jobs failed on it"});
 }
 
-/// The job fails wherever it is placed, so its machines are not to blame.
+/// Pauses a job that fails on every machine, so that none of these machines counts as the cause.
 void Reconciler::pause_failing_job(Job& job) {
   const Micros pause =
       std::min(kMaxJobPause, kMinJobPause * (1 << std::min(job.retry_count, kMaxPauseDoublings)));
@@ -228,33 +230,34 @@
   job.not_before = runtime_.now() + pause;
   job.failed_hosts.clear();
   job.avoided_machines.clear();
-  log::warn("job_failing", "job {job} fails on every machine, next attempt in {seconds:.0f} s",
+  log::warn("job_failing", "job {job} fails on every machine; the next attempt is in {seconds:.0f} s",
             log::with("job", job.spec().job_id), log::with("seconds", to_seconds(pause)));
 }
 
-/// Jobs that failed on the machine recently and on no other.
+/// Returns how many jobs failed on the machine recently and on no other machine.
 int Reconciler::count_jobs_failing_only_on(const Machine& machine) const {
   int count = 0;
   for (const auto& [job_id, failed_at] : machine.task_failures) {
     const Job* job = jobs_.find(job_id);
     const bool elsewhere =
         job != nullptr && (job->failed_hosts.size() != 1 || !job->failed_hosts.contains(machine.name));
-    if (runtime_.now() - failed_at < kFailureMemory && !elsewhere) ++count;
+    if (runtime_.now() - failed_at < kFailureRetention && !elsewhere) ++count;
   }
   return count;
 }
 
-// ---------------------------------------------------------------- assignments that the report lacks
+// ---------------------------------------------------------------- assignments that the report does not list
 
-/// Until the worker has accepted this term's token, what a report lacks proves nothing: it may be a late
-/// copy, and a gang's task may have come back under the same attempt since.
+/// Releases the assignments that the report does not list. Until the worker has accepted this term's token, a
+/// missing task proves nothing: the report may be a delayed copy, and a gang's task may have been started on
+/// the machine again under the same attempt since.
 void Reconciler::apply_missing(const Update& update) {
   if (!update.machine.token_accepted) return;
-  // Collected first: releasing one task of a gang may release others.
+  // The tasks are collected first because releasing one task of a gang may release others.
   std::vector<TaskRef> missing;
   for (const auto& [key, job] : jobs_.assignments_on(update.machine)) {
     const auto& [job_number, task] = key;
-    if (job->assignments.at(task).last_shown != update.sequence) missing.push_back({job, task});
+    if (job->assignments.at(task).last_report_number != update.report_number) missing.push_back({job, task});
   }
   for (const TaskRef& ref : missing) release_missing(*ref.job, ref.task, update);
 }
@@ -265,28 +268,28 @@
   const TaskAssignment& assignment = it->second;
   switch (assignment.state) {
     case TaskState::assigned:
-      // Starts are sent only in replies to heartbeats, so a heartbeat settles every earlier start; the reply
-      // to /orders does not.
-      if (update.settled && (assignment.stopping || !update.machine.usable()))
+      // Starts are sent only in replies to heartbeats. Every start sent before a heartbeat is either listed
+      // in it or will never take effect; the reply to /orders does not prove this.
+      if (update.is_heartbeat && (assignment.stopping || !update.machine.usable()))
         jobs_.release(job, task, "not started", true);
       break;
     case TaskState::recovered:
-      // Assigned in an earlier term: a worker that has accepted this term's token cannot be made to start it
-      // any more, and this leader never commands it, so the reply to /orders settles it as well. The
-      // exception is a start sent in this term, before the records were read again.
-      if (update.settled || !assignment.start_in_flight)
+      // The task was assigned in an earlier term. A worker that has accepted this term's token rejects the
+      // earlier leader's start, and this leader never sends one, so the reply to /orders is sufficient proof
+      // as well. The exception is a start sent in this term before the records were read again.
+      if (update.is_heartbeat || !assignment.start_in_flight)
         jobs_.release(job, task, "never started, or lost before this term", true);
       break;
     default:
-      jobs_.release(job, task, "gone from its machine", true);
+      jobs_.release(job, task, "missing from its machine", true);
   }
 }
 
 // ---------------------------------------------------------------- eviction notice
 
-/// The machine will be taken away `left` from now. Tasks that cannot finish by then are stopped at once, so
-/// that they can save a checkpoint or start early elsewhere.
-void Reconciler::apply_eviction_notice(Update& update, Micros left) {
+/// Stops the tasks that cannot finish before the machine is evicted, `time_left` from now. They are stopped
+/// at once, so that they can save a checkpoint or start early on another machine.
+void Reconciler::apply_eviction_notice(Update& update, Micros time_left) {
   machines_.advance_fetches(update.machine);
   for (const auto& [key, job] : jobs_.assignments_on(update.machine)) {
     const auto& [job_number, task] = key;
@@ -295,13 +298,14 @@
         assignment.state == TaskState::recovered)
       continue;
     const JobSpec& spec = job->spec();
-    if (spec.type == JobType::array && estimate_remaining(spec, assignment) < left) continue;
-    const Micros grace_period = spec.has_checkpoints() ? std::max(spec.checkpoint_time, left / 2) : Micros{0};
+    if (spec.type == JobType::array && estimate_remaining(spec, assignment) < time_left) continue;
+    const Micros grace_period =
+        spec.has_checkpoints() ? std::max(spec.checkpoint_time, time_left / 2) : Micros{0};
     stop_before_eviction({job, task}, grace_period, update.result);
   }
 }
 
-/// How long the task still needs on its machine, the fetch of its image included.
+/// Returns the time that the task still needs on its machine, including the fetch of its image.
 Micros Reconciler::estimate_remaining(const JobSpec& spec, const TaskAssignment& assignment) const {
   const Micros run_time = estimator_.estimate(spec);
   if (assignment.state == TaskState::running)
--- a/src/scheduling_cycle/include/wrenusher/scheduling_cycle/layouts.hpp
+++ b/src/scheduling_cycle/include/wrenusher/scheduling_cycle/layouts.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// What the active topology means for a job's layout: where its tasks stand now, where a new machine would
-// help, and why the job waits. Pure functions.
+// Evaluates a job's layout in the active topology: the domains that its tasks occupy, the placements where a
+// new machine would help, and the reason why the job waits. Pure functions.
 
 #include <optional>
 #include <string>
@@ -12,20 +12,21 @@
 
 namespace wrenusher::scheduling_cycle {
 
-/// Machine types and zones, in the form in which the provisioner gets them; nothing: any.
+/// Pairs of machine type and zone, as in the workload event; no value means that all are eligible.
 using EligiblePlacements = decltype(events::Workload::Demand::eligible_placements);
 
-/// Fills in `plan_job.zones` where the job's zones matter. Every assignment counts until its task is proven
-/// to be off its machine. False while some location is unknown: a machine with an assignment has not reported
-/// in this term.
+/// Fills in `plan_job.zones` if the job restricts its zones. An assignment counts until it is proven that its
+/// task is off the machine. Returns false if a location is unknown because a machine with an assignment has
+/// not reported in this term.
 [[nodiscard]] bool fill_zones(const job_table::Job& job, placement::PlanJob& plan_job);
-/// Fills in `plan_job.layout` likewise, by failure domain. `topology` is null while none is active.
+/// Fills in `plan_job.layout`, which counts by failure domain, with the same rules and result as
+/// `fill_zones`. `topology` is null while none is active.
 [[nodiscard]] bool fill_layout(const job_table::Job& job, const topology::Topology* topology,
                                placement::PlanJob& plan_job);
-/// Where a new machine could serve the job's layout, as far as type and zone decide it.
+/// Returns the pairs of machine type and zone in which a new machine could satisfy the job's layout.
 EligiblePlacements eligible_placements(const placement::PlanJob& job, const topology::Topology* topology,
                                        const protocol::Catalog& catalog);
-/// Why a job with a layout waits, for the log.
+/// Returns the reason why a job with a layout waits, for the log.
 std::string layout_wait_reason(const placement::PlanJob& job, const topology::Topology* topology);
 
 }  // namespace wrenusher::scheduling_cycle
--- a/src/scheduling_cycle/include/wrenusher/scheduling_cycle/preemption.hpp
+++ b/src/scheduling_cycle/include/wrenusher/scheduling_cycle/preemption.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Stops tasks of less urgent jobs for urgent ones that find no room.
+// Preemption: stops tasks of less urgent jobs to make room for urgent ones.
 
 #include <vector>
 
@@ -13,25 +13,26 @@
 
 namespace wrenusher::scheduling_cycle {
 
-/// Decides for which shortages others are stopped, and stops them in the job table. Single-threaded: called
-/// from the runtime's loop only. Everything passed to the constructor must outlive it.
+/// Decides for which shortages tasks are preempted, and marks these tasks as stopping in the job table.
+/// Single-threaded: called from the runtime's loop only. Everything passed to the constructor must outlive
+/// it.
 class Preemptor {
  public:
   Preemptor(Runtime& runtime, JobTable& jobs, MachineInventory& machines,
             const estimates::Estimator& estimator)
       : runtime_(runtime), jobs_(jobs), machines_(machines), estimator_(estimator) {}
 
-  /// Stops tasks for the plan's urgent shortages, once a second at most. Returns the commands that are to be
-  /// sent at once.
+  /// Preempts tasks for the plan's urgent shortages, at most once a second. Returns the commands to be sent
+  /// at once.
   [[nodiscard]] std::vector<events::DirectCommands> preempt(const placement::Plan& plan,
                                                             const IndexUpdater& updater);
 
  private:
-  /// Tasks that might be stopped, as the placement package looks at them.
+  /// Tasks that may be preempted, in the form in which the placement package takes them.
   struct Candidates {
     std::vector<placement::PlanMachine> machines;
     std::vector<placement::RunningTask> tasks;  ///< `machine` is an index into `machines`
-    std::vector<TaskAssignment*> assignments;   ///< of `tasks`, in the same order
+    std::vector<TaskAssignment*> assignments;   ///< assignments of `tasks`, in the same order
   };
 
   bool is_urgent(const placement::Shortage& shortage, const IndexUpdater& updater) const;
--- a/src/scheduling_cycle/include/wrenusher/scheduling_cycle/reserved_types.hpp
+++ b/src/scheduling_cycle/include/wrenusher/scheduling_cycle/reserved_types.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Machine types that some job cannot do without, and that are therefore kept for such jobs.
+// Machine types that are reserved for the jobs that fit no other type.
 
 #include <map>
 #include <set>
@@ -9,14 +9,16 @@
 
 namespace wrenusher::scheduling_cycle {
 
-/// Remembers for which machine types a job has waited recently that fits no other type. Single-threaded.
+/// The machine types that are reserved because a job that fits no other type has waited recently.
+/// Single-threaded.
 class ReservedTypes {
  public:
-  /// A job waits now that fits this machine type only.
-  void request(const std::string& type, time::Instant now);
-  /// Lets requests expire. True when other types are reserved than after the last call.
+  /// Reserves the type for a job that waits at `now` and fits this machine type only.
+  void reserve(const std::string& type, time::Instant now);
+  /// Removes expired reservations. Returns true if the set of reserved types differs from that after the last
+  /// call.
   [[nodiscard]] bool refresh(time::Instant now);
-  /// Whether the type was reserved at the last `refresh`.
+  /// Returns whether the type was reserved at the last `refresh`.
   bool contains(const std::string& type) const { return reserved_.contains(type); }
 
  private:
--- a/src/scheduling_cycle/include/wrenusher/scheduling_cycle/scheduling_cycle.hpp
+++ b/src/scheduling_cycle/include/wrenusher/scheduling_cycle/scheduling_cycle.hpp
@@ -1,9 +1,11 @@
 #pragma once
-// Package scheduling_cycle: asks the placement package for a plan and applies it to the job table. It decides
-// when to plan, keeps the placement index up to date (`IndexUpdater`), keeps scarce machine types for those
-// who need them (`ReservedTypes`), stops tasks for more urgent ones (`Preemptor`) and reports unmet demand
-// to the provisioner (`make_workload`). It may depend on time, value, runtime, settings, protocol, topology,
-// events, placement, estimates, job_table, machine_inventory and log.
+// Package scheduling_cycle: computes a plan with the placement package and applies it to the job table. It
+// decides when to plan, keeps the placement index up to date (`IndexUpdater`), reserves scarce machine types
+// for the jobs that fit no other (`ReservedTypes`), preempts tasks (`Preemptor`) and reports unmet demand to
+// the provisioner (`make_workload`).
+//
+// It may depend on time, value, runtime, settings, protocol, topology, events, placement, estimates,
+// job_table, machine_inventory and log.
 
 #include <cstdint>
 #include <map>
@@ -28,8 +30,8 @@
 using events::Progress;
 using events::Workload;
 
-/// Plans and applies plans, on behalf of the leader. Single-threaded: called from the runtime's loop only.
-/// Everything passed to the constructor belongs to the leader and must outlive it.
+/// Makes plans and applies them, on behalf of the leader. Single-threaded: called from the runtime's loop
+/// only. Everything passed to the constructor belongs to the leader and must outlive it.
 class SchedulingCycle {
  public:
   SchedulingCycle(Runtime& runtime, const Settings& settings, JobTable& jobs, MachineInventory& machines,
@@ -41,29 +43,30 @@
         updater_(runtime, settings, jobs, machines, estimator),
         preemptor_(runtime, jobs, machines, estimator) {}
 
-  /// Something changed that a plan may use.
+  /// Makes the next plan due, after a change that may let it place more tasks.
   void request_plan() { plan_requested_ = true; }
-  /// Which machine types the cloud is out of, and which machines are about to boot.
+  /// Applies the machine types that the cloud has no more of, and the machines that are starting.
   void on_capacity(const CapacityChanged& event);
   /// See IndexUpdater::expect_images.
   void expect_images(const std::map<std::string, std::uint32_t>* machines_by_image, Instant until) {
     updater_.expect_images(machines_by_image, until);
   }
-  /// Whether there is a reason to plan: a change, or the time since the last plan.
+  /// Returns whether a plan is due because of a change or of the time since the last plan.
   bool due() const;
-  /// How many plans have been made.
+  /// Returns the number of plans made so far.
   std::uint64_t plan_count() const { return plan_count_; }
 
-  /// What the leader has to do after a plan.
+  /// The effects of a plan that the leader has to act on.
   struct Result {
     std::vector<DirectCommands> stops;         ///< to be sent at once
-    std::shared_ptr<const Workload> workload;  ///< null where the last one is too recent
+    std::shared_ptr<const Workload> workload;  ///< null if the last one is too recent
   };
-  /// Plans, and assigns tasks in the job table. Does nothing while the machine types are not known.
+  /// Makes a plan and assigns its tasks in the job table. Does nothing while there is no machine type
+  /// catalog.
   Result plan();
-  /// Task counts for display; null where the last ones are too recent.
+  /// Returns task counts for display, or null if the last ones are too recent.
   [[nodiscard]] std::shared_ptr<const Progress> progress();
-  /// What the last plan looked at.
+  /// Returns statistics of the last plan.
   const placement::PlacementIndex::PlanStatistics& statistics() const {
     return updater_.index().statistics();
   }
@@ -83,7 +86,7 @@
   MachineInventory& machines_;
   IndexUpdater updater_;
   Preemptor preemptor_;
-  std::map<std::string, std::uint32_t> starting_;  ///< machines rented that are not up yet, by type
+  std::map<std::string, std::uint32_t> starting_;  ///< rented machines that have not started yet, by type
   bool plan_requested_ = false;
   std::uint64_t planned_change_count_ = 0;  ///< JobTable::change_count at the last plan
   std::uint64_t plan_count_ = 0;
--- a/src/scheduling_cycle/include/wrenusher/scheduling_cycle/workload.hpp
+++ b/src/scheduling_cycle/include/wrenusher/scheduling_cycle/workload.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// The demand and the load of machines, as the provisioner gets them.
+// Builds the workload event for the provisioner: the unmet demand and the load of the machines.
 
 #include <memory>
 
@@ -9,7 +9,8 @@
 
 namespace wrenusher::scheduling_cycle {
 
-/// The plan's shortages and the load of every machine. The machine types must be known.
+/// Returns the plan's shortages and the load of every machine. The inventory must have a machine type
+/// catalog.
 std::shared_ptr<const events::Workload> make_workload(const placement::Plan& plan,
                                                       const IndexUpdater& updater,
                                                       const MachineInventory& machines, WallTime now);
--- a/src/scheduling_cycle/index_updater.cpp
+++ b/src/scheduling_cycle/index_updater.cpp
@@ -1,4 +1,5 @@
-// Jobs and machines of the placement index; waiting jobs are in waiting_jobs.cpp.
+// Keeps jobs, estimates and machines of the placement index up to date; waiting_jobs.cpp does so for waiting
+// jobs.
 #include "wrenusher/scheduling_cycle/index_updater.hpp"
 
 #include <algorithm>
@@ -14,15 +15,15 @@
 
 namespace {
 
-/// A new estimate is adopted once it differs by more than this fraction (one part in so many).
-constexpr int kEstimateStep = 32;
-/// A task that runs for longer than estimated is assumed to need this fraction of the estimate more.
-constexpr int kOverrunFraction = 10;
+/// A new estimate is adopted if it differs from the old one by more than 1/kEstimateChangeDivisor of it.
+constexpr int kEstimateChangeDivisor = 32;
+/// A task that runs longer than estimated is assumed to need another 1/kOverrunDivisor of the estimate.
+constexpr int kOverrunDivisor = 10;
 
 }  // namespace
 
 void IndexUpdater::update() {
-  rebuild_if_void();
+  rebuild_if_outdated();
   update_jobs();
   update_machines();
   update_reserved_types();
@@ -51,8 +52,9 @@
              : a.job->spec().job_id < b.job->spec().job_id;
 }
 
-/// A new term, other machine types or another topology make everything on the index void.
-void IndexUpdater::rebuild_if_void() {
+/// Rebuilds the index after a new term, a change of the machine types or a change of the topology, which make
+/// all of its entries invalid.
+void IndexUpdater::rebuild_if_outdated() {
   if (generation_ == machines_.generation()) return;
   generation_ = machines_.generation();
   topology_ = machines_.topology();
@@ -73,7 +75,7 @@
   ++type_state_version_;
 }
 
-/// Begins to keep state for a job that is not known here yet.
+/// Adds the state for a job that has none yet.
 IndexUpdater::LiveJob IndexUpdater::track_job(Job& job) {
   JobState& state = job_states_[job.id];
   state.fitting_types = placement::fitting_machine_types(job.spec(), *machines_.catalog());
@@ -99,18 +101,18 @@
   for (const LiveJob& live : jobs_by_age_) update_estimate(*live.job, *live.state);
 }
 
-/// Small changes of an estimate are ignored: one task that ends would otherwise move the expected ends of all
-/// tasks of its class, by less than estimates are off.
+/// Updates the job's estimate. Small changes are ignored: otherwise each task that ends would move the
+/// expected ends of all tasks of its class, by less than the error of the estimates.
 void IndexUpdater::update_estimate(const Job& job, JobState& state) {
   const std::uint64_t version = estimator_.version(job.spec().job_class);
   if (state.estimate_version == version) return;
   state.estimate_version = version;
   const Micros estimate = estimator_.estimate(job.spec());
   if (state.estimate.count() > 0 &&
-      std::chrono::abs(estimate - state.estimate) <= state.estimate / kEstimateStep)
+      std::chrono::abs(estimate - state.estimate) <= state.estimate / kEstimateChangeDivisor)
     return;
   state.estimate = estimate;
-  state.basis.change_count = kNever;
+  state.inputs.change_count = kNoVersion;
   for (const auto& [task, assignment] : job.assignments) machines_.mark_changed(*assignment.machine);
 }
 
@@ -153,8 +155,8 @@
                      cores_for_tasks, !full);
 }
 
-/// The tasks on the machine that will free their capacity. Replicas of services never do; recovered
-/// assignments may not exist at all.
+/// Returns the tasks on the machine that will end and free their capacity. Replicas of services are left out
+/// since they never end, and recovered assignments since their tasks may not exist.
 std::vector<placement::EndingTask> IndexUpdater::ending_tasks(const Machine& machine) const {
   std::vector<placement::EndingTask> out;
   const job_table::MachineAssignments& assigned = jobs_.assignments_on(machine);
@@ -172,7 +174,7 @@
       ending.min_remaining = assignment.grace_period;
     } else if (assignment.state == TaskState::running) {
       ending.ends_at = assignment.running_since + estimate;
-      ending.min_remaining = estimate / kOverrunFraction;
+      ending.min_remaining = estimate / kOverrunDivisor;
     }
     out.push_back(ending);
   }
@@ -192,15 +194,16 @@
 
 std::string IndexUpdater::machine_disagreement(const Machine& machine) const {
   const MachineType* machine_type = machines_.type_of(machine);
-  const bool belongs = machine.schedulable() && machine_type != nullptr;
-  if (belongs != (machine.slot != Machine::kNoSlot))
-    return "machine " + machine.name + " has a slot in the placement index and should not, or the reverse";
-  if (!belongs) return {};
-  const placement::PlanMachine* shown = index_.machine(machine.slot);
-  if (shown == nullptr) return "machine " + machine.name + " is not in the placement index";
+  const bool should_have_slot = machine.schedulable() && machine_type != nullptr;
+  if (should_have_slot != (machine.slot != Machine::kNoSlot))
+    return "machine " + machine.name +
+           " has a slot in the placement index but should not, or has none but should";
+  if (!should_have_slot) return {};
+  const placement::PlanMachine* entry = index_.machine(machine.slot);
+  if (entry == nullptr) return "machine " + machine.name + " is not in the placement index";
   placement::PlanMachine expected = machines_.to_plan_machine(machine, *machine_type);
-  expected.fetches = shown->fetches;  // these advance from plan to plan
-  if (!(expected == *shown) || shown->fetches.size() != machine.fetches.size())
+  expected.fetches = entry->fetches;  // fetches advance between plans
+  if (!(expected == *entry) || entry->fetches.size() != machine.fetches.size())
     return "machine " + machine.name + " differs from its entry in the placement index";
   if (ending_tasks(machine) != index_.ending_tasks(machine.slot))
     return "the ending tasks of machine " + machine.name + " differ from the placement index";
--- a/src/scheduling_cycle/layouts.cpp
+++ b/src/scheduling_cycle/layouts.cpp
@@ -12,12 +12,12 @@
 
 namespace {
 
-/// A level of the topology by name; -1 where there is none.
+/// Returns the topology's level with this name, or -1 if there is none.
 int find_level(const Topology* topology, const std::string& name) {
   return topology == nullptr ? -1 : topology->level(name);
 }
 
-/// The layout that the job asks for, in terms of the topology; no tasks counted yet.
+/// Returns the job's layout in terms of the topology's levels, without task counts.
 PlanLayout translate_layout(const JobSpec& spec, const Topology* topology) {
   PlanLayout layout;
   if (const auto& spread = spec.layout->spread) {
@@ -34,8 +34,8 @@
   return layout;
 }
 
-/// Whether a machine of this type in this zone could come to stand in a domain where the layout allows a
-/// task.
+/// Returns whether a new machine of this type in this zone may be placed in a domain where the layout allows
+/// a task.
 bool domains_allow(const PlanJob& job, const Topology& topology, const std::string& machine_type,
                    const std::string& zone) {
   const std::optional<PlanLayout>& layout = job.layout;
@@ -55,7 +55,7 @@
   return false;
 }
 
-/// Whether a machine of this type in this zone could bring every device that the job names.
+/// Returns whether a new machine of this type in this zone may have every device that the job names.
 bool devices_allow(const JobSpec& spec, const Topology& topology, const std::string& machine_type,
                    const std::string& zone) {
   return std::all_of(spec.layout->devices.begin(), spec.layout->devices.end(), [&](const auto& device) {
--- a/src/scheduling_cycle/preemption.cpp
+++ b/src/scheduling_cycle/preemption.cpp
@@ -21,13 +21,13 @@
 
 namespace {
 
-/// Others are stopped for an urgent job once it must start within this time to meet its objective.
+/// Tasks are preempted for an urgent job once it must start within this time to meet its objective.
 constexpr Micros kLatestStartMargin = from_seconds(15);
 constexpr Micros kPreemptionInterval = from_seconds(1);
-/// Beyond the time that a checkpoint takes, a stopped task has this long.
+/// Added to the time that a checkpoint takes, to get the grace period of a stopped task.
 constexpr Micros kCheckpointMargin = from_seconds(1);
 
-/// What `choose_preemptions` looks at; renumbers the shortages by their jobs in it.
+/// Returns the input of `choose_preemptions`, and changes the shortages' jobs to indexes into its `jobs`.
 placement::PreemptionView make_view(std::vector<Shortage>& shortages,
                                     std::vector<placement::PlanMachine> machines,
                                     const placement::PlacementIndex& index) {
@@ -52,9 +52,9 @@
   const placement::PreemptionView view = make_view(urgent, std::move(candidates.machines), updater.index());
   std::vector<DirectCommands> commands;
   job_table::CommandsByMachine task_stops;
-  for (const std::size_t chosen : placement::choose_preemptions(view, urgent, candidates.tasks)) {
-    TaskAssignment& assignment = *candidates.assignments[chosen];
-    const RunningTask& task = candidates.tasks[chosen];
+  for (const std::size_t task_index : placement::choose_preemptions(view, urgent, candidates.tasks)) {
+    TaskAssignment& assignment = *candidates.assignments[task_index];
+    const RunningTask& task = candidates.tasks[task_index];
     if (assignment.stopping) continue;
     const Micros grace_period =
         task.spec->has_checkpoints() ? task.spec->checkpoint_time + kCheckpointMargin : Micros{0};
@@ -68,16 +68,17 @@
   return commands;
 }
 
-/// Whether others may be stopped for the shortage.
+/// Returns whether tasks may be preempted for the shortage.
 bool Preemptor::is_urgent(const Shortage& shortage, const IndexUpdater& updater) const {
   const auto slot = static_cast<IndexUpdater::Slot>(shortage.job);
   const placement::PlanJob& job = updater.index().job(slot);
-  // A service is missed from the first moment, and no new machine boots sooner than a task is stopped.
+  // A production service that does not run is an outage at once, and stopping a task always takes less time
+  // than booting a machine.
   if (job.spec->type == JobType::service && job.spec->priority == Priority::prod) return true;
   const WallTime now = runtime_.wall_time();
-  if (job.spec->priority >= Priority::normal || now - job.accepted_at < updater.patience_at(slot))
+  if (job.spec->priority >= Priority::normal || now - job.accepted_at < updater.reserved_type_wait_at(slot))
     return false;
-  // Others are stopped only for what would otherwise come too late and can still come in time.
+  // Tasks are preempted only for a job that would otherwise be late and can still finish in time.
   const placement::Slack slack = updater.index().deadline_slack(slot, now);
   return slack.status == placement::DeadlineStatus::at_risk &&
          slack.time_to_latest_start < kLatestStartMargin;
@@ -95,14 +96,14 @@
 }
 
 void Preemptor::add_candidates(Machine& machine, std::size_t machine_index, Candidates& candidates) {
-  const Job* estimated_job = nullptr;  // assignments are ordered by job: one estimate serves all of its tasks
+  // Assignments are ordered by job, so that one estimate serves all tasks of a job.
+  const Job* estimated_job = nullptr;
   Micros estimate{};
   for (const auto& [key, job] : jobs_.assignments_on(machine)) {
     const auto& [job_number, task] = key;
     TaskAssignment& assignment = job->assignments.at(task);
     const JobSpec& spec = job->spec();
-    // Whether a recovered task exists at all is not known yet; replicas of services are not stopped for
-    // others.
+    // A recovered task may not exist, and replicas of services are never preempted.
     if (assignment.state == TaskState::recovered || (spec.type == JobType::service && !assignment.stopping))
       continue;
     if (job != estimated_job) estimate = estimator_.estimate(spec);
@@ -114,7 +115,7 @@
   }
 }
 
-/// A gang is stopped as a whole.
+/// Stops all tasks of a gang.
 void Preemptor::stop_gang(const JobSpec& spec, Micros grace_period, std::vector<DirectCommands>& commands) {
   log::info("gang_preempted", "gang {job} is stopped for more urgent work", log::with("job", spec.job_id));
   for (auto& [host, stops] : jobs_.stop_job(*jobs_.find(spec.job_id), grace_period))
--- a/src/scheduling_cycle/reserved_types.cpp
+++ b/src/scheduling_cycle/reserved_types.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-/// A type stays reserved for this long after the last job that needed it was seen to wait.
+/// Time for which a type stays reserved after a job that fits no other type last waited.
 constexpr time::Micros kReservationTime = time::from_seconds(300);
 
 }  // namespace
 
-void ReservedTypes::request(const std::string& type, time::Instant now) {
+void ReservedTypes::reserve(const std::string& type, time::Instant now) {
   reserved_until_[type] = now + kReservationTime;
 }
 
--- a/src/scheduling_cycle/scheduling_cycle.cpp
+++ b/src/scheduling_cycle/scheduling_cycle.cpp
@@ -17,7 +17,8 @@
 
 namespace {
 
-/// Without any change a plan is made this often, since deadlines come nearer and pauses end.
+/// Interval of the plans made without a change, which take approaching deadlines and ended pauses into
+/// account.
 constexpr Micros kIdlePlanInterval = from_seconds(1);
 constexpr Micros kWorkloadInterval = from_millis(500);
 constexpr Micros kProgressInterval = from_seconds(1);
@@ -56,7 +57,7 @@
   context.now = runtime_.wall_time();
   context.steady_now = runtime_.now();
   context.settings = &settings_;
-  context.team_usage = &jobs_.teams();
+  context.team_usage = &jobs_.team_usage();
   const Catalog& catalog = *machines_.catalog();
   for (const auto& [name, count] : starting_) {
     if (const auto machine_type = catalog.find(name); machine_type != catalog.end())
@@ -68,13 +69,13 @@
 // ---------------------------------------------------------------- applying a plan
 
 void SchedulingCycle::apply(const placement::Plan& plan) {
-  std::map<Slot, std::uint64_t> attempts;  // a job's tasks of one plan share an attempt
+  std::map<Slot, std::uint64_t> attempts;  // tasks of a job that are placed by one plan share an attempt
   for (const placement::Placement& placement : plan.placements) {
     Job& job = updater_.job_at(placement.job);
-    // Tasks that complete a gang have the attempt of the rest of it.
-    const bool completes_gang = job.spec().type == JobType::gang && !job.assignments.empty();
+    // Replacements for lost tasks of a gang share the attempt of its other tasks.
+    const bool replaces_lost_tasks = job.spec().type == JobType::gang && !job.assignments.empty();
     const auto [it, first] = attempts.try_emplace(
-        placement.job, completes_gang ? job.assignments.begin()->second.attempt : job.last_attempt + 1);
+        placement.job, replaces_lost_tasks ? job.assignments.begin()->second.attempt : job.last_attempt + 1);
     job.incomplete_since = {};
     apply_placement(placement, it->second);
   }
@@ -89,8 +90,8 @@
                  TaskState::assigned);
   log::debug(
       "tasks_placed",
-      "job {job} (rank {rank:.1f} s): {tasks} tasks placed on {machine}, to finish in {finish:.1f} s, of "
-      "which {fetch:.1f} s fetch the image",
+      "job {job} (rank {rank:.1f} s): {tasks} tasks placed on {machine}, expected to finish in {finish:.1f} "
+      "s, of which fetching the image takes {fetch:.1f} s",
       log::with("job", job.spec().job_id), log::with("rank", to_seconds(placement::rank(plan_job))),
       log::with("tasks", placement.tasks), log::with("machine", host.name),
       log::with("finish", to_seconds(placement::finish_time(host, plan_job))),
@@ -105,7 +106,7 @@
   return make_workload(plan, updater_, machines_, runtime_.wall_time());
 }
 
-/// Logs why jobs wait for their layout, once for each reason.
+/// Logs the reason why each job with a layout waits, whenever the reason changes.
 void SchedulingCycle::log_layout_waits_if_due(const placement::Plan& plan) {
   if (runtime_.now() < next_wait_log_) return;
   next_wait_log_ = runtime_.now() + kWaitLogInterval;
--- a/tests/containers_test.cpp
+++ b/tests/containers_test.cpp
@@ -1,4 +1,4 @@
-// Containers that several packages share.
+// Tests of the containers that several packages share.
 
 #include <gtest/gtest.h>
 
@@ -16,7 +16,7 @@
   return Instant{from_seconds(seconds)};
 }
 
-TEST(AgedSet, InsertTellsWhetherTheKeyIsNew) {
+TEST(AgedSetTest, InsertReturnsWhetherKeyIsNew) {
   AgedSet<std::string> set;
   EXPECT_TRUE(set.insert("a", at(1)));
   EXPECT_FALSE(set.insert("a", at(2)));
@@ -24,18 +24,18 @@
   EXPECT_EQ(set.size(), 1U);
 }
 
-TEST(AgedSet, ForgetsMembersThatAreOlderThanTheLimit) {
+TEST(AgedSetTest, ErasesMembersOlderThanMaxAge) {
   AgedSet<std::string> set;
   set.insert("a", at(1));
   set.insert("b", at(2));
-  set.erase_older_than(from_seconds(1), at(2));  // exactly at the limit: kept
+  set.erase_older_than(from_seconds(1), at(2));  // a member of exactly the maximum age is kept
   EXPECT_TRUE(set.contains("a"));
   set.erase_older_than(from_seconds(1), at(2.5));
   EXPECT_FALSE(set.contains("a"));
   EXPECT_TRUE(set.contains("b"));
 }
 
-TEST(AgedSet, AMemberInsertedAgainKeepsItsFirstTime) {
+TEST(AgedSetTest, RepeatedInsertKeepsFirstInsertionTime) {
   AgedSet<std::string> set;
   set.insert("a", at(1));
   set.insert("a", at(5));
@@ -43,7 +43,7 @@
   EXPECT_FALSE(set.contains("a"));
 }
 
-TEST(AgedSet, AForgottenMemberCanBeInsertedAgain) {
+TEST(AgedSetTest, ErasedMemberCanBeInsertedAgain) {
   AgedSet<std::string> set;
   set.insert("a", at(1));
   set.erase_older_than(from_seconds(1), at(10));
@@ -52,7 +52,7 @@
   EXPECT_TRUE(set.contains("a"));
 }
 
-TEST(AgedSet, ForgetsTheOldestBeyondTheSize) {
+TEST(AgedSetTest, ShrinkErasesOldestMembers) {
   AgedSet<int> set;
   for (int n = 0; n < 5; ++n) set.insert(n, at(n));
   set.shrink_to(2);
@@ -62,7 +62,7 @@
   EXPECT_TRUE(set.contains(4));
 }
 
-TEST(AgedSet, ClearForgetsEverything) {
+TEST(AgedSetTest, ClearErasesAllMembers) {
   AgedSet<int> set;
   set.insert(1, at(1));
   set.clear();
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -1,8 +1,10 @@
-// Every team at its limit, with work waiting, while jobs are cancelled whose machines are cut off or hang,
-// and the leader changes. Nothing frees room in a quota but proof that the task is off its machine: its
-// team's use holds claims found, adopted, of cancelled jobs, and of machines that go back, from the first
-// placement of a term on. WRENUSHER_LIMITS plays every offset of every pair in each variant, from
-// WRENUSHER_SEED on.
+// Quota tests: every team is at its limit and has waiting work, while jobs are cancelled whose machines are
+// cut off or hang, and the leader changes. Quota is freed only by proof that a task is off its machine. From
+// the first placement of a term on, a team's usage includes assignments that were recovered or adopted, that
+// belong to cancelled jobs, and that are on machines to be returned.
+//
+// If WRENUSHER_LIMITS is set, every cancellation time is run with every pair of faults in each variant, with
+// seeds from WRENUSHER_SEED.
 
 #include <gtest/gtest.h>
 
@@ -19,407 +21,427 @@
 
 namespace {
 
-std::string name_of(int controller) {
+std::string controller_name(int controller) {
   return "c" + std::to_string(controller);
 }
 
-enum class Limit { cores, cards };
-constexpr std::uint32_t kTasks = 10;  // of a team at once
-
-/// Machines enough for twice what the teams may use, kept though they idle: what is freed in a quota finds
-/// room at once.
-Site at_limit(Limit limit, bool warm) {
-  Site s = World::default_site(World::small_site());
-  s.types.resize(1);
-  s.types[0].type.capacity.gpus = to_amount(4);
-  s.types[0].type.boot_time = from_seconds(2);
-  s.types[0].spot = 0;
-  s.types[0].ordinary = 12;
-  s.machines = 10;
-  s.settings.teams = {{"red", 0, 0, 0, 0}, {"blue", 0, 0, 0, 0}};
-  for (auto& team : s.settings.teams) (limit == Limit::cores ? team.cores_max : team.gpus_max) = 0;
-  for (auto& team : s.settings.teams) {
+enum class Limit { cores, gpus };
+constexpr std::uint32_t kTasksPerTeam = 10;  // maximum at the same time
+
+/// Returns a site whose machines have room for twice the quotas of the teams and are not returned while idle,
+/// so that a task always finds room as soon as quota is freed.
+Site quota_site(Limit limit, bool warm) {
+  Site site = World::default_site(World::small_site());
+  site.types.resize(1);
+  site.types[0].type.capacity.gpus = to_amount(4);
+  site.types[0].type.boot_time = from_seconds(2);
+  site.types[0].spot = 0;
+  site.types[0].ordinary = 12;
+  site.machines = 10;
+  site.settings.teams = {{"red", 0, 0, 0, 0}, {"blue", 0, 0, 0, 0}};
+  for (auto& team : site.settings.teams) (limit == Limit::cores ? team.cores_max : team.gpus_max) = 0;
+  for (auto& team : site.settings.teams) {
     if (limit == Limit::cores) {
-      team.cores_max = 4 * kTasks;
+      team.cores_max = 4 * kTasksPerTeam;
     } else {
-      team.gpus_max = kTasks;
+      team.gpus_max = kTasksPerTeam;
     }
   }
-  s.settings.tunables.warm_standby = warm;
-  s.settings.tunables.idle_return = from_seconds(900);
-  return s;
+  site.settings.tunables.warm_standby = warm;
+  site.settings.tunables.idle_return = from_seconds(900);
+  return site;
 }
 
-JobSpec job(int number, std::uint32_t units, double run_s) {
-  JobSpec s = World::job(number, units, 4, run_s);
-  s.resources.gpus = to_amount(1);
-  s.image = "img";
-  s.image_gb = 0.5;
-  s.spot_allowed = false;
-  return s;
+JobSpec make_job(int number, std::uint32_t task_count, double run_s) {
+  JobSpec spec = World::job(number, task_count, 4, run_s);
+  spec.resources.gpus = to_amount(1);
+  spec.image = "img";
+  spec.image_gb = 0.5;
+  spec.spot_allowed = false;
+  return spec;
 }
 
-/// For each team as much as it may run at once, all of it long: arrays, a gang and a service. Then what
-/// waits.
-struct Load {
-  std::vector<std::string> running;
+/// Ids of the submitted jobs that run at once, and of the services among them.
+struct RunningJobs {
+  std::vector<std::string> all;
   std::set<std::string> services;
 };
 
-Load fill(World& w) {
-  Load out;
+/// Submits long jobs that use the whole quota of each team (arrays, a gang and a service), and 15 s later
+/// short jobs that have to wait. Returns the long ones.
+RunningJobs submit_jobs(World& world) {
+  RunningJobs jobs;
   for (int i = 0; i < 10; ++i) {
-    JobSpec s = job(i, 2, 70);
-    if (i / 2 == 3) s.type = JobType::gang;
-    if (i / 2 == 4) s.type = JobType::service;
-    if (s.type == JobType::service) out.services.insert(s.job_id);
-    out.running.push_back(s.job_id);
-    w.submit(s);
+    JobSpec spec = make_job(i, 2, 70);
+    if (i / 2 == 3) spec.type = JobType::gang;
+    if (i / 2 == 4) spec.type = JobType::service;
+    if (spec.type == JobType::service) jobs.services.insert(spec.job_id);
+    jobs.all.push_back(spec.job_id);
+    world.submit(spec);
   }
-  for (int i = 0; i < 16; ++i) w.at(from_seconds(15), [&w, s = job(100 + i, 1, 15)] { w.submit(s); });
-  return out;
+  for (int i = 0; i < 16; ++i)
+    world.at(from_seconds(15), [&world, spec = make_job(100 + i, 1, 15)] { world.submit(spec); });
+  return jobs;
 }
 
-/// How many tasks of the job's owner are on machines.
-std::uint32_t on_machines(const World& w, const std::string& owner) {
-  std::uint32_t out = 0;
-  for (const std::string& h : w.hosts()) {
-    for (const auto& [ref, task] : w.tasks_on(h)) out += w.checker.spec(ref).team == owner ? 1 : 0;
+/// Returns the number of tasks of the team that are on machines.
+std::uint32_t count_tasks_on_machines(const World& world, const std::string& team) {
+  std::uint32_t count = 0;
+  for (const std::string& host : world.hosts()) {
+    for (const auto& [job_id, task] : world.tasks_on(host))
+      count += world.checker.spec(job_id).team == team ? 1 : 0;
   }
-  return out;
+  return count;
 }
 
-std::vector<std::string> hosts_of(const World& w, const std::set<std::string>& job_ids) {
-  std::vector<std::string> out;
-  for (const std::string& h : w.hosts()) {
-    const auto units = w.tasks_on(h);
-    if (std::any_of(units.begin(), units.end(), [&](const auto& u) { return job_ids.contains(u.first); }))
-      out.push_back(h);
+std::vector<std::string> hosts_with_tasks_of(const World& world, const std::set<std::string>& job_ids) {
+  std::vector<std::string> hosts;
+  for (const std::string& host : world.hosts()) {
+    const auto tasks = world.tasks_on(host);
+    if (std::any_of(tasks.begin(), tasks.end(),
+                    [&](const auto& task) { return job_ids.contains(task.first); }))
+      hosts.push_back(host);
   }
-  return out;
+  return hosts;
 }
 
-/// What befalls the machines of cancelled jobs.
-struct OnMachines {
+/// A fault of the machines of cancelled jobs.
+struct MachineFault {
   const char* name;
-  std::function<void(World& w, const std::vector<std::string>& hosts)> strike;
+  std::function<void(World& world, const std::vector<std::string>& hosts)> inject;
 };
 
-void cut_off(World& w, const std::string& host, LinkCut how) {
-  for (int c = 0; c < 3; ++c) w.cut(name_of(c), host, how);
+void cut_off(World& world, const std::string& host, LinkCut mode) {
+  for (int controller = 0; controller < 3; ++controller) world.cut(controller_name(controller), host, mode);
 }
 
-std::vector<OnMachines> on_machines() {
-  const auto each = [](auto f) {
-    return [f](World& w, const std::vector<std::string>& hosts) {
-      for (const std::string& h : hosts) f(w, h);
+std::vector<MachineFault> machine_faults() {
+  const auto on_each = [](auto fault) {
+    return [fault](World& world, const std::vector<std::string>& hosts) {
+      for (const std::string& host : hosts) fault(world, host);
     };
   };
   return {
-      {"cut off, what is sent comes later",
-       each([](World& w, const std::string& h) { cut_off(w, h, LinkCut::hold); })},
-      {"cut off", each([](World& w, const std::string& h) { cut_off(w, h, LinkCut::reset); })},
-      {"reports come, answers and orders do not",
-       each([](World& w, const std::string& h) { w.drop_inbound(h, LinkCut::hold); })},
-      {"orders arrive, reports do not",
-       each([](World& w, const std::string& h) { w.drop_replies(h, LinkCut::reset); })},
-      {"orders arrive, reports come later",
-       each([](World& w, const std::string& h) { w.drop_replies(h, LinkCut::hold); })},
+      {"cut off, messages are delayed",
+       on_each([](World& world, const std::string& host) { cut_off(world, host, LinkCut::hold); })},
+      {"cut off",
+       on_each([](World& world, const std::string& host) { cut_off(world, host, LinkCut::reset); })},
+      {"reports arrive, replies and commands are delayed",
+       on_each([](World& world, const std::string& host) { world.drop_inbound(host, LinkCut::hold); })},
+      {"commands arrive, reports are lost",
+       on_each([](World& world, const std::string& host) { world.drop_replies(host, LinkCut::reset); })},
+      {"commands arrive, reports are delayed",
+       on_each([](World& world, const std::string& host) { world.drop_replies(host, LinkCut::hold); })},
       {"hang for less than a lease",
-       each([](World& w, const std::string& h) { w.hang(h, from_seconds(7)); })},
+       on_each([](World& world, const std::string& host) { world.hang(host, from_seconds(7)); })},
       {"hang for longer than a lease",
-       each([](World& w, const std::string& h) { w.hang(h, from_seconds(14)); })},
+       on_each([](World& world, const std::string& host) { world.hang(host, from_seconds(14)); })},
       {"a zone is cut off",
-       [](World& w, const std::vector<std::string>&) { w.cut_zone("b", LinkCut::hold); }},
+       [](World& world, const std::vector<std::string>&) { world.cut_zone("b", LinkCut::hold); }},
   };
 }
 
-/// How the lead changes hands.
-struct OnLeader {
+/// A fault after which another controller becomes the leader.
+struct LeaderFault {
   const char* name;
-  std::function<void(World& w, int leader)> strike;
+  std::function<void(World& world, int leader)> inject;
 };
 
-std::vector<OnLeader> on_leader() {
+std::vector<LeaderFault> leader_faults() {
   return {
-      {"ends", [](World& w, int l) { w.crash(l, from_seconds(20)); }},
-      {"ends and is back at once", [](World& w, int l) { w.crash(l, from_millis(300)); }},
-      {"stands still", [](World& w, int l) { w.stall(l, from_seconds(9)); }},
+      {"crashes", [](World& world, int leader) { world.crash(leader, from_seconds(20)); }},
+      {"crashes and restarts at once",
+       [](World& world, int leader) { world.crash(leader, from_millis(300)); }},
+      {"is suspended", [](World& world, int leader) { world.stall(leader, from_seconds(9)); }},
       {"is refused by the state service",
-       [](World& w, int l) {
-         w.state_refuses(l, true);
-         w.at(from_seconds(12), [&w, l] { w.state_refuses(l, false); });
+       [](World& world, int leader) {
+         world.state_refuses(leader, true);
+         world.at(from_seconds(12), [&world, leader] { world.state_refuses(leader, false); });
        }},
-      {"loses the state service and its peers", [](World& w, int l) { w.leave_alone(l, LinkCut::hold); }},
-      {"hears no workers and hands over",
-       [](World& w, int l) {
-         for (const std::string& h : w.hosts()) w.cut(name_of(l), h, LinkCut::reset);
+      {"loses the state service and its peers",
+       [](World& world, int leader) { world.leave_alone(leader, LinkCut::hold); }},
+      {"loses all workers and hands over",
+       [](World& world, int leader) {
+         for (const std::string& host : world.hosts())
+           world.cut(controller_name(leader), host, LinkCut::reset);
        }},
-      {"ends, and the next one soon after it",
-       [](World& w, int l) {
-         w.crash(l, from_seconds(15));
-         w.at(from_seconds(5.5), [&w] {
-           if (w.leader() >= 0) w.crash(w.leader(), from_seconds(10));
+      {"crashes, and the next leader soon after it",
+       [](World& world, int leader) {
+         world.crash(leader, from_seconds(15));
+         world.at(from_seconds(5.5), [&world] {
+           if (world.leader() >= 0) world.crash(world.leader(), from_seconds(10));
          });
        }},
-      {"ends while the cloud takes nothing back",
-       [](World& w, int l) {
-         w.cloud_outage(true);
-         w.crash(l, from_seconds(20));
-         w.at(from_seconds(9), [&w] { w.cloud_outage(false); });
+      {"crashes during a cloud outage",
+       [](World& world, int leader) {
+         world.cloud_outage(true);
+         world.crash(leader, from_seconds(20));
+         world.at(from_seconds(9), [&world] { world.cloud_outage(false); });
        }},
   };
 }
 
-/// Cancelled so many seconds after the leader's end.
-constexpr double kOffsets[] = {-2, -0.5, -0.1, -0.02, 0, 0.02, 0.2, 1, 3, 4.5, 5, 6, 8};
+/// Times of the cancellations, in seconds after the fault of the leader.
+constexpr double kCancelOffsetsS[] = {-2, -0.5, -0.1, -0.02, 0, 0.02, 0.2, 1, 3, 4.5, 5, 6, 8};
 
-struct Meeting {
+struct Scenario {
   std::uint64_t seed;
   Limit limit;
   bool warm;
-  double offset;
+  double cancel_offset_s;
 };
 
-void play(const Meeting& m, const OnLeader& lead, const OnMachines& trouble) {
-  const std::string what = std::string("the leader ") + lead.name + ", machines: " + trouble.name +
-                           ", cancelled at " + std::to_string(m.offset) + " s, seed " +
-                           std::to_string(m.seed) + (m.warm ? " warm" : " cold") +
-                           (m.limit == Limit::cores ? " cores" : " cards");
-  World w(m.seed, at_limit(m.limit, m.warm));
-  const Load load = fill(w);
-  w.run(from_seconds(25));
-  const int leader = w.leader();
-  ASSERT_GE(leader, 0) << what;
-  for (const char* team : {"red", "blue"}) ASSERT_EQ(on_machines(w, team), kTasks) << team << " " << what;
-  // Of each team an array, the gang and the service are cancelled; their machines are those in trouble, not
-  // all of them.
+void run_scenario(const Scenario& scenario, const LeaderFault& leader_fault,
+                  const MachineFault& machine_fault) {
+  const std::string description = std::string("the leader ") + leader_fault.name +
+                                  ", machines: " + machine_fault.name + ", cancelled at " +
+                                  std::to_string(scenario.cancel_offset_s) + " s, seed " +
+                                  std::to_string(scenario.seed) + (scenario.warm ? " warm" : " cold") +
+                                  (scenario.limit == Limit::cores ? " cores" : " GPUs");
+  World world(scenario.seed, quota_site(scenario.limit, scenario.warm));
+  const RunningJobs jobs = submit_jobs(world);
+  world.run(from_seconds(25));
+  const int leader = world.leader();
+  ASSERT_GE(leader, 0) << description;
+  for (const char* team : {"red", "blue"})
+    ASSERT_EQ(count_tasks_on_machines(world, team), kTasksPerTeam) << team << " " << description;
+  // One array, the gang and the service of each team are cancelled. The machine fault affects their machines,
+  // but not all of them.
   std::set<std::string> cancelled;
   for (int i = 0; i < 10; ++i) {
-    if (i / 2 == 0 || i / 2 >= 3) cancelled.insert(load.running[static_cast<std::size_t>(i)]);
+    if (i / 2 == 0 || i / 2 >= 3) cancelled.insert(jobs.all[static_cast<std::size_t>(i)]);
   }
-  std::vector<std::string> hosts = hosts_of(w, cancelled);
+  std::vector<std::string> hosts = hosts_with_tasks_of(world, cancelled);
   if (hosts.size() > 3) hosts.resize(hosts.size() - 1);
-  w.at(from_seconds(2), [&w, &trouble, hosts] { trouble.strike(w, hosts); });
-  w.at(from_seconds(3), [&w, &lead, leader] { lead.strike(w, leader); });
+  world.at(from_seconds(2), [&world, &machine_fault, hosts] { machine_fault.inject(world, hosts); });
+  world.at(from_seconds(3), [&world, &leader_fault, leader] { leader_fault.inject(world, leader); });
   for (const std::string& job_id : cancelled)
-    w.at(from_seconds(3 + m.offset + w.uniform(0, 0.2)), [&w, job_id] { w.cancel(job_id); });
-  w.run(from_seconds(20));
-  w.heal();
-  w.checker.troubles_over(w.now());
-  w.run(from_seconds(110));
-  w.checker.judge(w.now());
-  EXPECT_TRUE(w.checker.broken().empty()) << what << "\n" << notes(w).substr(0, 1500);
-  EXPECT_EQ(w.live(), 0U) << what;
+    world.at(from_seconds(3 + scenario.cancel_offset_s + world.uniform(0, 0.2)),
+             [&world, job_id] { world.cancel(job_id); });
+  world.run(from_seconds(20));
+  world.heal();
+  world.checker.troubles_over(world.now());
+  world.run(from_seconds(110));
+  world.checker.judge(world.now());
+  EXPECT_TRUE(world.checker.broken().empty()) << description << "\n" << notes(world).substr(0, 1500);
+  EXPECT_EQ(world.live(), 0U) << description;
 }
 
-std::uint64_t number_from(const char* name, std::uint64_t otherwise) {
+std::uint64_t number_from_environment(const char* name, std::uint64_t default_value) {
   const char* text = std::getenv(name);
-  return text == nullptr ? otherwise : std::strtoull(text, nullptr, 10);
+  return text == nullptr ? default_value : std::strtoull(text, nullptr, 10);
 }
 
-class LimitWays : public testing::TestWithParam<std::size_t> {};
+class QuotaFaultTest : public testing::TestWithParam<std::size_t> {};
 
 }  // namespace
 
-// Each way of the lead with each way of the machines, the offsets in turn; warm, and by turns cold or with
-// cards as what is limited.
-TEST_P(LimitWays, Hold) {
-  const bool all = std::getenv("WRENUSHER_LIMITS") != nullptr;
-  std::uint64_t seed = number_from("WRENUSHER_SEED", 100) + GetParam() * 1000;
-  const OnLeader lead = on_leader()[GetParam()];
+// Runs each leader fault with each machine fault, and rotates the cancellation times. Every pair runs with a
+// warm standby and a limit of cores. In addition, every second variant without a warm standby or with a limit
+// of GPUs runs.
+TEST_P(QuotaFaultTest, KeepsRulesWhenJobsAreCancelled) {
+  const bool run_all = std::getenv("WRENUSHER_LIMITS") != nullptr;
+  std::uint64_t seed = number_from_environment("WRENUSHER_SEED", 100) + GetParam() * 1000;
+  const LeaderFault leader_fault = leader_faults()[GetParam()];
   std::size_t turn = GetParam() * 5;
-  for (const OnMachines& trouble : on_machines()) {
+  for (const MachineFault& machine_fault : machine_faults()) {
     for (const auto& [limit, warm] :
-         {std::pair(Limit::cores, true), std::pair(Limit::cores, false), std::pair(Limit::cards, true)}) {
+         {std::pair(Limit::cores, true), std::pair(Limit::cores, false), std::pair(Limit::gpus, true)}) {
       ++turn;
-      const bool plain = limit == Limit::cores && warm;
-      if (!all && !plain && turn % 2 == 0) continue;
-      for (std::size_t i = 0; i < std::size(kOffsets); ++i) {
-        if (all || i == turn % std::size(kOffsets)) play({++seed, limit, warm, kOffsets[i]}, lead, trouble);
+      const bool is_default_variant = limit == Limit::cores && warm;
+      if (!run_all && !is_default_variant && turn % 2 == 0) continue;
+      for (std::size_t i = 0; i < std::size(kCancelOffsetsS); ++i) {
+        if (run_all || i == turn % std::size(kCancelOffsetsS))
+          run_scenario({++seed, limit, warm, kCancelOffsetsS[i]}, leader_fault, machine_fault);
       }
     }
   }
 }
 
-INSTANTIATE_TEST_SUITE_P(Limits, LimitWays, testing::Range<std::size_t>(0, 8));
+INSTANTIATE_TEST_SUITE_P(LeaderFaults, QuotaFaultTest, testing::Range<std::size_t>(0, 8));
 
 namespace {
 
-/// The leader's book and what reports make of it, without a world.
-struct Counted {
-  ByHand rt;
+/// A job table with one job, and the reconciler that applies reports to it, without a simulation.
+struct ReconcilerFixture {
+  ByHand runtime;
   wrenusher::estimates::Estimator estimator;
-  wrenusher::machine_inventory::MachineInventory machines{rt, estimator};
-  wrenusher::job_table::JobTable book{rt, machines};
-  wrenusher::usage_metrics::StartLatencyMetrics waits;
-  wrenusher::reconciler::Reconciler reports{rt, book, machines, estimator, waits};
-  JobSpec spec = job(0, 2, 100);
-
-  Counted() { begin(7); }
-  /// The records of one job, as a leader of this term finds them.
-  wrenusher::job_table::Job& begin(std::uint64_t fencing_token) {
-    book.reset(fencing_token);
+  wrenusher::machine_inventory::MachineInventory machines{runtime, estimator};
+  wrenusher::job_table::JobTable jobs{runtime, machines};
+  wrenusher::usage_metrics::StartLatencyMetrics start_latency;
+  wrenusher::reconciler::Reconciler reconciler{runtime, jobs, machines, estimator, start_latency};
+  JobSpec spec = make_job(0, 2, 100);
+
+  ReconcilerFixture() { reset(7); }
+  /// Resets the table and adds the job, as a leader does with the records at the start of a term.
+  wrenusher::job_table::Job& reset(std::uint64_t fencing_token) {
+    jobs.reset(fencing_token);
     machines.clear();
-    return book.add(spec.job_id, {spec, {}, 1000, false}, 1);
+    return jobs.add(spec.job_id, {spec, {}, 1000, false}, 1);
   }
-  wrenusher::job_table::Job& the_job() { return *book.find(spec.job_id); }
-  /// A block in which task 0 has a claim on m-1.
-  void found(std::uint64_t version) {
-    wrenusher::records::BlockRecord b;
-    b.last_attempt = 2;
-    b.assignments.push_back({"m-1", 2, {}});
-    b.assignments.back().tasks.add(0);
-    book.restore_block(the_job(), 0, version, b);
+  wrenusher::job_table::Job& job() { return *jobs.find(spec.job_id); }
+  /// Restores a block in which task 0 is assigned to m-1.
+  void restore_block(std::uint64_t version) {
+    wrenusher::records::BlockRecord block;
+    block.last_attempt = 2;
+    block.assignments.push_back({"m-1", 2, {}});
+    block.assignments.back().tasks.add(0);
+    jobs.restore_block(job(), 0, version, block);
   }
-  /// A report of a machine, of task 0 as given, or not showing it.
-  void report(const char* host, std::uint64_t attempt, std::optional<TaskStatus> status, const char* cause,
-              bool current, bool settled = true) {
-    WorkerReport r;
-    r.host = host;
-    r.address = "10.1.0.1:9000";
-    r.machine_type = "small";
-    r.zone = "a";
-    r.incarnation = r.sequence = r.fencing_token = 1;
-    if (status) r.tasks.push_back({spec.job_id, 0, attempt, *status, cause, false});
-    reports.apply(r, current, settled);
+  /// Applies a report of a machine that lists task 0 with this status, or does not list it if there is none.
+  void apply_report(const char* host, std::uint64_t attempt, std::optional<TaskStatus> status,
+                    const char* exit_reason, bool token_accepted, bool is_heartbeat = true) {
+    WorkerReport report;
+    report.host = host;
+    report.address = "10.1.0.1:9000";
+    report.machine_type = "small";
+    report.zone = "a";
+    report.incarnation = report.sequence = report.fencing_token = 1;
+    if (status) report.tasks.push_back({spec.job_id, 0, attempt, *status, exit_reason, false});
+    reconciler.apply(report, token_accepted, is_heartbeat);
   }
-  double cores() const {
-    const auto it = book.teams().find("red");
-    return it == book.teams().end() ? 0 : from_amount(it->second.cores);
+  double cores_used() const {
+    const auto it = jobs.team_usage().find("red");
+    return it == jobs.team_usage().end() ? 0 : from_amount(it->second.cores);
   }
 };
 
-constexpr std::uint64_t kTerm = std::uint64_t{7} << 32U;
+constexpr std::uint64_t kTermStartVersion = std::uint64_t{7} << 32U;
 
 }  // namespace
 
-// A leader that misses changes reads its records anew within its term. Versions began as at the term's start:
-// what was claimed next was older than what stood in the records, so that it was ordered and never written.
-TEST(Limits, WhatIsClaimedAfterTheRecordsAreReadAnewIsNewerThanWhatWasFound) {
-  Counted c;
-  auto& before = c.the_job();
+// Guards against versions that restart when a leader that missed changes reads its records again within its
+// term. New assignments would have lower versions than the records, so that their start commands would be
+// sent although the assignments are never written.
+TEST(JobTableTest, AssignmentAfterRereadIsNewerThanRestoredBlock) {
+  ReconcilerFixture fixture;
+  auto& old_job = fixture.job();
   for (int i = 0; i < 5; ++i) {
-    c.book.assign(before, 0, c.machines.get_or_add("m-1"), 1, TaskState::assigned);
-    c.book.release(before, 0, "stopped");
+    fixture.jobs.assign(old_job, 0, fixture.machines.get_or_add("m-1"), 1, TaskState::assigned);
+    fixture.jobs.release(old_job, 0, "stopped");
   }
-  const std::uint64_t on_its_way = before.blocks[0].version;
-  c.begin(7);
-  c.found(on_its_way - 2);
-  auto& job = c.the_job();
-  c.book.assign(job, 1, c.machines.get_or_add("m-2"), 3, TaskState::assigned);
-  EXPECT_GT(job.blocks[0].version, on_its_way);
+  const std::uint64_t in_flight_version = old_job.blocks[0].version;
+  fixture.reset(7);
+  fixture.restore_block(in_flight_version - 2);
+  auto& job = fixture.job();
+  fixture.jobs.assign(job, 1, fixture.machines.get_or_add("m-2"), 3, TaskState::assigned);
+  EXPECT_GT(job.blocks[0].version, in_flight_version);
   EXPECT_FALSE(job.committed(1, job.assignments.at(1).version));
-  EXPECT_EQ(c.book.unwritten().size(), 1U);
-  EXPECT_EQ(c.book.disagreement(), "");
+  EXPECT_EQ(fixture.jobs.unwritten_blocks().size(), 1U);
+  EXPECT_EQ(fixture.jobs.disagreement(), "");
 }
 
-// A copy of a report of before the term comes first: a gang's task may have come back to its machine under
-// the same attempt since.
-TEST(Limits, AReportOfBeforeTheTermFreesNothing) {
-  for (const bool shown_first : {false, true}) {
-    for (const bool ended : {false, true}) {
-      Counted c;
-      c.spec.type = JobType::gang;
-      c.begin(7);
-      c.found(kTerm - 5);
-      ASSERT_EQ(c.cores(), 4);
-      if (shown_first) c.report("m-1", 2, TaskStatus::waiting_for_gang, "", false);
-      c.report("m-1", 2, ended ? std::optional(TaskStatus::exited) : std::nullopt, "alone", false);
-      EXPECT_EQ(c.cores(), 4) << shown_first << ended;
-      c.report("m-1", 2, ended ? std::optional(TaskStatus::exited) : std::nullopt, "alone", true);
-      EXPECT_EQ(c.cores(), 0) << shown_first << ended;
+// Guards against freeing quota on a delayed copy of a report from before the term: a task of a gang may have
+// been started on the machine again under the same attempt since.
+TEST(QuotaTest, ReportFromBeforeTermFreesNoQuota) {
+  for (const bool listed_first : {false, true}) {
+    for (const bool exited : {false, true}) {
+      ReconcilerFixture fixture;
+      fixture.spec.type = JobType::gang;
+      fixture.reset(7);
+      fixture.restore_block(kTermStartVersion - 5);
+      ASSERT_EQ(fixture.cores_used(), 4);
+      if (listed_first) fixture.apply_report("m-1", 2, TaskStatus::waiting_for_gang, "", false);
+      fixture.apply_report("m-1", 2, exited ? std::optional(TaskStatus::exited) : std::nullopt, "alone",
+                           false);
+      EXPECT_EQ(fixture.cores_used(), 4) << listed_first << exited;
+      fixture.apply_report("m-1", 2, exited ? std::optional(TaskStatus::exited) : std::nullopt, "alone",
+                           true);
+      EXPECT_EQ(fixture.cores_used(), 0) << listed_first << exited;
     }
   }
 }
 
-// Its first machine was given up with the result untold; the second has yet to fetch its image, and the task
-// is there for a moment once it has.
-TEST(Limits, ATaskThatWasDoneElsewhereCountsUntilItEndsWhereItStandsClaimed) {
-  Counted c;
-  c.found(kTerm - 5);
-  c.report("m-1", 2, TaskStatus::fetching_image, "", true);
-  c.report("m-9", 1, TaskStatus::exited, "done", true);
-  EXPECT_EQ(c.cores(), 4);
-  EXPECT_FALSE(c.the_job().done.contains(0));
-  c.report("m-1", 2, TaskStatus::exited, "done", true);
-  EXPECT_EQ(c.cores(), 0);
-  EXPECT_TRUE(c.the_job().done.contains(0));
+// The first machine of a task was lost before it reported that the task is done. The task's second machine is
+// still fetching the image, and the task will be on it for a moment once the image has arrived.
+TEST(QuotaTest, TaskDoneOnFormerMachineCountsUntilItEndsOnItsAssignedMachine) {
+  ReconcilerFixture fixture;
+  fixture.restore_block(kTermStartVersion - 5);
+  fixture.apply_report("m-1", 2, TaskStatus::fetching_image, "", true);
+  fixture.apply_report("m-9", 1, TaskStatus::exited, "done", true);
+  EXPECT_EQ(fixture.cores_used(), 4);
+  EXPECT_FALSE(fixture.job().done.contains(0));
+  fixture.apply_report("m-1", 2, TaskStatus::exited, "done", true);
+  EXPECT_EQ(fixture.cores_used(), 0);
+  EXPECT_TRUE(fixture.job().done.contains(0));
 }
 
-// Of a claim that this leader made before it read the records anew the order may still be on its way; the
-// worker's answer to a direct command does not tell.
-TEST(Limits, AClaimOfThisTermThatWasFoundAnewIsSettledByReportsAlone) {
-  for (const bool own : {false, true}) {
-    Counted c;
-    c.found(own ? kTerm + 5 : kTerm - 5);
-    c.report("m-1", 2, std::nullopt, "", true, false);
-    EXPECT_EQ(c.cores(), own ? 4 : 0);
-    c.report("m-1", 2, std::nullopt, "", true, true);
-    EXPECT_EQ(c.cores(), 0);
+// The start command of an assignment that the leader made before it read the records again may still be in
+// flight. The worker's reply to a direct command does not prove that the start command will not arrive.
+TEST(QuotaTest, AssignmentOfThisTermReadAgainIsReleasedOnlyByHeartbeat) {
+  for (const bool from_this_term : {false, true}) {
+    ReconcilerFixture fixture;
+    fixture.restore_block(from_this_term ? kTermStartVersion + 5 : kTermStartVersion - 5);
+    fixture.apply_report("m-1", 2, std::nullopt, "", true, false);
+    EXPECT_EQ(fixture.cores_used(), from_this_term ? 4 : 0);
+    fixture.apply_report("m-1", 2, std::nullopt, "", true, true);
+    EXPECT_EQ(fixture.cores_used(), 0);
   }
 }
 
-// What counts for a team is the same however the claim came into the book, cards as well as cores, until a
-// report or the machine's return ends it.
-TEST(Limits, ClaimsFoundAdoptedAndOfCancelledJobsCount) {
-  const auto needs = [](const Counted& c) { return c.book.teams().at("red"); };
-  for (const bool withdrawn : {false, true}) {
-    Counted c;
-    c.spec.resources.gpus = to_amount(1);
-    c.book.reset(7);
-    c.machines.clear();
-    c.book.add(c.spec.job_id, {c.spec, {}, 1000, withdrawn}, 1);
-    c.found(kTerm - 5);
-    EXPECT_EQ(needs(c), c.spec.resources);
-    // Task 1 is on a machine without a claim.
-    WorkerReport r;
-    r.host = "m-2";
-    r.machine_type = "small";
-    r.zone = "a";
-    r.incarnation = r.sequence = 1;
-    r.tasks.push_back({c.spec.job_id, 1, 1, TaskStatus::running, "", false});
-    c.reports.apply(r, true, true);
-    EXPECT_EQ(needs(c), c.spec.resources * 2);
-    if (!withdrawn) c.book.cancel(c.the_job());
-    static_cast<void>(c.book.stop_job(c.the_job(), Micros{0}));
-    EXPECT_EQ(needs(c), c.spec.resources * 2);
-    EXPECT_FALSE(c.book.finished_jobs().contains(c.spec.job_id));
-    c.machines.get_or_add("m-1").silent = c.machines.get_or_add("m-1").cordoned = true;
-    EXPECT_EQ(needs(c), c.spec.resources * 2);
-    r.tasks.clear();
-    c.reports.apply(r, true, true);
-    EXPECT_EQ(needs(c), c.spec.resources);
-    c.book.release(c.the_job(), 0, "its machine is gone", true);
-    EXPECT_EQ(needs(c), Resources{});
-    EXPECT_TRUE(c.book.finished_jobs().contains(c.spec.job_id));
+// A team's usage of cores and GPUs includes an assignment regardless of its origin, until a report or the
+// return of the machine ends it.
+TEST(QuotaTest, RecoveredAdoptedAndCancelledAssignmentsCount) {
+  const auto usage = [](const ReconcilerFixture& state) { return state.jobs.team_usage().at("red"); };
+  for (const bool cancelled : {false, true}) {
+    ReconcilerFixture fixture;
+    fixture.spec.resources.gpus = to_amount(1);
+    fixture.jobs.reset(7);
+    fixture.machines.clear();
+    fixture.jobs.add(fixture.spec.job_id, {fixture.spec, {}, 1000, cancelled}, 1);
+    fixture.restore_block(kTermStartVersion - 5);
+    EXPECT_EQ(usage(fixture), fixture.spec.resources);
+    // Task 1 is on a machine without an assignment.
+    WorkerReport report;
+    report.host = "m-2";
+    report.machine_type = "small";
+    report.zone = "a";
+    report.incarnation = report.sequence = 1;
+    report.tasks.push_back({fixture.spec.job_id, 1, 1, TaskStatus::running, "", false});
+    fixture.reconciler.apply(report, true, true);
+    EXPECT_EQ(usage(fixture), fixture.spec.resources * 2);
+    if (!cancelled) fixture.jobs.cancel(fixture.job());
+    static_cast<void>(fixture.jobs.stop_job(fixture.job(), Micros{0}));
+    EXPECT_EQ(usage(fixture), fixture.spec.resources * 2);
+    EXPECT_FALSE(fixture.jobs.finished_jobs().contains(fixture.spec.job_id));
+    fixture.machines.get_or_add("m-1").silent = fixture.machines.get_or_add("m-1").cordoned = true;
+    EXPECT_EQ(usage(fixture), fixture.spec.resources * 2);
+    report.tasks.clear();
+    fixture.reconciler.apply(report, true, true);
+    EXPECT_EQ(usage(fixture), fixture.spec.resources);
+    fixture.jobs.release(fixture.job(), 0, "its machine was returned", true);
+    EXPECT_EQ(usage(fixture), Resources{});
+    EXPECT_TRUE(fixture.jobs.finished_jobs().contains(fixture.spec.job_id));
   }
 }
 
-// The changes that a leader would have followed are not to be had any more: it reads its records anew, with
-// writes under way, work at its limits and cancellations, and ends some seconds later.
-TEST(Limits, ALeaderThatReadsItsRecordsAnewAndEndsBreaksNoRule) {
+// The state service no longer has the changes that the leader's watch would deliver, so the leader reads its
+// records again, with writes in flight, teams at their limits and cancellations. It crashes some seconds
+// later.
+TEST(QuotaTest, LeaderThatRereadsRecordsAndCrashesBreaksNoRule) {
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
-    World w(900 + seed, at_limit(Limit::cores, seed % 2 == 0));
-    const Load load = fill(w);
-    for (int i = 0; i < 40; ++i) w.at(from_seconds(25 + i), [&w, s = job(300 + i, 2, 6)] { w.submit(s); });
-    w.run(from_seconds(28));
-    if (seed > 2) w.write_late(0.3);
-    // Only a follower that is a write behind at that moment has missed changes: one call in some fifteen.
-    for (int i = 0; i < 150; ++i) w.at(from_seconds(w.uniform(0, 25)), [&w] { w.state_forgets(); });
+    World world(900 + seed, quota_site(Limit::cores, seed % 2 == 0));
+    const RunningJobs jobs = submit_jobs(world);
+    for (int i = 0; i < 40; ++i)
+      world.at(from_seconds(25 + i), [&world, spec = make_job(300 + i, 2, 6)] { world.submit(spec); });
+    world.run(from_seconds(28));
+    if (seed > 2) world.write_late(0.3);
+    // Only a watch that is a write behind at that moment misses changes, which is about one call in fifteen.
+    for (int i = 0; i < 150; ++i)
+      world.at(from_seconds(world.uniform(0, 25)), [&world] { world.state_forgets(); });
     for (int i = 0; i < 6; ++i) {
-      w.at(from_seconds(3 * i),
-           [&w, job_id = load.running[static_cast<std::size_t>(i)]] { w.cancel(job_id); });
+      world.at(from_seconds(3 * i),
+               [&world, job_id = jobs.all[static_cast<std::size_t>(i)]] { world.cancel(job_id); });
     }
-    w.run(from_seconds(26));
-    if (w.leader() >= 0) w.crash(w.leader(), from_seconds(10));
-    w.run(from_seconds(15));
-    w.write_late(0);
-    w.run(from_seconds(13));
-    w.checker.troubles_over(w.now());
-    for (const std::string& job_id : load.services) w.cancel(job_id);
-    w.run(from_seconds(240));
-    EXPECT_TRUE(w.checker.broken().empty()) << "seed " << seed << "\n" << notes(w).substr(0, 1500);
-    EXPECT_EQ(w.live(), 0U) << "seed " << seed;
+    world.run(from_seconds(26));
+    if (world.leader() >= 0) world.crash(world.leader(), from_seconds(10));
+    world.run(from_seconds(15));
+    world.write_late(0);
+    world.run(from_seconds(13));
+    world.checker.troubles_over(world.now());
+    for (const std::string& job_id : jobs.services) world.cancel(job_id);
+    world.run(from_seconds(240));
+    EXPECT_TRUE(world.checker.broken().empty()) << "seed " << seed << "\n" << notes(world).substr(0, 1500);
+    EXPECT_EQ(world.live(), 0U) << "seed " << seed;
   }
 }
--- a/tests/small_jobs_test.cpp
+++ b/tests/small_jobs_test.cpp
@@ -1,5 +1,5 @@
-// A meeting of many small jobs: one-task jobs four a second, a quarter of them cancelled, also across a
-// change of leader and at a state service's pace that is nearly used up.
+// Simulations with many small jobs: four one-task jobs per second, a quarter of them cancelled, without
+// faults, across a change of leader, and with a state service whose rate limit is nearly reached.
 
 #include <gtest/gtest.h>
 
@@ -9,86 +9,92 @@
 
 namespace {
 
-constexpr int kJobs = 360;
+constexpr int kJobCount = 360;
 
-/// Four a second, a quarter cancelled while they wait, run or have just ended.
-void stream(World& w) {
-  for (int i = 0; i < kJobs; ++i) {
+/// Schedules four submissions per second. A quarter of the jobs are cancelled while they wait, while they run
+/// or just after they have ended.
+void schedule_jobs(World& world) {
+  for (int i = 0; i < kJobCount; ++i) {
     SimulatedJob job;
-    job.spec = World::job(i, 1, 1, w.uniform(2, 6));
+    job.spec = World::job(i, 1, 1, world.uniform(2, 6));
     job.run_time = job.spec.expected_runtime;
-    const double at = 10 + i / 4.0;
-    w.at(from_seconds(at), [&w, job] { w.submit(job); });
+    const double submit_at_s = 10 + i / 4.0;
+    world.at(from_seconds(submit_at_s), [&world, job] { world.submit(job); });
     if (i % 4 == 3)
-      w.at(from_seconds(at + w.uniform(0.1, 9)), [&w, job_id = job.spec.job_id] { w.cancel(job_id); });
+      world.at(from_seconds(submit_at_s + world.uniform(0.1, 9)),
+               [&world, job_id = job.spec.job_id] { world.cancel(job_id); });
   }
 }
 
-struct Spent {
+/// Writes and requests to the state service, per job.
+struct StateServiceUsage {
   double puts = 0;
   double requests = 0;
 };
 
-/// Plays the stream out; what it took of the state service, by job.
-Spent play(World& w, const std::string& what) {
-  stream(w);
-  w.run(from_seconds(9));
-  const auto requests = [&w] {
-    std::uint64_t n = 0;
-    for (const char* c : {"c0", "c1", "c2"}) n += w.state_requests(c);
-    return n;
+/// Runs the simulation until all jobs have ended, and checks that no rule was broken.
+StateServiceUsage run_jobs(World& world, const std::string& scenario) {
+  schedule_jobs(world);
+  world.run(from_seconds(9));
+  const auto requests = [&world] {
+    std::uint64_t count = 0;
+    for (const char* controller : {"c0", "c1", "c2"}) count += world.state_requests(controller);
+    return count;
   };
-  const std::uint64_t puts_before = w.kv_service().writes();
+  const std::uint64_t puts_before = world.kv_service().writes();
   const std::uint64_t requests_before = requests();
-  w.run(from_seconds(100));
-  const Spent out{static_cast<double>(w.kv_service().writes() - puts_before) / kJobs,
-                  static_cast<double>(requests() - requests_before) / kJobs};
-  w.heal();
-  w.checker.troubles_over(w.now());
-  w.run(from_seconds(160));
-  w.checker.judge(w.now());
-  EXPECT_TRUE(w.checker.broken().empty()) << what << "\n" << notes(w).substr(0, 1500);
-  EXPECT_EQ(w.live(), 0U) << what;
-  EXPECT_EQ(w.keys("job/"), 0U) << what;
-  // Each is either done or withdrawn, and users were told so.
-  EXPECT_EQ(w.keys("end/"), static_cast<std::size_t>(kJobs)) << what;
-  return out;
+  world.run(from_seconds(100));
+  const StateServiceUsage usage{static_cast<double>(world.kv_service().writes() - puts_before) / kJobCount,
+                                static_cast<double>(requests() - requests_before) / kJobCount};
+  world.heal();
+  world.checker.troubles_over(world.now());
+  world.run(from_seconds(160));
+  world.checker.judge(world.now());
+  EXPECT_TRUE(world.checker.broken().empty()) << scenario << "\n" << notes(world).substr(0, 1500);
+  EXPECT_EQ(world.live(), 0U) << scenario;
+  EXPECT_EQ(world.keys("job/"), 0U) << scenario;
+  // Each job has a final state, done or withdrawn, which its user has received.
+  EXPECT_EQ(world.keys("end/"), static_cast<std::size_t>(kJobCount)) << scenario;
+  return usage;
 }
 
 }  // namespace
 
-// Half of the pace of the small site's state service has to do for jobs that come twice as often as their
-// records, claims and ends could be written one by one.
-TEST(SmallJobs, FourASecondTakeFewPutsAndRequestsAndAllAreServed) {
-  World w(801, World::small_site(), 3);
-  const Spent s = play(w, "no trouble");
-  EXPECT_LT(s.puts, 5);
-  EXPECT_LT(s.requests, 25);
+// Jobs arrive twice as fast as their records, assignments and ends could be written one by one. With batched
+// writes, half of the rate limit of the small site's state service must be enough for them.
+TEST(SmallJobsTest, FourJobsPerSecondTakeFewWritesAndRequests) {
+  World world(801, World::small_site(), 3);
+  const StateServiceUsage usage = run_jobs(world, "no fault");
+  EXPECT_LT(usage.puts, 5);
+  EXPECT_LT(usage.requests, 25);
 }
 
-TEST(SmallJobs, FourASecondAreServedThroughEveryChangeOfTheLead) {
-  struct Trouble {
-    const char* what;
-    double lasts;
-    const char* whom;
+TEST(SmallJobsTest, AllJobsEndDespiteFaultsAndFailovers) {
+  struct Fault {
+    const char* kind;
+    double duration_s;
+    const char* target;
   };
   std::uint64_t seed = 810;
-  for (const Trouble& t :
-       {Trouble{"controller_crash", 0.3, "leader"}, Trouble{"controller_crash", 20, "leader"},
-        Trouble{"controller_stalls", 7, "leader"}, Trouble{"state_refuses", 8, "leader"},
-        Trouble{"state_outage", 12, ""}, Trouble{"state_slow", 25, ""}, Trouble{"all_crash", 1, ""},
-        Trouble{"close_looks", 60, ""}}) {
-    World w(++seed, World::small_site(), 3);
-    w.at(from_seconds(40), [&w, t] { w.inject_fault({t.what, {}, from_seconds(t.lasts), {}, t.whom, 0}); });
-    play(w, t.what);
+  for (const Fault& fault :
+       {Fault{"controller_crash", 0.3, "leader"}, Fault{"controller_crash", 20, "leader"},
+        Fault{"controller_stalls", 7, "leader"}, Fault{"state_refuses", 8, "leader"},
+        Fault{"state_outage", 12, ""}, Fault{"state_slow", 25, ""}, Fault{"all_crash", 1, ""},
+        Fault{"close_looks", 60, ""}}) {
+    World world(++seed, World::small_site(), 3);
+    world.at(from_seconds(40), [&world, fault] {
+      world.inject_fault({fault.kind, {}, from_seconds(fault.duration_s), {}, fault.target, 0});
+    });
+    run_jobs(world, fault.kind);
   }
 }
 
-// A service with little to spare: what users ask and cancel comes before the rest, and nothing is lost.
-TEST(SmallJobs, FourASecondAtAPaceThatIsNearlyUsedUpAreServedOnceItIsOver) {
-  Settings site = World::small_site();
-  site.state_rps = 60;
-  site.state_write_rps = 20;
-  World w(830, site, 3);
-  play(w, "a slow pace");
+// The rate limit of the state service is nearly reached. Submissions and cancellations by users take
+// precedence over other requests, and no job is lost.
+TEST(SmallJobsTest, AllJobsEndWhenStateServiceRateIsNearlyExhausted) {
+  Settings settings = World::small_site();
+  settings.state_rps = 60;
+  settings.state_write_rps = 20;
+  World world(830, settings, 3);
+  run_jobs(world, "low rate limit");
 }
