--- a/src/estimates/include/wrenusher/estimates/estimator.hpp
+++ b/src/estimates/include/wrenusher/estimates/estimator.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// Package estimates: what the owners' estimates are worth. It owns the run times seen by job and queue, and
-// the speed seen by machine. It may depend on base and protocol.
+// Package estimates corrects the run times that job owners expect. It keeps the observed run times by job and
+// job class, and the observed speed by machine. It may depend on time, value, runtime and protocol.
 
 #include <deque>
 #include <map>
@@ -17,52 +17,55 @@
 using namespace runtime;
 using namespace protocol;
 
+/// Estimates run times of tasks and speeds of machines from finished tasks.
 class Estimator {
  public:
-  /// A task of the job ran this long on this machine.
-  void record_run(const JobSpec& spec, const std::string& host, Micros took);
-  /// Run time to expect of a task of this job on a machine of ordinary speed.
+  /// Records the run time of a finished task of the job on a machine.
+  void record_run(const JobSpec& spec, const std::string& host, Micros run_time);
+  /// Returns the expected run time of a task of this job on a machine of speed 1.0.
   Micros estimate(const JobSpec& spec) const;
   double speed(const std::string& host) const;
-  /// Rises with every change of what tasks of the queue are estimated to take.
+  /// Returns a number that increases whenever the estimates of the job class change.
   std::uint64_t version(const std::string& job_class) const;
   void remove_host(const std::string& host) { hosts_.erase(host); }
 
-  /// What the tasks of one job showed, as logarithms of (seen / expected).
+  /// Run times of one job's tasks, as logarithms of (observed / expected).
   struct JobSample {
     std::string job_id;
     double sum = 0;
     int tasks = 0;
     double mean() const { return sum / tasks; }
   };
-  /// The queues of which something was seen.
+  /// Returns the job classes that have samples.
   std::vector<std::string> job_classes() const;
   const std::deque<JobSample>& job_samples(const std::string& job_class) const {
     return job_classes_.at(job_class).jobs;
   }
-  /// How many tasks told of the machine's speed, and the median of what they said as a logarithm.
+  /// Returns the number of tasks that measured the machine's speed, and the median of their logarithms of
+  /// (observed / typical) run time.
   std::pair<int, double> slowness(const std::string& host) const;
-  /// What another saw stands in place of what was seen here: of a queue, of a machine.
+  /// Replace the local samples of a job class or a machine by those of another controller.
   void adopt_class(const std::string& job_class, std::deque<JobSample> jobs);
   void adopt_host(const std::string& host, int tasks, double slowness);
 
  private:
   const JobSample* find_sample(const JobSpec& spec) const;
-  /// The usual logarithm of (seen / expected) in a queue.
-  static double typical_ratio(const std::deque<JobSample>& jobs);
+  /// Returns the typical logarithm of (observed / expected) of a job class.
+  static double typical_log_ratio(const std::deque<JobSample>& jobs);
 
-  /// The last jobs of each queue, one entry a job however many tasks it has: a job's tasks share the error of
-  /// its estimate, so one large job must not pass for many.
+  /// The latest jobs of a class, one sample per job regardless of its number of tasks. A job's tasks share
+  /// the error of its estimate, so a large job must not weigh more than a small one.
   struct JobClass {
     std::deque<JobSample> jobs;
-    double typical_ratio = 0;  ///< what they say together; asked for far more often than it changes
+    double typical_log_ratio = 0;  ///< of `jobs`; cached, since it is read far more often than it changes
     std::uint64_t version = 0;
   };
   std::map<std::string, JobClass> job_classes_;
   struct Host {
     void update_speed();
-    std::deque<double> ratios;
-    double speed = 1.0;  ///< what they say; asked for far more often than they change
+    std::deque<double> log_ratios;
+    /// Derived from `log_ratios`; cached, since it is read far more often than it changes.
+    double speed = 1.0;
   };
   std::map<std::string, Host> hosts_;
 };
--- a/src/placement/deadlines.cpp
+++ b/src/placement/deadlines.cpp
@@ -6,19 +6,20 @@
 
 namespace {
 
-/// A job that must start within this time to meet its target goes before the others of its priority.
-constexpr Micros kPressedWindow = from_seconds(100);
+/// A job that must start within this time to meet its target is served before the others of its priority and
+/// guarantee status.
+constexpr Micros kAtRiskWindow = from_seconds(100);
 
-/// Every job is to have begun this long after it was accepted. Without a bound the rule of Moore and Hodgson
-/// leaves out the largest job again and again, as long as smaller ones come.
+/// Maximum time from acceptance to first start before a job is overdue. Without a bound, the Moore-Hodgson
+/// rule would shed the largest job repeatedly for as long as smaller ones arrive.
 constexpr Micros kMaxStartWait = from_seconds(150);
 
-/// Estimates are off, so an aim is given up only once it is missed by this part of the run time.
+/// The grace period is the run time divided by this number. It allows for the error of the estimates.
 constexpr int kGraceDivisor = 8;
 
 }  // namespace
 
-std::vector<Micros> targets(const JobSpec& spec, const std::vector<Objective>& objectives) {
+std::vector<Micros> completion_targets(const JobSpec& spec, const std::vector<Objective>& objectives) {
   std::vector<Micros> out;
   for (const Objective& objective : objectives) {
     if (objective.job_class != spec.job_class) continue;
@@ -31,11 +32,12 @@
   return out;
 }
 
-Aims aims(const PlanJob& job, const std::vector<Objective>& objectives) {
-  Aims out;
-  for (const Micros& target : targets(*job.spec, objectives))
+StartDeadlines start_deadlines(const PlanJob& job, const std::vector<Objective>& objectives) {
+  StartDeadlines out;
+  for (const Micros& target : completion_targets(*job.spec, objectives))
     out.push_back({job.accepted_at + target - job.estimate * job.waves, job.estimate / kGraceDivisor});
-  // An array starts bit by bit and counts by its end; what starts as a whole has aims for that as well.
+  // Wait objectives apply only to gangs and services, which start as a whole. An array starts gradually and
+  // is measured by its completion.
   for (const Objective& objective : objectives) {
     if (objective.kind == "wait" && objective.job_class == job.spec->job_class &&
         job.spec->type != JobType::array)
@@ -45,19 +47,19 @@
   return out;
 }
 
-Slack slack(const Aims& aims, WallTime now) {
-  if (aims.empty()) return {DeadlineStatus::on_track, {}, Micros::max()};
-  for (const Aim& aim : aims) {
-    const Micros left = aim.start_by - now;
-    if (left < -aim.grace) continue;
-    if (left < kPressedWindow) return {DeadlineStatus::at_risk, left, std::max(left, Micros{0})};
+Slack slack(const StartDeadlines& start_deadlines, WallTime now) {
+  if (start_deadlines.empty()) return {DeadlineStatus::on_track, {}, Micros::max()};
+  for (const StartDeadline& start_deadline : start_deadlines) {
+    const Micros left = start_deadline.start_by - now;
+    if (left < -start_deadline.grace) continue;
+    if (left < kAtRiskWindow) return {DeadlineStatus::at_risk, left, std::max(left, Micros{0})};
     return {DeadlineStatus::on_track, {}, left};
   }
   return {DeadlineStatus::missed, {}, {}};
 }
 
 Slack slack(const PlanJob& job, WallTime now, const std::vector<Objective>& objectives) {
-  return slack(aims(job, objectives), now);
+  return slack(start_deadlines(job, objectives), now);
 }
 
 bool is_overdue(const PlanJob& job, WallTime now) {
--- a/src/placement/include/wrenusher/placement/deadlines.hpp
+++ b/src/placement/include/wrenusher/placement/deadlines.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// How urgent a job is: its targets, the slack that is left, and its rank.
+// Urgency of a job: its completion targets, its slack and its rank.
 
 #include <compare>
 #include <vector>
@@ -8,46 +8,48 @@
 
 namespace wrenusher::placement {
 
-/// The times by which the job should be over, from its acceptance and in rising order: the objectives of its
-/// class in the settings, or its own deadline.
-std::vector<Micros> targets(const JobSpec& spec, const std::vector<Objective>& objectives);
+/// Returns the times by which the job should be finished, counted from its acceptance, in ascending order.
+/// They come from the objectives of its class in the settings, or else from its own deadline.
+std::vector<Micros> completion_targets(const JobSpec& spec, const std::vector<Objective>& objectives);
 
-/// How a job stands against its next target.
+/// State of a job relative to its next target.
 enum class DeadlineStatus {
-  at_risk,   ///< must start soon to meet it
+  at_risk,   ///< must start within a short time to meet the target
   on_track,  ///< has time, or no target
-  missed     ///< can meet none any more
+  missed     ///< can no longer meet any target
 };
 
-/// How long a job may still wait for its start.
+/// The time for which the start of a job can still be delayed.
 struct Slack {
   DeadlineStatus status = DeadlineStatus::on_track;
-  Micros time_to_latest_start{};  ///< while pressed; negative within the target's grace
-  Micros remaining{};             ///< pressed or not, at least 0; the longest time there is without a target
+  Micros time_to_latest_start{};  ///< set while at risk; negative within the grace period
+  Micros remaining{};             ///< in any state, at least 0; `Micros::max()` without a target
 };
 
-/// The latest start with which a job meets one of its targets.
-struct Aim {
+/// The latest start time at which a job meets one of its targets.
+struct StartDeadline {
   WallTime start_by{};
-  Micros grace{};  ///< how long after `start_by` it is not given up yet
+  Micros grace{};  ///< time after `start_by` before the target counts as missed
   // NOLINTNEXTLINE(modernize-use-nullptr): false positive on a defaulted comparison
-  auto operator<=>(const Aim&) const = default;
+  auto operator<=>(const StartDeadline&) const = default;
 };
 
-/// All aims of a job, in rising order. They change only with the job.
-using Aims = std::vector<Aim>;
-Aims aims(const PlanJob& job, const std::vector<Objective>& objectives);
+/// All start deadlines of a job, in ascending order. They change only when the job changes.
+using StartDeadlines = std::vector<StartDeadline>;
+StartDeadlines start_deadlines(const PlanJob& job, const std::vector<Objective>& objectives);
 
-Slack slack(const Aims& aims, WallTime now);
+Slack slack(const StartDeadlines& start_deadlines, WallTime now);
 Slack slack(const PlanJob& job, WallTime now, const std::vector<Objective>& objectives);
 
-/// Whether the job has waited so long for its first task that nothing may put it off any more: neither
-/// overload, nor a lost aim, nor another's guarantee. Of an array the first task then goes before all but
-/// priority `prod`, a place is reserved for it, and no more of it is placed at once.
+/// Whether the job has waited for its first start longer than the maximum. An overdue job is no longer
+/// postponed by load shedding, a missed target or another team's guarantee.
+///
+/// The first task of an overdue array is served before all jobs but those of priority `prod`, and a place is
+/// reserved for it. The array's other tasks are not placed in the same plan.
 bool is_overdue(const PlanJob& job, WallTime now);
 
-/// Equation (2) of the paper. The protocol names no successors, so each job is a graph of one task and the
-/// maximum over its successors is 0.
+/// Returns the rank of equation (2) of the paper. The protocol has no successors, so each job is a graph of
+/// one task and the maximum over its successors is 0.
 Micros rank(const PlanJob& job);
 
 }  // namespace wrenusher::placement
--- a/src/placement/include/wrenusher/placement/machine_fit.hpp
+++ b/src/placement/include/wrenusher/placement/machine_fit.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Whether, how well and how soon a job's tasks fit on a machine.
+// Eligibility, quality of fit and finish time of a job's tasks on a machine.
 
 #include <map>
 #include <optional>
@@ -10,52 +10,53 @@
 
 namespace wrenusher::placement {
 
-// ---- whether
+// ---- eligibility
 
 /// Whether a task of the job could run on a machine of this type, in some zone.
 bool fits_machine_type(const JobSpec& spec, const MachineType& machine_type);
-/// The types on which a task of the job could run at all.
+/// Returns the names of the types on which a task of the job could run.
 std::set<std::string> fitting_machine_types(const JobSpec& spec, const Catalog& catalog);
-/// Whether the job may and will use the machine, room or not.
+/// Whether the job may use the machine, regardless of free room.
 bool accepts(const PlanMachine& machine, const PlanJob& job);
-/// How many tasks of the job would fit, their devices included.
+/// Returns how many tasks of the job fit, devices included, at most `limit`.
 std::uint32_t count_fitting(const JobSpec& spec, const FreeCapacity& free, std::uint32_t limit);
-/// How many more tasks the job may put into the zone, given its tasks by zone.
+/// Returns how many more tasks the job may place in the zone, given its tasks by zone.
 std::uint32_t zone_allowance(const JobSpec& spec, const std::map<std::string, std::uint32_t>& zones,
                              const std::string& zone);
-/// How many more of `task_count` tasks the layout allows on the machine. Without `preferences` only what it
-/// requires counts.
+/// Returns how many more of `task_count` tasks the layout allows on the machine. Without `preferences`, only
+/// the requirements of the layout apply.
 std::uint32_t layout_allowance(const PlanLayout& layout, const PlanMachine& machine, std::uint32_t task_count,
                                bool preferences);
-/// Enters that so many more tasks of the job are on the machine.
-void layout_add(PlanLayout& layout, const PlanMachine& machine, std::uint32_t tasks);
+/// Adds `tasks` tasks on the machine to the layout's counts.
+void add_to_layout(PlanLayout& layout, const PlanMachine& machine, std::uint32_t tasks);
 
-// ---- how well
+// ---- quality of fit
 
-/// How much of the machine's cores stays unused beside a task of this need, from 0 to 1: the more, the worse
-/// the fit.
-double misfit(const PlanMachine& machine, const Resources& need);
-/// What a need takes of a machine of this type, as cores: by whichever of cores, GPUs and memory it takes the
-/// largest part of.
+/// Returns the fraction of the machine's cores, from 0 to 1, that stay unused after placing a task with this
+/// need. A larger value is a worse fit.
+double unused_core_fraction(const PlanMachine& machine, const Resources& need);
+/// Returns the share of a machine of this type that a need takes, expressed in cores. The share is that of
+/// the dominant resource: cores, GPUs or memory.
 Amount core_equivalents(const Resources& need, const MachineType& machine_type);
 
-// ---- how soon
+// ---- finish time
 
 /// Whether the machine has the image.
 bool has_image(const PlanMachine& machine, const std::string& image);
-/// The machine's fetch of the image; null where there is none.
+/// Returns the machine's fetch of the image, or null if there is none.
 const PlannedFetch* find_fetch(const PlanMachine& machine, const std::string& image);
-/// Time until the job's image is on the machine: 0 where cached, what is left of it where it is on its way,
-/// else all of it; at the rate shared with the other fetches under way.
+/// Returns the time until the job's image is on the machine: 0 if cached, the time for the remaining part if
+/// it is being fetched, else the time for the whole image. The rate is shared with the other fetches in
+/// progress.
 Micros fetch_time(const PlanMachine& machine, const JobSpec& spec);
-/// How much longer a fetch for the job would make those wait that wait for other images there. Nothing where
-/// tasks of priority `prod` are among them: beside theirs no other fetch is begun.
+/// Returns the delay that a fetch for the job adds to the machine's other fetches. Returns nothing if a fetch
+/// for priority `prod` is in progress and the job has a lower priority: no fetch is started beside it.
 std::optional<Micros> fetch_delay_imposed(const PlanMachine& machine, const JobSpec& spec);
-/// How long a task of the job runs on the machine, by its estimate.
+/// Returns the estimated run time of a task of the job on the machine.
 Micros run_time(const PlanMachine& machine, const PlanJob& job);
-/// Equation (5) of the paper: when a task started now on this machine would end, counted from now.
+/// Returns the time until a task started now on this machine would end (equation (5) of the paper).
 Micros finish_time(const PlanMachine& machine, const PlanJob& job);
-/// How long from now the task's place on the machine becomes free.
+/// Returns the time from `now` until the task's place on the machine becomes free.
 Micros time_until_free(const EndingTask& ending, const PlanMachine& machine, Instant now);
 
 }  // namespace wrenusher::placement
--- a/src/placement/include/wrenusher/placement/plan_types.hpp
+++ b/src/placement/include/wrenusher/placement/plan_types.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// What a plan is made of: jobs that wait, machines, tasks that will end, and shortages.
+// Input and output types of placement planning: waiting jobs, machines, ending tasks and shortages.
 
 #include <cstdint>
 #include <map>
@@ -17,7 +17,7 @@
 
 using protocol::Amount;
 using protocol::Catalog;
-using protocol::count_fitting;  // beside the one for whole jobs, in machine_fit.hpp
+using protocol::count_fitting;  // an overload for `JobSpec` is in machine_fit.hpp
 using protocol::from_amount;
 using protocol::JobSpec;
 using protocol::JobType;
@@ -34,96 +34,98 @@
 using time::to_seconds;
 using time::WallTime;
 
-/// A job's layout under the topology in force. Levels are numbers of the topology; -1: none.
+/// A job's layout in the active topology. Levels are level numbers of the topology; -1: none.
 struct PlanLayout {
-  bool impossible = false;      ///< it requires a level that the topology does not have
-  int spread = -1;              ///< level over whose domains the tasks are spread
-  std::uint32_t max_tasks = 0;  ///< tasks in one domain of that level
+  bool impossible = false;      ///< the layout requires a level that the topology lacks
+  int spread = -1;              ///< level across whose domains the tasks are spread
+  std::uint32_t max_tasks = 0;  ///< maximum number of tasks per domain of that level
   bool spread_required = true;
-  int colocation = -1;  ///< level of which one domain holds all tasks
+  int colocation = -1;  ///< level at which all tasks share one domain
   bool colocation_required = true;
-  // The tasks that may be on machines now, by domain.
+  // Tasks that are or may still be on machines, by domain.
   std::map<topology::DomainId, std::uint32_t> tasks_by_spread_domain;
   std::map<topology::DomainId, std::uint32_t> tasks_by_colocation_domain;
   bool operator==(const PlanLayout&) const = default;
 };
 
-/// A job of which some tasks wait. `spec` and `avoided_machines` are borrowed.
+/// A job with waiting tasks. `spec` and `avoided_machines` are borrowed.
 struct PlanJob {
   const JobSpec* spec = nullptr;
   std::uint32_t waiting = 0;
-  Micros estimate{};  ///< run time of one task on a machine of ordinary speed
-  /// How many times over its tasks must be run, one after the other, under its team's ceiling.
+  Micros estimate{};  ///< run time of one task on a machine of speed 1.0
+  /// Number of consecutive batches that its tasks need, since the team's ceiling limits how many run at once.
   std::uint32_t waves = 1;
   bool guaranteed = false;   ///< it fits into its team's guarantee, see `GuaranteeTracker`
-  bool has_started = false;  ///< some task of it has a machine, or is done
+  bool has_started = false;  ///< one of its tasks is assigned to a machine or finished
   WallTime accepted_at{};
-  std::map<std::string, std::uint32_t> zones;  ///< tasks of the job by the zone where they are now
-  /// Only where most of the image's fetch is spared: room is being made on machines that have it.
+  std::map<std::string, std::uint32_t> zones;  ///< assigned tasks by zone
+  /// Restricts the job to machines where at most half of the image's fetch time remains, since room is being
+  /// made on machines that have the image.
   bool requires_image_locality = false;
-  /// Machines that get no task of the job until the time given; null: none.
+  /// Machines that get no task of the job before the given time; null: none.
   const std::map<std::string, Instant>* avoided_machines = nullptr;
-  std::set<std::string> excluded_types;  ///< types whose room is reserved for jobs that fit nowhere else
-  /// Types that are not rented for the job for the same reason, though it may use them where they are.
+  std::set<std::string> excluded_types;  ///< types reserved for jobs that fit no other type
+  /// Types that are not rented for the job for the same reason. The job may still use existing machines of
+  /// these types.
   std::set<std::string> unrentable_types;
   std::optional<PlanLayout> layout;
   bool operator==(const PlanJob&) const = default;
 };
 
-/// An image on its way to a machine.
+/// An image that a machine is fetching.
 struct PlannedFetch {
   std::string image;
   double remaining_gb = 0;
-  Priority priority = Priority::low;  ///< of the most urgent task that waits for it
+  Priority priority = Priority::low;  ///< of the highest-priority task that waits for it
   bool operator==(const PlannedFetch&) const = default;
 };
 
-/// What no task has reserved of a machine.
+/// The unreserved capacity of a machine.
 struct FreeCapacity {
   Resources resources;
   std::map<std::string, std::uint32_t> devices;
   bool operator==(const FreeCapacity&) const = default;
-  /// Takes what so many tasks of the job need. They must fit.
+  /// Reserves the capacity for `tasks` tasks of the job. They must fit.
   void reserve(const JobSpec& spec, std::uint32_t tasks);
-  /// Gives back what one task of the job has reserved.
+  /// Releases the capacity that one task of the job reserved.
   void release(const JobSpec& spec);
 };
 
-/// A machine, up or expected. `machine_type`, `images` and `place` are borrowed.
+/// A machine that is running or expected. `machine_type`, `images` and `location` are borrowed.
 struct PlanMachine {
   std::string name;
   std::string zone;
   const MachineType* machine_type = nullptr;
   bool spot = false;
-  bool runs_services = false;  ///< so it is paid for whatever else it does
+  bool runs_services = false;  ///< so it is kept, and paid for, in any case
   FreeCapacity free;
-  double speed = 1.0;                                            ///< against an ordinary machine of its type
-  std::vector<PlannedFetch> fetches;                             ///< under way, sharing the machine's rate
+  double speed = 1.0;                 ///< relative to a typical machine of its type
+  std::vector<PlannedFetch> fetches;  ///< in progress; they share the machine's fetch rate
   const std::map<std::string, std::uint64_t>* images = nullptr;  ///< cached; null: none
   const topology::MachineLocation* location = nullptr;           ///< null: no topology
-  bool reserved_for_devices = false;  ///< only for jobs that want one of its devices
+  bool reserved_for_devices = false;  ///< only for jobs that request one of its devices
   bool operator==(const PlanMachine&) const = default;
-  /// The machine's domain of a level of the topology.
+  /// Returns the machine's domain at a level of the topology.
   topology::DomainId domain(int level) const {
     return location == nullptr ? topology::kNowhere : location->domain_at(level);
   }
 };
 
-/// A task whose place becomes free: at a time, or so long from now however late it is now.
+/// A task that will free its place. It ends at `ends_at`, but no earlier than `min_remaining` from now.
 struct EndingTask {
   Resources resources;
-  std::optional<Instant> ends_at;  ///< nothing: `min_remaining` from now
-  Micros min_remaining{};          ///< at least this long from now
-  /// Its own image is still to come: it takes as much longer as the fetch does. Null: it is there.
-  const JobSpec* awaited_image = nullptr;
+  std::optional<Instant> ends_at;  ///< not set: it ends `min_remaining` from now
+  Micros min_remaining{};          ///< minimum time until it ends
+  /// Job whose image the task still waits for; the fetch time is added to its end. Null: the image is cached.
+  const JobSpec* awaited_image_spec = nullptr;
   bool operator==(const EndingTask&) const = default;
 };
 
-/// Tasks that their team's ceiling would allow now, but for which no machine has room.
+/// Tasks that the team's ceiling allows now, but for which no machine has room.
 struct Shortage {
   std::size_t job = 0;
   std::uint32_t tasks = 0;
-  std::uint32_t expected_soon = 0;  ///< of them have a future place on a machine with their image
+  std::uint32_t expected_soon = 0;  ///< those with a future place on a machine that has their image
   bool operator==(const Shortage&) const = default;
 };
 
--- a/src/placement/include/wrenusher/placement/preemption.hpp
+++ b/src/placement/include/wrenusher/placement/preemption.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Which running tasks are stopped for jobs of higher priority.
+// Selects running tasks to preempt for jobs of higher priority.
 
 #include <vector>
 
@@ -7,26 +7,27 @@
 
 namespace wrenusher::placement {
 
-/// The jobs that are short of room, and all machines as the plan leaves them.
+/// The jobs with shortages, and all machines in their state after the plan.
 struct PreemptionView {
   std::vector<PlanJob> jobs;
   std::vector<PlanMachine> machines;
 };
 
-/// A task that has a machine now and might be stopped for a job of higher priority. `spec` is borrowed; tasks
-/// of one job have the same.
+/// A task that is assigned to a machine and may be preempted. `spec` is borrowed; tasks of one job share it.
 struct RunningTask {
   std::size_t machine = 0;  ///< index in `PreemptionView::machines`
   const JobSpec* spec = nullptr;
   std::uint32_t task = 0;
-  Micros age{};        ///< since it runs; 0 while it waits for its image
+  Micros age{};        ///< time since it started to run; 0 while it waits for its image
   Micros remaining{};  ///< estimated
   bool stopping = false;
 };
 
-/// Which tasks to stop so that the shortages of jobs of higher priority find room: for each, on the machine
-/// where the time to its image and the work lost are least; none that will soon end by itself, and a gang as
-/// a whole. Returns indices into `running`, in the order in which they were chosen.
+/// Chooses the tasks to preempt so that the shortages of jobs of higher priority can be placed. Returns
+/// indices into `running`, in the order in which they were chosen.
+///
+/// For each missing task it takes the machine with the least sum of fetch time and lost work. Tasks that will
+/// end soon are not preempted, and a gang is preempted as a whole.
 [[nodiscard]] std::vector<std::size_t> choose_preemptions(const PreemptionView& view,
                                                           const std::vector<Shortage>& shortages,
                                                           const std::vector<RunningTask>& running);
--- a/src/placement/machine_fit.cpp
+++ b/src/placement/machine_fit.cpp
@@ -28,12 +28,12 @@
 }
 
 std::uint32_t count_fitting(const JobSpec& spec, const FreeCapacity& free, std::uint32_t limit) {
-  std::uint32_t n = count_fitting(spec.resources, free.resources, limit);
-  for (const auto& [name, each] : spec.devices()) {
+  std::uint32_t count = count_fitting(spec.resources, free.resources, limit);
+  for (const auto& [name, per_task] : spec.devices()) {
     const auto it = free.devices.find(name);
-    n = std::min(n, it == free.devices.end() ? 0 : it->second / each);
+    count = std::min(count, it == free.devices.end() ? 0 : it->second / per_task);
   }
-  return n;
+  return count;
 }
 
 std::uint32_t zone_allowance(const JobSpec& spec, const std::map<std::string, std::uint32_t>& zones,
@@ -47,8 +47,8 @@
   if (spec.spread_zones) {
     const std::uint32_t half = (spec.task_count + 1) / 2;
     const auto it = zones.find(zone);
-    const std::uint32_t there = it == zones.end() ? 0 : it->second;
-    allowed = there >= half ? 0 : half - there;
+    const std::uint32_t tasks_in_zone = it == zones.end() ? 0 : it->second;
+    allowed = tasks_in_zone >= half ? 0 : half - tasks_in_zone;
   }
   return allowed;
 }
@@ -59,8 +59,8 @@
   std::uint32_t allowed = task_count;
   if (layout.spread >= 0 && (layout.spread_required || preferences)) {
     const auto it = layout.tasks_by_spread_domain.find(machine.domain(layout.spread));
-    const std::uint32_t there = it == layout.tasks_by_spread_domain.end() ? 0 : it->second;
-    allowed = there >= layout.max_tasks ? 0 : layout.max_tasks - there;
+    const std::uint32_t tasks_in_domain = it == layout.tasks_by_spread_domain.end() ? 0 : it->second;
+    allowed = tasks_in_domain >= layout.max_tasks ? 0 : layout.max_tasks - tasks_in_domain;
   }
   if (layout.colocation >= 0 && (layout.colocation_required || preferences)) {
     for (const auto& [domain, tasks] : layout.tasks_by_colocation_domain) {
@@ -70,22 +70,22 @@
   return allowed;
 }
 
-void layout_add(PlanLayout& layout, const PlanMachine& machine, std::uint32_t tasks) {
+void add_to_layout(PlanLayout& layout, const PlanMachine& machine, std::uint32_t tasks) {
   if (layout.spread >= 0) layout.tasks_by_spread_domain[machine.domain(layout.spread)] += tasks;
   if (layout.colocation >= 0) layout.tasks_by_colocation_domain[machine.domain(layout.colocation)] += tasks;
 }
 
 void FreeCapacity::reserve(const JobSpec& spec, std::uint32_t tasks) {
   resources -= spec.resources * tasks;
-  for (const auto& [name, n] : spec.devices()) devices[name] -= n * tasks;
+  for (const auto& [name, count] : spec.devices()) devices[name] -= count * tasks;
 }
 
 void FreeCapacity::release(const JobSpec& spec) {
   resources += spec.resources;
-  for (const auto& [name, n] : spec.devices()) devices[name] += n;
+  for (const auto& [name, count] : spec.devices()) devices[name] += count;
 }
 
-double misfit(const PlanMachine& machine, const Resources& need) {
+double unused_core_fraction(const PlanMachine& machine, const Resources& need) {
   const Resources& capacity = machine.machine_type->capacity;
   return capacity.cores > 0 ? static_cast<double>(machine.free.resources.cores - need.cores) /
                                   static_cast<double>(capacity.cores)
@@ -114,12 +114,12 @@
 
 Micros fetch_time(const PlanMachine& machine, const JobSpec& spec) {
   if (has_image(machine, spec.image)) return Micros{0};
-  const PlannedFetch* own = find_fetch(machine, spec.image);
-  const double left = own != nullptr ? own->remaining_gb : spec.image_gb;
-  // Of a rate shared evenly each other fetch takes as much as this one until one of the two ends.
-  double total_gb = left;
+  const PlannedFetch* own_fetch = find_fetch(machine, spec.image);
+  const double remaining_gb = own_fetch != nullptr ? own_fetch->remaining_gb : spec.image_gb;
+  // The rate is shared evenly, so each other fetch transfers as much as this one until one of the two ends.
+  double total_gb = remaining_gb;
   for (const PlannedFetch& fetch : machine.fetches) {
-    if (&fetch != own) total_gb += std::min(fetch.remaining_gb, left);
+    if (&fetch != own_fetch) total_gb += std::min(fetch.remaining_gb, remaining_gb);
   }
   return from_seconds(total_gb / machine.machine_type->fetch_gb_per_s);
 }
@@ -143,9 +143,10 @@
 }
 
 Micros time_until_free(const EndingTask& ending, const PlanMachine& machine, Instant now) {
-  Micros in = ending.ends_at ? std::max(*ending.ends_at - now, ending.min_remaining) : ending.min_remaining;
-  if (ending.awaited_image != nullptr) in += fetch_time(machine, *ending.awaited_image);
-  return in;
+  Micros free_in =
+      ending.ends_at ? std::max(*ending.ends_at - now, ending.min_remaining) : ending.min_remaining;
+  if (ending.awaited_image_spec != nullptr) free_in += fetch_time(machine, *ending.awaited_image_spec);
+  return free_in;
 }
 
 }  // namespace wrenusher::placement
--- a/src/placement/placement_index.cpp
+++ b/src/placement/placement_index.cpp
@@ -1,4 +1,4 @@
-// What the index holds: machines, jobs, and names made numbers.
+// Maintenance of the index: machines, jobs, and interned names.
 
 #include "wrenusher/placement/placement_index.hpp"
 
@@ -9,17 +9,17 @@
 
 namespace {
 
-std::uint32_t bit_width_class(Amount amount) {
+std::uint32_t bit_width_of(Amount amount) {
   return static_cast<std::uint32_t>(std::bit_width(static_cast<std::uint64_t>(amount)));
 }
 
-/// Bits that a size class has for the width of one amount, which is at most 64.
+/// Number of bits of a size class that hold the bit width of one amount, which is at most 64.
 constexpr std::uint32_t kWidthBits = 7;
 constexpr std::uint32_t kWidthMask = (1U << kWidthBits) - 1;
 
-/// The index of an entry of the vector that is free, or of a new one at its end.
+/// Returns the index of a free entry of the vector, or of a new one at its end.
 template <typename Entry>
-std::uint32_t insert_at(std::vector<Entry>& all, std::vector<std::uint32_t>& free) {
+std::uint32_t allocate_entry(std::vector<Entry>& all, std::vector<std::uint32_t>& free) {
   if (free.empty()) {
     all.emplace_back();
     return static_cast<std::uint32_t>(all.size() - 1);
@@ -29,7 +29,7 @@
   return id;
 }
 
-std::vector<std::string> names_of(const std::map<std::string, std::uint32_t>& devices) {
+std::vector<std::string> device_names(const std::map<std::string, std::uint32_t>& devices) {
   std::vector<std::string> out;
   out.reserve(devices.size());
   for (const auto& [name, count] : devices) out.push_back(name);
@@ -40,8 +40,8 @@
 
 std::uint32_t PlacementIndex::size_class(const Resources& room) {
   if (room.cores < 0 || room.gpus < 0 || room.memory < 0) return kNoRoom;
-  return (bit_width_class(room.cores) << (2 * kWidthBits)) | (bit_width_class(room.gpus) << kWidthBits) |
-         bit_width_class(room.memory);
+  return (bit_width_of(room.cores) << (2 * kWidthBits)) | (bit_width_of(room.gpus) << kWidthBits) |
+         bit_width_of(room.memory);
 }
 
 bool PlacementIndex::covers(std::uint32_t room, std::uint32_t need) {
@@ -50,11 +50,11 @@
          (room & kWidthMask) >= (need & kWidthMask);
 }
 
-// ---------------------------------------------------------------- names made numbers
+// ---------------------------------------------------------------- interned names
 
 std::uint32_t PlacementIndex::machine_class_of(const PlanMachine& machine) {
   MachineClassKey key{machine.machine_type, machine.zone, machine.spot, {}};
-  if (machine.reserved_for_devices) key.reserved_devices = names_of(machine.location->devices);
+  if (machine.reserved_for_devices) key.reserved_devices = device_names(machine.location->devices);
   const auto [it, added] =
       machine_class_ids_.try_emplace(key, static_cast<std::uint32_t>(machine_classes_.size()));
   if (added) machine_classes_.push_back({std::move(key), {}});
@@ -71,13 +71,14 @@
 std::uint32_t PlacementIndex::image_id_of(const std::string& image) {
   const auto it = image_ids_.find(image);
   if (it != image_ids_.end()) return it->second;
-  const std::uint32_t id = insert_at(images_, free_images_);
+  const std::uint32_t id = allocate_entry(images_, free_images_);
   images_[id].image = image;
   image_ids_.emplace(image, id);
   return id;
 }
 
-/// An image that no machine holds and no job waits for is forgotten: names come and go for ever.
+/// Removes an image that no machine has and no job waits for, since the set of image names changes without
+/// bound.
 void PlacementIndex::release_image(std::uint32_t id) {
   ImageEntry& image = images_[id];
   if (image.waiting_jobs > 0 || !image.holders.isEmpty()) return;
@@ -89,14 +90,14 @@
 std::uint32_t PlacementIndex::constraint_class_of(const PlanJob& job) {
   const JobSpec& spec = *job.spec;
   const ConstraintKey key{
-      spec.resources.cores, spec.resources.gpus, spec.resources.memory,   spec.machine_types, spec.zone,
-      spec.spot_allowed,    job.excluded_types,  names_of(spec.devices())};
+      spec.resources.cores, spec.resources.gpus, spec.resources.memory,       spec.machine_types, spec.zone,
+      spec.spot_allowed,    job.excluded_types,  device_names(spec.devices())};
   const auto it = constraint_ids_.find(key);
   if (it != constraint_ids_.end()) {
     ++constraint_classes_[it->second].jobs;
     return it->second;
   }
-  const std::uint32_t id = insert_at(constraint_classes_, free_constraint_ids_);
+  const std::uint32_t id = allocate_entry(constraint_classes_, free_constraint_ids_);
   constraint_classes_[id].key = constraint_ids_.emplace(key, id).first;
   constraint_classes_[id].jobs = 1;
   return id;
@@ -138,7 +139,7 @@
 // ---------------------------------------------------------------- machines
 
 PlacementIndex::Slot PlacementIndex::new_machine() {
-  const Slot slot = insert_at(machines_, free_machine_slots_);
+  const Slot slot = allocate_entry(machines_, free_machine_slots_);
   marked_machines_.resize(machines_.size());
   return slot;
 }
@@ -184,7 +185,7 @@
   free_machine_slots_.push_back(slot);
 }
 
-/// Enters the machine under the size class of its free room, while it is open.
+/// Lists the machine under the size class of `room` while it is open, else removes it from its list.
 void PlacementIndex::index_free_room(Slot slot, const Resources& room) {
   MachineEntry& entry = machines_[slot];
   const std::uint32_t size = entry.present && entry.open ? size_class(room) : kNoRoom;
@@ -205,21 +206,22 @@
   entry.type = type_id_of(*entry.machine.machine_type);
   types_[entry.type].cores += entry.cores;
   index_free_room(slot, entry.machine.free.resources);
-  index_futures(entry);
+  index_future_places(entry);
   index_images(entry, slot);
-  mark_futures_changed(entry, slot);
+  mark_future_places_changed(entry, slot);
   ++entry.set_count;
   schedule_timer(slot);
 }
 
-void PlacementIndex::index_futures(MachineEntry& entry) {
-  entry.futures.reserve(entry.ending_tasks.size());
+void PlacementIndex::index_future_places(MachineEntry& entry) {
+  entry.future_place_ids.reserve(entry.ending_tasks.size());
   for (const EndingTask& ending : entry.ending_tasks) {
-    const std::uint32_t id = insert_at(futures_, free_futures_);
+    const std::uint32_t id = allocate_entry(future_places_, free_future_place_ids_);
     Resources room = entry.machine.free.resources;
     room += ending.resources;
-    futures_[id] = {room, static_cast<std::uint32_t>(entry.futures.size()), entry.machine_class, 0};
-    entry.futures.push_back(id);
+    future_places_[id] = {room, static_cast<std::uint32_t>(entry.future_place_ids.size()),
+                          entry.machine_class, 0};
+    entry.future_place_ids.push_back(id);
   }
 }
 
@@ -241,9 +243,10 @@
   types_[entry.type].cores -= entry.cores;
   entry.present = false;
   index_free_room(slot, {});
-  mark_futures_changed(entry, slot);
-  free_futures_.insert(free_futures_.end(), entry.futures.begin(), entry.futures.end());
-  entry.futures.clear();
+  mark_future_places_changed(entry, slot);
+  free_future_place_ids_.insert(free_future_place_ids_.end(), entry.future_place_ids.begin(),
+                                entry.future_place_ids.end());
+  entry.future_place_ids.clear();
   const std::vector<std::uint32_t> images = std::move(entry.images);
   entry.images.clear();
   for (const std::uint32_t id : images) {
@@ -255,7 +258,7 @@
 // ---------------------------------------------------------------- jobs
 
 PlacementIndex::Slot PlacementIndex::new_job() {
-  const Slot slot = insert_at(jobs_, free_job_slots_);
+  const Slot slot = allocate_entry(jobs_, free_job_slots_);
   service_keys_.resize(jobs_.size());
   slacks_.resize(jobs_.size());
   return slot;
@@ -266,50 +269,50 @@
   const bool was_present = entry.present;
   const std::uint32_t old_constraint_class = entry.constraint_class;
   const std::uint32_t old_image = entry.image;
-  const bool used_futures = entry.uses_futures;
+  const bool used_future_places = entry.uses_future_places;
   if (!was_present) {
     entry.live_index = live_jobs_.size();
     live_jobs_.push_back(slot);
   }
   entry.present = true;
   entry.job = std::move(job);
-  entry.aims = aims(entry.job, objectives);
+  entry.start_deadlines = start_deadlines(entry.job, objectives);
   index_job(entry);
-  // Only now, so that what both states share is not built anew.
+  // Released only now, so that entries used by both the old and the new state are not rebuilt.
   if (!was_present) return;
   release_constraint_class(old_constraint_class);
-  release_job_image(old_image, used_futures);
+  release_job_image(old_image, used_future_places);
 }
 
 void PlacementIndex::index_job(JobEntry& entry) {
   const JobSpec& spec = *entry.job.spec;
   entry.constraint_class = constraint_class_of(entry.job);
   entry.image = image_id_of(spec.image);
-  // Places to come are known by their resources only, not by their devices.
-  entry.uses_futures = spec.type == JobType::array && spec.devices().empty();
+  // Future places record only resources, not devices.
+  entry.uses_future_places = spec.type == JobType::array && spec.devices().empty();
   ++images_[entry.image].waiting_jobs;
-  if (entry.uses_futures) ++images_[entry.image].waiting_arrays;
+  if (entry.uses_future_places) ++images_[entry.image].waiting_arrays;
   const auto [team, added] = team_ids_.try_emplace(spec.team, static_cast<std::uint32_t>(teams_.size()));
   if (added) teams_.push_back(spec.team);
   entry.team = team->second;
 }
 
-/// One job less waits for the image.
-void PlacementIndex::release_job_image(std::uint32_t id, bool uses_futures) {
+/// Removes one waiting job from the image's counts.
+void PlacementIndex::release_job_image(std::uint32_t id, bool uses_future_places) {
   ImageEntry& image = images_[id];
   --image.waiting_jobs;
-  if (uses_futures && --image.waiting_arrays == 0) image.futures.reset();
+  if (uses_future_places && --image.waiting_arrays == 0) image.future_places.reset();
   release_image(id);
 }
 
 void PlacementIndex::drop_job(Slot slot) {
   JobEntry& entry = jobs_[slot];
   release_constraint_class(entry.constraint_class);
-  release_job_image(entry.image, entry.uses_futures);
+  release_job_image(entry.image, entry.uses_future_places);
   live_jobs_[entry.live_index] = live_jobs_.back();
   jobs_[live_jobs_[entry.live_index]].live_index = entry.live_index;
   live_jobs_.pop_back();
-  // The next plan takes it out of the order.
+  // The next plan removes the job from the service order.
   const bool in_service_order = entry.in_service_order;
   entry = {};
   entry.in_service_order = in_service_order;
@@ -317,7 +320,7 @@
 }
 
 void PlacementIndex::clear() {
-  // Plans go on being counted: a mark of an earlier one must not pass for one of the next.
+  // The plan counter continues, so that a mark of an earlier plan cannot match a later one.
   const std::uint64_t plan_count = plan_count_;
   *this = PlacementIndex{};
   plan_count_ = plan_count;
--- a/src/placement/placement_plan.cpp
+++ b/src/placement/placement_plan.cpp
@@ -1,4 +1,5 @@
-// How a plan is made: candidates for each job, the places where a job is tried as a whole, and the choice.
+// Planning run: candidate machines for each job, the scopes in which a job is placed as a whole, and the
+// choice among them.
 
 #include <algorithm>
 
@@ -14,8 +15,8 @@
   return it != job.avoided_machines->end() && now < it->second;
 }
 
-/// Whether less than half of the image's fetch is spared there.
-bool is_far_from_image(const PlanMachine& machine, const JobSpec& spec, Micros fetch) {
+/// Whether more than half of the image's fetch time would remain on the machine.
+bool must_fetch_most_of_image(const PlanMachine& machine, const JobSpec& spec, Micros fetch) {
   return fetch * 2 > from_seconds(spec.image_gb / machine.machine_type->fetch_gb_per_s);
 }
 
@@ -23,48 +24,49 @@
 
 // ---------------------------------------------------------------- candidates
 
-/// The machine as a candidate for up to `wanted` tasks of the job, one of which its resources have room for;
-/// nothing where it is none.
+/// Returns the machine as a candidate for up to `wanted` tasks of the job, or nothing if it is not eligible.
+/// Its resources must have room for at least one task.
 std::optional<PlacementIndex::Candidate> PlacementIndex::candidate(const PlanJob& job, Slot machine,
                                                                    std::uint32_t wanted) const {
   const PlanMachine& state = current_state(machine);
   const JobSpec& spec = *job.spec;
   const std::uint32_t fitting = count_fitting(spec, state.free, wanted);
-  if (fitting == 0 || is_avoided(job, state.name, instant_)) return std::nullopt;
+  if (fitting == 0 || is_avoided(job, state.name, steady_now_)) return std::nullopt;
   if (job.layout && layout_allowance(*job.layout, state, spec.task_count, false) == 0) return std::nullopt;
   const std::optional<Micros> delay = fetch_delay_imposed(state, spec);
   if (!delay) return std::nullopt;
   const Micros fetch = fetch_time(state, spec);
-  if (job.requires_image_locality && is_far_from_image(state, spec, fetch)) return std::nullopt;
+  if (job.requires_image_locality && must_fetch_most_of_image(state, spec, fetch)) return std::nullopt;
   Candidate out;
   out.machine = machine;
   out.finish = fetch + run_time(state, job) + *delay;
   out.machine_cores = state.machine_type->capacity.cores;
   if (state.runs_services) {
-    out.cost = CostLevel::paid_anyway;
+    out.cost = CostLevel::already_paid;
   } else if (state.spot) {
     out.cost = CostLevel::spot;
   }
-  out.misfit = misfit(state, spec.resources);
+  out.unused_core_fraction = unused_core_fraction(state, spec.resources);
   out.task_capacity = fitting;
   out.fetch = fetch + *delay;
   return out;
 }
 
 bool PlacementIndex::is_better(const Candidate& left, const Candidate& right) const {
-  const auto left_finish = left.finish / kEqualFinishWindow;
-  const auto right_finish = right.finish / kEqualFinishWindow;
+  const auto left_finish = left.finish / kFinishTimeBucket;
+  const auto right_finish = right.finish / kFinishTimeBucket;
   if (left_finish != right_finish) return left_finish < right_finish;
-  // A machine much larger than the task is better kept for what fits nowhere else.
+  // Smaller machines first: larger ones are kept for tasks that fit nowhere else.
   if (left.machine_cores != right.machine_cores) return left.machine_cores < right.machine_cores;
-  // What stays for its services costs nothing more, and spot machines a fraction: what those can take leaves
-  // on-demand ones empty, to be returned.
+  // Machines that are kept for their services cost nothing extra, and spot machines a fraction. Using these
+  // first leaves on-demand machines empty, so that they can be returned.
   if (left.cost != right.cost) return left.cost < right.cost;
-  if (left.misfit != right.misfit) return left.misfit < right.misfit;
+  if (left.unused_core_fraction != right.unused_core_fraction)
+    return left.unused_core_fraction < right.unused_core_fraction;
   return machines_[left.machine].machine.name < machines_[right.machine].machine.name;
 }
 
-/// The machines for up to `wanted` tasks of the job, the best first.
+/// Returns the candidate machines for up to `wanted` tasks of the job, best first.
 std::vector<PlacementIndex::Candidate> PlacementIndex::candidates(Slot slot, std::uint32_t wanted) {
   const PlanJob& job = jobs_[slot].job;
   const Resources& resources = job.spec->resources;
@@ -81,21 +83,21 @@
         ++statistics_.machines;
         if (count_fitting(resources, current_state(machine).free.resources, 1) == 0) continue;
         has_room = true;
-        if (const auto found = candidate(job, machine, wanted)) out.push_back(*found);
+        if (const auto found_candidate = candidate(job, machine, wanted)) out.push_back(*found_candidate);
       }
     }
   }
-  // Room only shrinks within a plan: what finds none now finds none later.
+  // Free room only shrinks within a plan, so jobs with the same constraints will find none later in it.
   if (!has_room) constraints.exhausted_in_plan = plan_count_;
   std::sort(out.begin(), out.end(),
             [this](const Candidate& left, const Candidate& right) { return is_better(left, right); });
   return out;
 }
 
-// ---------------------------------------------------------------- the choice
+// ---------------------------------------------------------------- choice
 
-/// Where to try one after the other: a job that must stay together, and is nowhere yet, in each zone or
-/// domain by itself.
+/// Returns the scopes to try in turn. A job that must stay in one zone or domain and has no tasks placed yet
+/// is tried in each zone or domain separately.
 std::vector<PlacementIndex::Scope> PlacementIndex::scopes(const PlanJob& job,
                                                           const std::vector<Candidate>& candidates) const {
   const bool zones = job.spec->single_zone && job.zones.empty();
@@ -113,7 +115,7 @@
   return out;
 }
 
-/// Spreads a job's tasks over the candidates, as far as zones, layout and places to come allow.
+/// Distributes a job's tasks over the candidates within the limits of zones, layout and future places.
 class PlacementIndex::PlaceChooser {
  public:
   PlaceChooser(const PlacementIndex& index, const ChoiceInput& input, const Scope& scope)
@@ -121,19 +123,19 @@
         input_(input),
         scope_(scope),
         spec_(*index.jobs_[input.job].job.spec),
-        zoned_(spec_.single_zone || spec_.spread_zones),
+        limits_zones_(spec_.single_zone || spec_.spread_zones),
         zones_(index.jobs_[input.job].job.zones),
         layout_(index.jobs_[input.job].job.layout),
-        used_(layout_ ? input.candidates.size() : 0, 0) {}
+        placed_by_candidate_(layout_ ? input.candidates.size() : 0, 0) {}
 
-  /// Goes through the candidates once. Without `preferences` only what the layout requires binds.
-  void pass(bool preferences) {
+  /// Goes through the candidates once. Without `preferences`, only the requirements of the layout apply.
+  void run_pass(bool preferences) {
     for (std::size_t i = 0; i < input_.candidates.size() && choice_.tasks < input_.wanted; ++i) {
       const Candidate& candidate = input_.candidates[i];
       const PlanMachine& machine = index_.machines_[candidate.machine].machine;
       if (!is_in_scope(machine, preferences)) continue;
       const std::uint32_t tasks = allowance(i, machine, preferences);
-      if (tasks > 0) place(i, machine, tasks);
+      if (tasks > 0) place_tasks(i, machine, tasks);
     }
   }
   bool complete() const { return choice_.tasks >= input_.wanted; }
@@ -151,22 +153,22 @@
     const Candidate& candidate = input_.candidates[i];
     const std::uint32_t unplaced = input_.wanted - choice_.tasks;
     std::uint32_t tasks = std::min(candidate.task_capacity, unplaced);
-    if (zoned_) tasks = std::min(tasks, zone_allowance(spec_, zones_, machine.zone));
+    if (limits_zones_) tasks = std::min(tasks, zone_allowance(spec_, zones_, machine.zone));
     if (layout_)
-      tasks = std::min({tasks, candidate.task_capacity - used_[i],
+      tasks = std::min({tasks, candidate.task_capacity - placed_by_candidate_[i],
                         layout_allowance(*layout_, machine, spec_.task_count, preferences)});
-    // Not those that will sooner have a place with the image.
+    // Excludes the tasks that get a future place with the image no later than the fetch here would complete.
     if (candidate.fetch.count() > 0)
-      tasks = std::min(tasks, unplaced - input_.upcoming.within(candidate.fetch, unplaced));
+      tasks = std::min(tasks, unplaced - input_.future_places.count_within(candidate.fetch, unplaced));
     return tasks;
   }
 
-  void place(std::size_t i, const PlanMachine& machine, std::uint32_t tasks) {
+  void place_tasks(std::size_t i, const PlanMachine& machine, std::uint32_t tasks) {
     choice_.placements.push_back({input_.job, input_.candidates[i].machine, tasks});
-    if (zoned_) zones_[machine.zone] += tasks;
+    if (limits_zones_) zones_[machine.zone] += tasks;
     if (layout_) {
-      layout_add(*layout_, machine, tasks);
-      used_[i] += tasks;
+      add_to_layout(*layout_, machine, tasks);
+      placed_by_candidate_[i] += tasks;
     }
     choice_.tasks += tasks;
   }
@@ -175,30 +177,30 @@
   const ChoiceInput& input_;
   const Scope& scope_;
   const JobSpec& spec_;
-  bool zoned_;
+  bool limits_zones_;
   std::map<std::string, std::uint32_t> zones_;
   std::optional<PlanLayout> layout_;
-  std::vector<std::uint32_t> used_;  ///< by candidate: tasks placed there by an earlier pass
+  std::vector<std::uint32_t> placed_by_candidate_;  ///< tasks placed by an earlier pass
   PlacementChoice choice_;
 };
 
-/// Places within one scope. With `strict` what the layout prefers binds as well.
+/// Chooses machines within one scope. With `strict`, the preferences of the layout apply as well.
 PlacementIndex::PlacementChoice PlacementIndex::choose_places(const ChoiceInput& input, const Scope& scope,
                                                               bool strict) const {
   PlaceChooser chooser(*this, input, scope);
-  chooser.pass(true);
-  if (chooser.has_layout() && !strict && !chooser.complete()) chooser.pass(false);
+  chooser.run_pass(true);
+  if (chooser.has_layout() && !strict && !chooser.complete()) chooser.run_pass(false);
   return std::move(chooser).choice();
 }
 
-/// A gang goes where all of it fits, a service that must stay together where most of it does, and an array
-/// where its first task is done the soonest.
+/// Chooses among the scopes: for a gang the first one that holds all of it, for a service with domain scopes
+/// the one that holds the most tasks, and otherwise the first scope, where the first task finishes earliest.
 PlacementIndex::PlacementChoice PlacementIndex::best_choice(const ChoiceInput& input) const {
   const PlanJob& job = jobs_[input.job].job;
-  const std::vector<Scope> all = scopes(job, input.candidates);
-  if (job.spec->type == JobType::gang) return best_gang_choice(input, all);
+  const std::vector<Scope> all_scopes = scopes(job, input.candidates);
+  if (job.spec->type == JobType::gang) return best_gang_choice(input, all_scopes);
   PlacementChoice out;
-  for (const Scope& scope : all) {
+  for (const Scope& scope : all_scopes) {
     PlacementChoice choice = choose_places(input, scope, false);
     if (choice.tasks > out.tasks) out = std::move(choice);
     if (job.spec->type != JobType::service || !scope.domain) break;
@@ -206,12 +208,13 @@
   return out;
 }
 
-/// The first scope that holds the whole gang, if possible with what its layout prefers; nowhere otherwise.
+/// Returns the placement in the first scope that holds the whole gang, if possible with the preferences of
+/// its layout; empty if there is none.
 PlacementIndex::PlacementChoice PlacementIndex::best_gang_choice(const ChoiceInput& input,
-                                                                 const std::vector<Scope>& all) const {
+                                                                 const std::vector<Scope>& all_scopes) const {
   for (const bool strict : {true, false}) {
     if (!strict && !jobs_[input.job].job.layout) break;
-    for (const Scope& scope : all) {
+    for (const Scope& scope : all_scopes) {
       PlacementChoice choice = choose_places(input, scope, strict);
       if (choice.tasks == input.wanted) return choice;
     }
@@ -219,7 +222,7 @@
   return {};
 }
 
-/// What was chosen takes its room, and its image is on its way.
+/// Reserves the chosen room and adds the fetches of the image to the planned state of the machines.
 void PlacementIndex::apply_choice(const PlacementChoice& choice, const JobSpec& spec) {
   for (const Placement& placement : choice.placements) {
     PlanMachine& machine = planned_state(placement.machine);
@@ -230,7 +233,7 @@
   }
 }
 
-// ---------------------------------------------------------------- the plan
+// ---------------------------------------------------------------- plan
 
 const PlanMachine& PlacementIndex::current_state(Slot slot) const {
   const auto it = planned_machines_.find(slot);
@@ -241,7 +244,7 @@
   return planned_machines_.try_emplace(slot, machines_[slot].machine).first->second;
 }
 
-/// What the teams use as the plan begins, by number of the team.
+/// Returns the teams' usage at the start of the plan, by team id.
 std::vector<PlacementIndex::TeamUsage> PlacementIndex::team_usages(const PlanningContext& context) const {
   std::vector<TeamUsage> out(teams_.size());
   for (std::size_t i = 0; i < teams_.size(); ++i) {
@@ -258,28 +261,31 @@
   ++statistics_.jobs;
   const bool gang = spec.type == JobType::gang;
   const std::uint32_t allowed =
-      count_fitting(spec.resources, ceiling_left(usage.team, usage.used), entry.job.waiting);
+      count_fitting(spec.resources, remaining_ceiling(usage.team, usage.used), entry.job.waiting);
   if (allowed == 0 || (gang && allowed < entry.job.waiting)) return;
-  const bool pressed = slacks_[slot].status == DeadlineStatus::at_risk;
-  // What is overdue begins with one task, wherever it has room.
-  const bool first_only = spec.type == JobType::array && is_overdue(entry.job, now);
-  const std::uint32_t wanted = first_only ? 1 : allowed;
-  const UpcomingView upcoming = first_only ? UpcomingView{} : upcoming_places(entry, allowed);
-  const std::vector<Candidate> found = candidates(slot, wanted);
-  const PlacementChoice choice =
-      found.empty() ? PlacementChoice{} : best_choice({slot, found, upcoming, wanted});
+  const bool at_risk = slacks_[slot].status == DeadlineStatus::at_risk;
+  // An overdue array starts with one task, on any machine with room.
+  const bool first_task_only = spec.type == JobType::array && is_overdue(entry.job, now);
+  const std::uint32_t wanted = first_task_only ? 1 : allowed;
+  const FuturePlaceOptions future_places =
+      first_task_only ? FuturePlaceOptions{} : find_future_places(entry, allowed);
+  const std::vector<Candidate> found_candidates = candidates(slot, wanted);
+  const PlacementChoice choice = found_candidates.empty()
+                                     ? PlacementChoice{}
+                                     : best_choice({slot, found_candidates, future_places, wanted});
   apply_choice(choice, spec);
   plan.placements.insert(plan.placements.end(), choice.placements.begin(), choice.placements.end());
-  if (choice.tasks == 0 && first_only) reserve_places(slot, 1, kOverdueReservation);
-  if (choice.tasks == 0 && gang && pressed) reserve_places(slot, entry.job.waiting, kGangReservation);
-  // What is short counts against the ceiling too: it will be used as soon as there is room.
+  if (choice.tasks == 0 && first_task_only) reserve_places(slot, 1, kOverdueReservationHorizon);
+  if (choice.tasks == 0 && gang && at_risk) reserve_places(slot, entry.job.waiting, kGangReservationHorizon);
+  // Missing tasks count against the ceiling too, since they will use it as soon as there is room.
   usage.used += spec.resources * allowed;
   const std::uint32_t expected =
-      std::min(allowed - choice.tasks, static_cast<std::uint32_t>(upcoming.places.size()));
-  reserve_upcoming(upcoming, expected);
-  // Those with a place to come are short all the same where they are pressed: it may go to others.
-  const std::uint32_t served = pressed ? choice.tasks : choice.tasks + expected;
-  if (served < allowed) plan.shortages.push_back({slot, allowed - served, pressed ? expected : 0});
+      std::min(allowed - choice.tasks, static_cast<std::uint32_t>(future_places.places.size()));
+  reserve_future_places(future_places, expected);
+  // For a job at risk, tasks with a future place still count as a shortage, since another job may take the
+  // place.
+  const std::uint32_t served = at_risk ? choice.tasks : choice.tasks + expected;
+  if (served < allowed) plan.shortages.push_back({slot, allowed - served, at_risk ? expected : 0});
 }
 
 Plan PlacementIndex::plan(const PlanningContext& context) {
@@ -294,7 +300,7 @@
   return plan;
 }
 
-/// Undoes what the plan has entered.
+/// Discards the planned state of the machines and restores the index of free room.
 void PlacementIndex::end_plan() {
   for (const auto& [slot, state] : planned_machines_)
     index_free_room(slot, machines_[slot].machine.free.resources);
--- a/src/placement/preemption.cpp
+++ b/src/placement/preemption.cpp
@@ -13,27 +13,29 @@
 
 namespace {
 
-/// A task that ends within this time by itself is not stopped for another.
-constexpr Micros kEndsByItself = from_seconds(10);
+/// A task with less remaining run time than this is not preempted, since it will end soon.
+constexpr Micros kMinRemainingToPreempt = from_seconds(10);
 
-/// What stopping the task would lose: work that is not saved, and the time that a checkpoint takes.
+/// Returns the work lost by stopping the task: its whole age without checkpoints, else at most the time that
+/// a checkpoint takes.
 Micros work_lost(const RunningTask& task) {
   if (!task.spec->has_checkpoints()) return task.age;
   return std::min(task.age, task.spec->checkpoint_time);
 }
 
-/// Whether the task may be stopped for another. One without checkpoints is stopped only while it has more
-/// before it than behind it.
+/// Whether the task may be preempted. A task without checkpoints is preempted only if its remaining time
+/// exceeds its age.
 bool may_be_preempted(const RunningTask& task) {
-  return !task.stopping && task.remaining > kEndsByItself &&
+  return !task.stopping && task.remaining > kMinRemainingToPreempt &&
          (task.spec->has_checkpoints() || task.age < task.remaining);
 }
 
-/// In which order the tasks on a machine are stopped: the lowest priority first, and what loses least.
+/// Sort key of preemption victims on a machine: lowest priority first, then tasks with checkpoints, then the
+/// least lost work.
 struct VictimRank {
   int negative_priority = 0;
   bool lacks_checkpoints = false;
-  Micros lost{};
+  Micros work_lost{};
   std::size_t index = 0;
   // NOLINTNEXTLINE(modernize-use-nullptr): false positive on a defaulted comparison
   auto operator<=>(const VictimRank&) const = default;
@@ -43,17 +45,17 @@
   return {-static_cast<int>(task.spec->priority), !task.spec->has_checkpoints(), work_lost(task), index};
 }
 
-/// A machine where tasks can be stopped for a job.
+/// A machine where preemption can make room for a job.
 struct Candidate {
-  Micros cost;  ///< time to the image, and work lost
+  Micros cost;  ///< fetch time of the image plus lost work
   std::size_t victims = 0;
   std::size_t machine = 0;
   // NOLINTNEXTLINE(modernize-use-nullptr): false positive on a defaulted comparison
   auto operator<=>(const Candidate&) const = default;
 };
 
-/// Where the tasks of one job are, with those that are made room for.
-struct JobSpread {
+/// Distribution of one job's tasks, including those for which room has been made.
+struct JobDistribution {
   std::map<std::string, std::uint32_t> zones;
   std::optional<PlanLayout> layout;
 };
@@ -75,15 +77,15 @@
   void collect_victims();
   std::optional<std::vector<std::size_t>> victims_for(const Shortage& shortage, std::size_t machine) const;
   std::vector<Candidate> candidates(const Shortage& shortage) const;
-  bool make_room(const Shortage& shortage, std::size_t machine, JobSpread& spread);
+  bool make_room(const Shortage& shortage, std::size_t machine, JobDistribution& distribution);
   void preempt(std::size_t victim);
 
   const PreemptionView& view_;
   const std::vector<RunningTask>& running_;
-  std::vector<FreeCapacity> room_;                 ///< by machine, once all chosen tasks have stopped
-  std::vector<std::vector<std::size_t>> victims_;  ///< by machine, the first to be stopped in front
-  std::map<const JobSpec*, std::vector<std::size_t>> gangs_;  ///< the running tasks of each
-  std::vector<char> preempted_;                               ///< by running task: chosen already
+  std::vector<FreeCapacity> room_;                 ///< by machine, after all chosen tasks have stopped
+  std::vector<std::vector<std::size_t>> victims_;  ///< by machine, in preemption order
+  std::map<const JobSpec*, std::vector<std::size_t>> gangs_;  ///< running tasks of each gang
+  std::vector<char> preempted_;                               ///< by running task: 1 if already chosen
   std::vector<std::size_t> chosen_;
 };
 
@@ -101,14 +103,15 @@
     if (task.spec->type == JobType::gang) gangs_[task.spec].push_back(i);
     if (may_be_preempted(task)) victims_[task.machine].push_back(i);
   }
-  for (std::vector<std::size_t>& there : victims_) {
-    std::sort(there.begin(), there.end(), [this](std::size_t a, std::size_t b) {
-      return victim_rank(running_[a], a) < victim_rank(running_[b], b);
+  for (std::vector<std::size_t>& machine_victims : victims_) {
+    std::sort(machine_victims.begin(), machine_victims.end(), [this](std::size_t left, std::size_t right) {
+      return victim_rank(running_[left], left) < victim_rank(running_[right], right);
     });
   }
 }
 
-/// The tasks on the machine that make room for one more of the job; nothing where they cannot.
+/// Returns the tasks to preempt on the machine to make room for one more task of the job, or nothing if there
+/// is no way.
 std::optional<std::vector<std::size_t>> PreemptionPlanner::victims_for(const Shortage& shortage,
                                                                        std::size_t machine) const {
   const JobSpec& spec = *view_.jobs[shortage.job].spec;
@@ -120,7 +123,7 @@
     if (preempted_[victim] != 0 || task.spec->priority <= spec.priority) continue;
     FreeCapacity freed = free;
     freed.release(*task.spec);
-    // Not a large task for a small one.
+    // Does not preempt a large task for a much smaller gain.
     const std::uint32_t gain = count_fitting(spec, freed, shortage.tasks);
     if ((spec.resources * std::max(gain, 1U)).cores * 2 < task.spec->resources.cores) continue;
     free = std::move(freed);
@@ -130,7 +133,7 @@
   return out;
 }
 
-/// The machines where room can be made for the job, the cheapest first.
+/// Returns the machines where room can be made for the job, by ascending cost.
 std::vector<Candidate> PreemptionPlanner::candidates(const Shortage& shortage) const {
   const PlanJob& job = view_.jobs[shortage.job];
   std::vector<Candidate> out;
@@ -139,7 +142,8 @@
     if (!accepts(machine, job)) continue;
     const auto victims = victims_for(shortage, i);
     if (!victims) continue;
-    // A service may also leave room unused where its image would have to be fetched.
+    // Free room costs nothing, except for a job that requires image locality: it may skip free room where its
+    // image would have to be fetched.
     Micros cost =
         victims->empty() && !job.requires_image_locality ? Micros{0} : fetch_time(machine, *job.spec);
     for (const std::size_t victim : *victims) cost += work_lost(running_[victim]);
@@ -149,8 +153,8 @@
   return out;
 }
 
-/// Chooses the task, and with a task of a gang all of it: a gang stops as a whole, and leaves room wherever
-/// it is.
+/// Chooses the task and, if it belongs to a gang, all tasks of the gang: a gang stops as a whole and frees
+/// room on each of its machines.
 void PreemptionPlanner::preempt(std::size_t victim) {
   const auto gang = gangs_.find(running_[victim].spec);
   const std::vector<std::size_t> members =
@@ -163,28 +167,31 @@
   }
 }
 
-/// Makes room for one more task of the job on the machine, and reserves it. False where that cannot be done.
-bool PreemptionPlanner::make_room(const Shortage& shortage, std::size_t machine, JobSpread& spread) {
+/// Makes room for one more task of the job on the machine and reserves it. Returns false if that is not
+/// possible.
+bool PreemptionPlanner::make_room(const Shortage& shortage, std::size_t machine,
+                                  JobDistribution& distribution) {
   const JobSpec& spec = *view_.jobs[shortage.job].spec;
-  const PlanMachine& there = view_.machines[machine];
-  if (zone_allowance(spec, spread.zones, there.zone) == 0) return false;
-  if (spread.layout && layout_allowance(*spread.layout, there, spec.task_count, true) == 0) return false;
+  const PlanMachine& target = view_.machines[machine];
+  if (zone_allowance(spec, distribution.zones, target.zone) == 0) return false;
+  if (distribution.layout && layout_allowance(*distribution.layout, target, spec.task_count, true) == 0)
+    return false;
   const auto victims = victims_for(shortage, machine);
   if (!victims) return false;
   for (const std::size_t victim : *victims) preempt(victim);
   room_[machine].reserve(spec, 1);
-  if (spread.layout) layout_add(*spread.layout, there, 1);
-  ++spread.zones[there.zone];
+  if (distribution.layout) add_to_layout(*distribution.layout, target, 1);
+  ++distribution.zones[target.zone];
   return true;
 }
 
 void PreemptionPlanner::serve(const Shortage& shortage) {
   const PlanJob& job = view_.jobs[shortage.job];
   if (job.spec->type == JobType::gang) return;
-  JobSpread spread{job.zones, job.layout};
+  JobDistribution distribution{job.zones, job.layout};
   std::uint32_t unserved = shortage.tasks;
   for (const Candidate& candidate : candidates(shortage)) {
-    while (unserved > 0 && make_room(shortage, candidate.machine, spread)) --unserved;
+    while (unserved > 0 && make_room(shortage, candidate.machine, distribution)) --unserved;
     if (unserved == 0) break;
   }
 }
--- a/src/placement/reservation.cpp
+++ b/src/placement/reservation.cpp
@@ -1,4 +1,4 @@
-// Places that are kept for a gang that must start soon, or for the first task of an overdue job.
+// Reservation of machines for a gang that is at risk, or for the first task of an overdue job.
 
 #include <algorithm>
 
@@ -6,22 +6,22 @@
 
 namespace wrenusher::placement {
 
-/// Looks for the machines where all tasks of a job fit the soonest. Lives for one job of one plan.
+/// Finds the machines on which all tasks of a job fit at the earliest time. Lives for one job of one plan.
 class PlacementIndex::ReservationPlanner {
  public:
-  ReservationPlanner(PlacementIndex& index, Slot slot, std::uint32_t tasks, Micros within)
-      : index_(index), slot_(slot), job_(index.jobs_[slot].job), tasks_(tasks), within_(within) {}
+  ReservationPlanner(PlacementIndex& index, Slot slot, std::uint32_t tasks, Micros horizon)
+      : index_(index), slot_(slot), job_(index.jobs_[slot].job), tasks_(tasks), horizon_(horizon) {}
 
-  /// The machine of each task; empty where they do not all fit within the time.
+  /// Returns the machine of each task; empty if not all tasks fit within the horizon.
   std::vector<Slot> run();
 
  private:
-  /// Room for one task.
+  /// Room for one task, and when it is available.
   struct Fit {
     Micros available_in{};
     Slot machine = 0;
   };
-  /// Machines that the tasks may be on together.
+  /// Key of a group of machines that the tasks may share.
   struct GroupKey {
     std::string zone;
     topology::DomainId domain = 0;
@@ -32,13 +32,13 @@
   bool is_eligible(const MachineEntry& entry) const;
   GroupKey group_of(const PlanMachine& machine) const;
   void collect_fits(Slot machine, std::vector<Fit>& fits) const;
-  std::vector<Fit> soonest(std::vector<Fit>& fits) const;
+  std::vector<Fit> choose_earliest(std::vector<Fit>& fits) const;
 
   PlacementIndex& index_;
   Slot slot_;
   const PlanJob& job_;
   std::uint32_t tasks_;
-  Micros within_;
+  Micros horizon_;
 };
 
 bool PlacementIndex::ReservationPlanner::is_eligible(const MachineEntry& entry) const {
@@ -50,12 +50,12 @@
 
 PlacementIndex::ReservationPlanner::GroupKey PlacementIndex::ReservationPlanner::group_of(
     const PlanMachine& machine) const {
-  const bool together = job_.layout && job_.layout->colocation >= 0 && job_.layout->colocation_required;
+  const bool colocated = job_.layout && job_.layout->colocation >= 0 && job_.layout->colocation_required;
   return {job_.spec->single_zone ? machine.zone : "",
-          together ? machine.domain(job_.layout->colocation) : topology::DomainId{0}};
+          colocated ? machine.domain(job_.layout->colocation) : topology::DomainId{0}};
 }
 
-/// Room that is free now, and that becomes so as tasks end within the time.
+/// Collects room on the machine that is free now or becomes free as tasks end within the horizon.
 void PlacementIndex::ReservationPlanner::collect_fits(Slot machine, std::vector<Fit>& fits) const {
   struct Ending {
     Micros free_in{};
@@ -67,28 +67,29 @@
   const JobSpec& spec = *job_.spec;
   const Micros fetch = fetch_time(entry.machine, spec);
   FreeCapacity free = entry.machine.free;
-  std::uint32_t found = 0;
-  const auto add = [&](Micros free_in) {
-    // No more than there are: a task that needs nothing would fit for ever.
-    for (; found < tasks_ && count_fitting(spec, free, 1) > 0; free.reserve(spec, 1), ++found)
+  std::uint32_t count = 0;
+  const auto add_fits = [&](Micros free_in) {
+    // Limited to the number of tasks: a task that needs no resources would fit without end.
+    for (; count < tasks_ && count_fitting(spec, free, 1) > 0; free.reserve(spec, 1), ++count)
       fits.push_back({free_in + fetch, machine});
   };
-  add(Micros{0});
+  add_fits(Micros{0});
   std::vector<Ending> endings;
   for (std::size_t i = 0; i < entry.ending_tasks.size(); ++i) {
-    const Micros free_in = time_until_free(entry.ending_tasks[i], entry.machine, index_.instant_);
-    const bool reserved = index_.futures_[entry.futures[i]].reserved_in_plan == index_.plan_count_;
-    if (!reserved && free_in <= within_) endings.push_back({free_in, i});
+    const Micros free_in = time_until_free(entry.ending_tasks[i], entry.machine, index_.steady_now_);
+    const bool reserved =
+        index_.future_places_[entry.future_place_ids[i]].reserved_in_plan == index_.plan_count_;
+    if (!reserved && free_in <= horizon_) endings.push_back({free_in, i});
   }
   std::sort(endings.begin(), endings.end());
   for (const Ending& ending : endings) {
     free.resources += entry.ending_tasks[ending.index].resources;
-    add(ending.free_in);
+    add_fits(ending.free_in);
   }
 }
 
-/// The first of the fits that the layout allows together, one for each task; fewer where they do not suffice.
-std::vector<PlacementIndex::ReservationPlanner::Fit> PlacementIndex::ReservationPlanner::soonest(
+/// Returns the earliest fits that the layout allows together, one per task; fewer if there are not enough.
+std::vector<PlacementIndex::ReservationPlanner::Fit> PlacementIndex::ReservationPlanner::choose_earliest(
     std::vector<Fit>& fits) const {
   std::sort(fits.begin(), fits.end(), [this](const Fit& left, const Fit& right) {
     return left.available_in != right.available_in
@@ -101,7 +102,7 @@
     if (out.size() == tasks_) break;
     const PlanMachine& machine = index_.machines_[fit.machine].machine;
     if (layout && layout_allowance(*layout, machine, job_.spec->task_count, false) == 0) continue;
-    if (layout) layout_add(*layout, machine, 1);
+    if (layout) add_to_layout(*layout, machine, 1);
     out.push_back(fit);
   }
   return out;
@@ -117,9 +118,9 @@
   }
   std::vector<Fit> best;
   for (auto& [key, fits] : groups) {
-    std::vector<Fit> found = soonest(fits);
-    if (found.size() != tasks_) continue;
-    if (best.empty() || found.back().available_in < best.back().available_in) best = std::move(found);
+    std::vector<Fit> chosen = choose_earliest(fits);
+    if (chosen.size() != tasks_) continue;
+    if (best.empty() || chosen.back().available_in < best.back().available_in) best = std::move(chosen);
   }
   std::vector<Slot> out;
   out.reserve(best.size());
@@ -127,14 +128,15 @@
   return out;
 }
 
-/// On the machines where all these tasks fit the soonest, what is free now and what becomes free until then
-/// is not given to jobs behind this one. Without it small tasks take every place as it comes, and a gang
-/// waits for room that several of them would have to leave at once.
-void PlacementIndex::reserve_places(Slot job, std::uint32_t tasks, Micros within) {
-  for (const Slot machine : ReservationPlanner(*this, job, tasks, within).run()) {
+/// Reserves the free room and the future places of the machines on which all the tasks fit at the earliest
+/// time, so that later jobs of the plan do not get them. Otherwise small tasks would take each place as it
+/// becomes free, and a gang would wait until several of them end at the same time.
+void PlacementIndex::reserve_places(Slot job, std::uint32_t tasks, Micros horizon) {
+  for (const Slot machine : ReservationPlanner(*this, job, tasks, horizon).run()) {
     planned_state(machine).free = {};
     index_free_room(machine, {});
-    for (const std::uint32_t id : machines_[machine].futures) futures_[id].reserved_in_plan = plan_count_;
+    for (const std::uint32_t id : machines_[machine].future_place_ids)
+      future_places_[id].reserved_in_plan = plan_count_;
   }
 }
 
--- a/src/placement/service_order.cpp
+++ b/src/placement/service_order.cpp
@@ -1,4 +1,4 @@
-// In which order the waiting jobs are served, and which are shed under overload.
+// Service order of the waiting jobs, and load shedding under overload.
 
 #include <algorithm>
 #include <limits>
@@ -7,8 +7,9 @@
 
 namespace wrenusher::placement {
 
-/// Which jobs to give up on for now, so that the most jobs meet their next target: where the cores there are
-/// cannot serve all of one priority in time, the largest of those that wait. Lives for one plan.
+/// Selects the jobs to shed in this plan so that as many jobs as possible meet their next target. Where the
+/// available cores cannot serve all jobs of a priority in time, the largest waiting job is shed first. Lives
+/// for one plan.
 class PlacementIndex::OverloadShedder {
  public:
   OverloadShedder(PlacementIndex& index, const PlanningContext& context) : index_(index) {
@@ -16,7 +17,7 @@
     collect_cores(context);
   }
 
-  /// By slot of the job: 1 where it is shed.
+  /// Returns, by job slot, 1 for each job that is shed.
   std::vector<char> run();
 
  private:
@@ -25,18 +26,18 @@
     Priority priority = Priority::low;
     Micros slack{};
     Slot job = 0;
-    double seconds = 0;  ///< of all its waiting tasks, one after the other
+    double seconds = 0;  ///< total run time of its waiting tasks
     double work = 0;     ///< core seconds
   };
-  /// A job that is served so far. The largest first, and of those the earliest.
-  struct Largest {
+  /// A job that is not shed so far. Orders by largest work first, then by earliest item.
+  struct LargestFirst {
     double work = 0;
     std::size_t item = 0;
-    bool operator<(const Largest& other) const {
+    bool operator<(const LargestFirst& other) const {
       return work != other.work ? work < other.work : item > other.item;
     }
   };
-  /// Jobs that are weighed against each other.
+  /// Jobs that compete with each other when one must be shed.
   struct GroupKey {
     Priority priority = Priority::low;
     Amount cores = 0;
@@ -52,10 +53,11 @@
   double add_work(const Item& item, double sign);
 
   PlacementIndex& index_;
-  std::vector<Item> items_;                   ///< the least slack first
-  std::vector<double> cores_;                 ///< by type, those on their way included
-  std::vector<double> waiting_;               ///< core seconds by type, of the items that are served so far
-  std::vector<std::uint32_t> types_by_name_;  ///< sums of fractions come out the same whatever was seen first
+  std::vector<Item> items_;                      ///< highest priority first, then least slack
+  std::vector<double> cores_by_type_;            ///< including those of starting machines
+  std::vector<double> queued_work_;              ///< core seconds by type of the items not shed so far
+  std::vector<std::uint32_t> type_ids_by_name_;  ///< fixed order, so that floating-point sums do not depend
+                                                 ///< on the order of first use
 };
 
 void PlacementIndex::OverloadShedder::collect_items() {
@@ -83,42 +85,43 @@
 void PlacementIndex::OverloadShedder::collect_cores(const PlanningContext& context) {
   for (const auto& [machine_type, cores] : context.starting_cores) index_.type_id_of(*machine_type);
   const std::vector<TypeEntry>& types = index_.types_;
-  cores_.resize(types.size());
+  cores_by_type_.resize(types.size());
   for (std::size_t i = 0; i < types.size(); ++i) {
     Amount sum = types[i].cores;
     for (const auto& [machine_type, cores] : context.starting_cores)
       sum += machine_type->name == types[i].machine_type->name ? cores : 0;
-    cores_[i] = from_amount(sum);
+    cores_by_type_[i] = from_amount(sum);
   }
-  waiting_.resize(types.size(), 0);
-  for (const auto& [name, id] : index_.type_ids_) types_by_name_.push_back(id);
+  queued_work_.resize(types.size(), 0);
+  for (const auto& [name, id] : index_.type_ids_) type_ids_by_name_.push_back(id);
 }
 
-/// Adds (`sign` 1) or takes off (-1) the item's work, spread evenly over the types that serve it. Returns the
-/// seconds until all work ahead on those is done; 0 where none serves it.
+/// Adds (`sign` 1) or subtracts (`sign` -1) the item's work, distributed over the types that can run it in
+/// proportion to their cores. Returns the seconds needed for all work queued on these types; 0 if no type
+/// with cores can run it.
 double PlacementIndex::OverloadShedder::add_work(const Item& item, double sign) {
   const JobEntry& entry = index_.jobs_[item.job];
   ConstraintClass& constraints = index_.constraint_classes_[entry.constraint_class];
   index_.update_fitting_types(constraints, entry.job);
   double cores = 0;
-  for (const std::uint32_t type : types_by_name_)
-    cores += constraints.fitting_types[type] != 0 ? cores_[type] : 0;
+  for (const std::uint32_t type : type_ids_by_name_)
+    cores += constraints.fitting_types[type] != 0 ? cores_by_type_[type] : 0;
   if (cores <= 0) return 0.0;
-  double ahead = 0;
-  for (const std::uint32_t type : types_by_name_) {
+  double queued = 0;
+  for (const std::uint32_t type : type_ids_by_name_) {
     if (constraints.fitting_types[type] == 0) continue;
     const double work = item.seconds * from_amount(constraints.core_equivalents[type]);
-    waiting_[type] += sign * work * cores_[type] / cores;
-    ahead += waiting_[type];
+    queued_work_[type] += sign * work * cores_by_type_[type] / cores;
+    queued += queued_work_[type];
   }
-  return ahead / cores;
+  return queued / cores;
 }
 
-/// The rule of Moore and Hodgson: serve the jobs by their slack; where one comes too late, leave out the
-/// largest so far.
+/// Applies the Moore-Hodgson rule: takes the jobs by ascending slack and, when one would miss its target,
+/// sheds the largest job taken so far.
 std::vector<char> PlacementIndex::OverloadShedder::run() {
   std::vector<char> shed_jobs(index_.jobs_.size(), 0);
-  std::map<GroupKey, std::priority_queue<Largest>> groups;
+  std::map<GroupKey, std::priority_queue<LargestFirst>> groups;
   std::vector<char> shed_items(items_.size(), 0);
   for (std::size_t i = 0; i < items_.size(); ++i) {
     const Item& item = items_[i];
@@ -136,7 +139,7 @@
 }
 
 void PlacementIndex::rank_jobs(const PlanningContext& context) {
-  for (const Slot slot : live_jobs_) slacks_[slot] = slack(jobs_[slot].aims, context.now);
+  for (const Slot slot : live_jobs_) slacks_[slot] = slack(jobs_[slot].start_deadlines, context.now);
   const std::vector<char> shed = OverloadShedder(*this, context).run();
   for (const Slot slot : live_jobs_) {
     service_keys_[slot] = service_key(slot, shed[slot] != 0, context.now);
@@ -162,7 +165,7 @@
   Priority priority = spec.priority;
   bool beyond_guarantee = !job.guaranteed;
   if (is_overdue(job, now)) {
-    // Among themselves the longest wait first.
+    // Overdue jobs are ordered by longest wait first.
     slack = {DeadlineStatus::at_risk, job.accepted_at - now, {}};
     beyond_guarantee = false;
     if (spec.type == JobType::array) priority = std::min(priority, Priority::high);
@@ -177,7 +180,7 @@
                ? service_keys_[left] < service_keys_[right]
                : jobs_[left].job.spec->job_id < jobs_[right].job.spec->job_id;
   };
-  // It is that of the last plan, which is mostly still in order.
+  // The vector keeps the order of the last plan, which is usually still sorted.
   if (!std::is_sorted(service_order_.begin(), service_order_.end(), before))
     std::sort(service_order_.begin(), service_order_.end(), before);
 }
--- a/src/time/include/wrenusher/time/time.hpp
+++ b/src/time/include/wrenusher/time/time.hpp
@@ -1,5 +1,6 @@
 #pragma once
-// Times are whole microseconds everywhere in the code; seconds and milliseconds exist on the wire only.
+// Package time: durations and clock types. The code uses whole microseconds throughout; seconds and
+// milliseconds occur only on the wire.
 
 #include <chrono>
 #include <cstdint>
@@ -8,7 +9,7 @@
 
 using Micros = std::chrono::duration<std::int64_t, std::micro>;
 
-/// Tag of the steady clock: never goes back, may drift a little against other machines.
+/// Tag of the steady clock, which never goes back and may drift slightly relative to other machines.
 struct SteadyClock {
   using duration = Micros;
   using rep = Micros::rep;
@@ -18,7 +19,7 @@
 };
 using Instant = SteadyClock::time_point;
 
-/// Tag of the time of day, which agrees between machines within the bound of the settings.
+/// Tag of the wall clock, which agrees between machines within the bound given in the settings.
 struct WallClock {
   using duration = Micros;
   using rep = Micros::rep;
--- a/tests/placement_oracle.hpp
+++ b/tests/placement_oracle.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// The planner that looks at everything: what Board must agree with, ties included. Slow on purpose, and
-// written without Board's indexes, memories and orders.
+// Exhaustive planner used as a test oracle. PlacementIndex must produce the same plans, ties included. It is
+// slow on purpose and uses none of PlacementIndex's indexes, caches or stored orders.
 
 #include "wrenusher/placement/placement_index.hpp"
 
@@ -13,34 +13,34 @@
 using namespace wrenusher::protocol;
 using namespace wrenusher::placement;
 
-struct Here {
-  PlanMachine host;
-  std::vector<EndingTask> leaving;
+struct MachineInput {
+  PlanMachine machine;
+  std::vector<EndingTask> ending_tasks;
   bool open = true;
 };
 
-/// All that a plan is made from. Machines are in the order of their names.
-struct Burst {
+/// Complete input of a plan. Machines are sorted by name.
+struct PlanningInput {
   WallTime now{};
-  Instant clock{};
+  Instant steady_now{};
   std::vector<PlanJob> jobs;
-  std::vector<Here> here;
-  std::map<std::string, Resources> teams;
-  std::vector<std::pair<const MachineType*, Amount>> coming;
+  std::vector<MachineInput> machines;
+  std::map<std::string, Resources> team_usage;
+  std::vector<std::pair<const MachineType*, Amount>> starting_cores;
   const Settings* settings = nullptr;
 };
 
-/// Which jobs to give up on, and in which order to serve; indices of jobs.
-std::vector<bool> overload(const Burst& s);
-std::vector<std::size_t> order(const Burst& s);
-/// Placements and shortages by the indices of jobs and machines.
-Plan place(const Burst& s);
-
-/// The same by a new Board.
-std::vector<std::size_t> board_order(const Burst& s);
-Plan board_place(const Burst& s);
-/// What `preempt` looks at.
-PreemptionView snapshot(const Burst& s);
-PlanningContext moment(const Burst& s);
+/// Return which jobs to shed, by job index, and the job indices in service order.
+std::vector<bool> shed_jobs(const PlanningInput& input);
+std::vector<std::size_t> service_order(const PlanningInput& input);
+/// Returns the plan; placements and shortages use indices of jobs and machines.
+Plan plan(const PlanningInput& input);
+
+/// Return the results of a newly built PlacementIndex.
+std::vector<std::size_t> index_service_order(const PlanningInput& input);
+Plan index_plan(const PlanningInput& input);
+/// Convert the input for `choose_preemptions` and `PlacementIndex`.
+PreemptionView preemption_view(const PlanningInput& input);
+PlanningContext planning_context(const PlanningInput& input);
 
 }  // namespace oracle
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -1,4 +1,5 @@
-// Rank, order and place, and that the board plans as looking at everything does.
+// Tests of ranking, service order, placement and preemption, and of PlacementIndex against the exhaustive
+// planner.
 
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
@@ -13,12 +14,12 @@
 using namespace wrenusher::settings;
 using namespace wrenusher::protocol;
 using namespace wrenusher::placement;
-using oracle::Burst;
+using oracle::PlanningInput;
 
 namespace {
 
-/// A small deployment to plan in: two types in two zones and a few teams.
-struct World {
+/// A small cluster for planning tests: two machine types in two zones, and two teams.
+struct Scenario {
   Settings settings;
   MachineType small{"small",   {to_amount(16), 0, to_amount(64)}, 30, 0.5, 1, 0.3, from_seconds(20),
                     {"a", "b"}};
@@ -26,50 +27,51 @@
                     {"a"}};
   std::vector<std::unique_ptr<JobSpec>> specs;
   std::map<std::string, std::uint64_t> cached{{"hot", 1}};
-  Burst s;
+  PlanningInput input;
 
-  World() {
+  Scenario() {
     settings.teams = {{"red", 32, 64, 0, 0}, {"blue", 0, 0, 0, 0}};
-    s.settings = &settings;
+    input.settings = &settings;
   }
-  JobSpec& job(const std::string& owner, std::uint32_t units, double cores, double estimate) {
+  JobSpec& add_job(const std::string& team, std::uint32_t task_count, double cores, double estimate_s) {
     auto spec = std::make_unique<JobSpec>();
     spec->job_id = "req-" + std::to_string(100 + specs.size());
-    spec->team = owner;
-    spec->task_count = units;
+    spec->team = team;
+    spec->task_count = task_count;
     spec->resources = {to_amount(cores), 0, to_amount(1)};
     spec->image = "cold";
     spec->image_gb = 5;
     spec->spot_allowed = true;
     specs.push_back(std::move(spec));
-    PlanJob j;
-    j.spec = specs.back().get();
-    j.waiting = units;
-    j.estimate = from_seconds(estimate);
-    s.jobs.push_back(j);
+    PlanJob job;
+    job.spec = specs.back().get();
+    job.waiting = task_count;
+    job.estimate = from_seconds(estimate_s);
+    input.jobs.push_back(job);
     return *specs.back();
   }
-  PlanMachine& host(const MachineType& f, const std::string& site) {
-    PlanMachine h;
-    h.name = "m-" + std::to_string(100 + s.here.size());
-    h.zone = site;
-    h.machine_type = &f;
-    h.spot = true;
-    h.free.resources = f.capacity;
-    s.here.push_back({h, {}, true});
-    return s.here.back().host;
+  PlanMachine& add_machine(const MachineType& machine_type, const std::string& zone) {
+    PlanMachine machine;
+    machine.name = "m-" + std::to_string(100 + input.machines.size());
+    machine.zone = zone;
+    machine.machine_type = &machine_type;
+    machine.spot = true;
+    machine.free.resources = machine_type.capacity;
+    input.machines.push_back({machine, {}, true});
+    return input.machines.back().machine;
   }
-  /// One that has no room until places on it come free.
-  oracle::Here& busy(const MachineType& f, const std::string& site, std::vector<EndingTask> leaving) {
-    host(f, site).free.resources = {};
-    s.here.back().leaving = std::move(leaving);
-    s.here.back().open = false;
-    return s.here.back();
+  /// Adds a machine that has no room until its tasks end.
+  oracle::MachineInput& add_busy_machine(const MachineType& machine_type, const std::string& zone,
+                                         std::vector<EndingTask> ending_tasks) {
+    add_machine(machine_type, zone).free.resources = {};
+    input.machines.back().ending_tasks = std::move(ending_tasks);
+    input.machines.back().open = false;
+    return input.machines.back();
   }
 };
 
-Plan planned(const Burst& s) {
-  return oracle::board_place(s);
+Plan make_plan(const PlanningInput& input) {
+  return oracle::index_plan(input);
 }
 /// An unfinished job.
 struct TeamJob {
@@ -77,419 +79,445 @@
   std::uint32_t unfinished = 0;
   WallTime accepted{};
 };
-/// Which fit into their team's guarantee, told in the order of their acceptance.
-std::vector<bool> guaranteed(const std::vector<TeamJob>& jobs, const Settings& settings) {
-  std::map<WallTime, std::size_t> by_age;
-  for (std::size_t i = 0; i < jobs.size(); ++i) by_age[jobs[i].accepted] = i;
+/// Returns which jobs fit into their team's guarantee; passes them in the order of their acceptance.
+std::vector<bool> fit_guarantee(const std::vector<TeamJob>& jobs, const Settings& settings) {
+  std::map<WallTime, std::size_t> by_acceptance;
+  for (std::size_t i = 0; i < jobs.size(); ++i) by_acceptance[jobs[i].accepted] = i;
   std::vector<bool> out(jobs.size());
-  GuaranteeTracker g(settings);
-  for (const auto& [at, i] : by_age) out[i] = g.fits(*jobs[i].spec, jobs[i].unfinished);
+  GuaranteeTracker guarantees(settings);
+  for (const auto& [accepted, i] : by_acceptance) out[i] = guarantees.fits(*jobs[i].spec, jobs[i].unfinished);
   return out;
 }
 
-std::vector<std::size_t> served(const Burst& s) {
-  return oracle::board_order(s);
+std::vector<std::size_t> planned_order(const PlanningInput& input) {
+  return oracle::index_service_order(input);
 }
 
 }  // namespace
 
-TEST(Planner, ServesByUrgencyThenGuaranteeThenFallingRank) {
-  World w;
-  w.job("blue", 1, 1, 500);                          // 0: beyond any guarantee
-  w.job("red", 1, 1, 10);                            // 1: within the guarantee
-  w.job("red", 1, 1, 90);                            // 2: likewise, higher rank
-  w.job("blue", 1, 1, 1).priority = Priority::high;  // 3: urgent
-  w.s.jobs[1].guaranteed = w.s.jobs[2].guaranteed = true;
-  EXPECT_EQ(served(w.s), (std::vector<std::size_t>{3, 2, 1, 0}));
+TEST(PlacementIndexTest, ServesByPriorityThenGuaranteeThenDescendingRank) {
+  Scenario scenario;
+  scenario.add_job("blue", 1, 1, 500);                          // 0: outside any guarantee
+  scenario.add_job("red", 1, 1, 10);                            // 1: within the guarantee
+  scenario.add_job("red", 1, 1, 90);                            // 2: within the guarantee, higher rank
+  scenario.add_job("blue", 1, 1, 1).priority = Priority::high;  // 3: high priority
+  scenario.input.jobs[1].guaranteed = scenario.input.jobs[2].guaranteed = true;
+  EXPECT_EQ(planned_order(scenario.input), (std::vector<std::size_t>{3, 2, 1, 0}));
 }
 
-TEST(Planner, AGuaranteeHoldsForJobsThatFitAsAWholeWithTheTeamsEarlierOnes) {
-  // Red has 32 cores. A job too large for them once took them all, bit by bit, ahead of other teams' pressed
-  // jobs.
-  World w;
-  JobSpec& first = w.job("red", 4, 4, 60);   // 16 cores
-  JobSpec& large = w.job("red", 40, 4, 60);  // 160 cores
-  JobSpec& second = w.job("red", 4, 4, 60);  // would fit beside the first, but the large one came before it
-  JobSpec& other = w.job("blue", 1, 1, 60);  // no guarantee
-  const auto at = [](int s) { return WallTime{from_seconds(s)}; };
-  EXPECT_EQ(guaranteed({{&first, 4, at(1)}, {&large, 40, at(2)}, {&second, 4, at(3)}, {&other, 1, at(0)}},
-                       *w.s.settings),
+TEST(GuaranteeTrackerTest, CoversOnlyJobsThatFitWhollyWithEarlierJobsOfTheTeam) {
+  // Team red has a guarantee of 32 cores. Guards against a job larger than the guarantee taking all of it
+  // task by task, ahead of other teams' jobs at risk.
+  Scenario scenario;
+  JobSpec& first = scenario.add_job("red", 4, 4, 60);   // 16 cores
+  JobSpec& large = scenario.add_job("red", 40, 4, 60);  // 160 cores
+  JobSpec& second =
+      scenario.add_job("red", 4, 4, 60);  // would fit beside `first`, but `large` was accepted earlier
+  JobSpec& other = scenario.add_job("blue", 1, 1, 60);  // no guarantee
+  const auto at = [](int seconds) { return WallTime{from_seconds(seconds)}; };
+  EXPECT_EQ(fit_guarantee({{&first, 4, at(1)}, {&large, 40, at(2)}, {&second, 4, at(3)}, {&other, 1, at(0)}},
+                          *scenario.input.settings),
             (std::vector<bool>{true, false, false, false}));
-  EXPECT_EQ(guaranteed({{&second, 4, at(3)}, {&first, 4, at(1)}}, *w.s.settings),
+  EXPECT_EQ(fit_guarantee({{&second, 4, at(3)}, {&first, 4, at(1)}}, *scenario.input.settings),
             (std::vector<bool>{true, true}));
 }
 
-TEST(Planner, TakesTheLeastFinishWithFetchIncluded) {
-  World w;
-  w.job("blue", 1, 4, 60).image = "hot";
-  w.host(w.small, "a");
-  w.host(w.small, "a").images = &w.cached;
-  const Plan p = planned(w.s);
-  ASSERT_EQ(p.placements.size(), 1U);
-  EXPECT_EQ(p.placements[0].machine, 1U);
+TEST(PlacementIndexTest, PrefersEarliestFinishIncludingFetch) {
+  Scenario scenario;
+  scenario.add_job("blue", 1, 4, 60).image = "hot";
+  scenario.add_machine(scenario.small, "a");
+  scenario.add_machine(scenario.small, "a").images = &scenario.cached;
+  const Plan plan = make_plan(scenario.input);
+  ASSERT_EQ(plan.placements.size(), 1U);
+  EXPECT_EQ(plan.placements[0].machine, 1U);
 }
 
-TEST(Planner, WaitsWhereThereIsNoRoomAndSaysSo) {
-  World w;
-  w.job("blue", 6, 4, 60);
-  w.host(w.small, "a");
-  const Plan p = planned(w.s);
-  ASSERT_EQ(p.shortages.size(), 1U);
-  EXPECT_EQ(p.shortages[0].tasks, 2U);
+TEST(PlacementIndexTest, ReportsShortageForTasksWithoutRoom) {
+  Scenario scenario;
+  scenario.add_job("blue", 6, 4, 60);
+  scenario.add_machine(scenario.small, "a");
+  const Plan plan = make_plan(scenario.input);
+  ASSERT_EQ(plan.shortages.size(), 1U);
+  EXPECT_EQ(plan.shortages[0].tasks, 2U);
 }
 
-TEST(Planner, CountsNoShortageBeyondTheTeamsCeiling) {
-  World w;
-  w.job("red", 40, 4, 60);  // 64 cores allow 16 tasks
-  w.host(w.small, "a");
-  const Plan p = planned(w.s);
-  ASSERT_EQ(p.shortages.size(), 1U);
-  EXPECT_EQ(p.shortages[0].tasks, 12U);
+TEST(PlacementIndexTest, LimitsShortageToTeamCeiling) {
+  Scenario scenario;
+  scenario.add_job("red", 40, 4, 60);  // the ceiling of 64 cores allows 16 tasks
+  scenario.add_machine(scenario.small, "a");
+  const Plan plan = make_plan(scenario.input);
+  ASSERT_EQ(plan.shortages.size(), 1U);
+  EXPECT_EQ(plan.shortages[0].tasks, 12U);
 }
 
-TEST(Planner, PlacesAGangWholeOrNotAtAll) {
-  World w;
-  w.job("blue", 5, 8, 60).type = JobType::gang;
-  w.host(w.small, "a");
-  w.host(w.small, "b");
-  EXPECT_TRUE(planned(w.s).placements.empty());
-  w.host(w.small, "b");
-  std::uint32_t n = 0;
-  for (const Placement& p : planned(w.s).placements) n += p.tasks;
-  EXPECT_EQ(n, 5U);
+TEST(PlacementIndexTest, PlacesGangOnlyAsAWhole) {
+  Scenario scenario;
+  scenario.add_job("blue", 5, 8, 60).type = JobType::gang;
+  scenario.add_machine(scenario.small, "a");
+  scenario.add_machine(scenario.small, "b");
+  EXPECT_TRUE(make_plan(scenario.input).placements.empty());
+  scenario.add_machine(scenario.small, "b");
+  std::uint32_t tasks = 0;
+  for (const Placement& placement : make_plan(scenario.input).placements) tasks += placement.tasks;
+  EXPECT_EQ(tasks, 5U);
 }
 
-TEST(Planner, NeverBreaksARulePlacingAnything) {
+TEST(PlacementIndexTest, RandomPlansSatisfyAllConstraints) {
   EXPECT_TRUE(rc::check([] {
-    World w;
+    Scenario scenario;
     const int jobs = *rc::gen::inRange(1, 8);
     for (int i = 0; i < jobs; ++i) {
-      JobSpec& j = w.job(*rc::gen::element<std::string>("red", "blue"), *rc::gen::inRange(1U, 12U),
-                         *rc::gen::element(1.0, 4.0, 16.0, 33.3), 30);
-      j.type = *rc::gen::element(JobType::array, JobType::gang, JobType::service);
-      j.single_zone = *rc::gen::arbitrary<bool>();
-      j.spread_zones = !j.single_zone && *rc::gen::arbitrary<bool>();
-      j.spot_allowed = *rc::gen::arbitrary<bool>();
-      if (*rc::gen::arbitrary<bool>()) j.machine_types = {"small"};
-      if (*rc::gen::arbitrary<bool>()) j.zone = "b";
+      JobSpec& job =
+          scenario.add_job(*rc::gen::element<std::string>("red", "blue"), *rc::gen::inRange(1U, 12U),
+                           *rc::gen::element(1.0, 4.0, 16.0, 33.3), 30);
+      job.type = *rc::gen::element(JobType::array, JobType::gang, JobType::service);
+      job.single_zone = *rc::gen::arbitrary<bool>();
+      job.spread_zones = !job.single_zone && *rc::gen::arbitrary<bool>();
+      job.spot_allowed = *rc::gen::arbitrary<bool>();
+      if (*rc::gen::arbitrary<bool>()) job.machine_types = {"small"};
+      if (*rc::gen::arbitrary<bool>()) job.zone = "b";
     }
-    const int hosts = *rc::gen::inRange(0, 6);
-    for (int i = 0; i < hosts; ++i) {
-      PlanMachine& h =
-          w.host(*rc::gen::arbitrary<bool>() ? w.small : w.large, *rc::gen::element<std::string>("a", "b"));
-      h.spot = *rc::gen::arbitrary<bool>();
+    const int machines = *rc::gen::inRange(0, 6);
+    for (int i = 0; i < machines; ++i) {
+      PlanMachine& machine =
+          scenario.add_machine(*rc::gen::arbitrary<bool>() ? scenario.small : scenario.large,
+                               *rc::gen::element<std::string>("a", "b"));
+      machine.spot = *rc::gen::arbitrary<bool>();
     }
-    w.s.teams["red"].cores = to_amount(*rc::gen::element(0.0, 40.0, 64.0));
-    const Plan p = planned(w.s);
-    std::vector<Resources> used(w.s.here.size());
-    std::map<std::size_t, std::map<std::string, std::uint32_t>> zones;
-    std::map<std::size_t, std::uint32_t> placed;
-    Resources red = w.s.teams["red"];
-    for (const Placement& x : p.placements) {
-      const JobSpec& spec = *w.s.jobs[x.job].spec;
-      const PlanMachine& h = w.s.here[x.machine].host;
-      RC_ASSERT(spec.allows(h.machine_type->name, h.zone, h.spot));
-      used[x.machine] += spec.resources * x.tasks;
-      zones[x.job][h.zone] += x.tasks;
-      placed[x.job] += x.tasks;
-      if (spec.team == "red") red += spec.resources * x.tasks;
+    scenario.input.team_usage["red"].cores = to_amount(*rc::gen::element(0.0, 40.0, 64.0));
+    const Plan plan = make_plan(scenario.input);
+    std::vector<Resources> reserved_by_machine(scenario.input.machines.size());
+    std::map<std::size_t, std::map<std::string, std::uint32_t>> tasks_by_zone;
+    std::map<std::size_t, std::uint32_t> placed_by_job;
+    Resources red_usage = scenario.input.team_usage["red"];
+    for (const Placement& placement : plan.placements) {
+      const JobSpec& spec = *scenario.input.jobs[placement.job].spec;
+      const PlanMachine& machine = scenario.input.machines[placement.machine].machine;
+      RC_ASSERT(spec.allows(machine.machine_type->name, machine.zone, machine.spot));
+      reserved_by_machine[placement.machine] += spec.resources * placement.tasks;
+      tasks_by_zone[placement.job][machine.zone] += placement.tasks;
+      placed_by_job[placement.job] += placement.tasks;
+      if (spec.team == "red") red_usage += spec.resources * placement.tasks;
     }
-    RC_ASSERT(red.cores <= to_amount(64));
-    for (std::size_t h = 0; h < used.size(); ++h) RC_ASSERT(used[h].fits(w.s.here[h].host.free.resources));
-    for (const auto& [j, by_zone] : zones) {
-      const JobSpec& spec = *w.s.jobs[j].spec;
+    RC_ASSERT(red_usage.cores <= to_amount(64));
+    for (std::size_t machine = 0; machine < reserved_by_machine.size(); ++machine)
+      RC_ASSERT(reserved_by_machine[machine].fits(scenario.input.machines[machine].machine.free.resources));
+    for (const auto& [job, by_zone] : tasks_by_zone) {
+      const JobSpec& spec = *scenario.input.jobs[job].spec;
       RC_ASSERT(!spec.single_zone || by_zone.size() == 1U);
-      for (const auto& [z, n] : by_zone) {
-        RC_ASSERT(!spec.spread_zones || n <= (spec.task_count + 1) / 2);
+      for (const auto& [zone, tasks] : by_zone) {
+        RC_ASSERT(!spec.spread_zones || tasks <= (spec.task_count + 1) / 2);
       }
-      RC_ASSERT(spec.type != JobType::gang || placed[j] == spec.task_count);
-      RC_ASSERT(placed[j] <= spec.task_count);
+      RC_ASSERT(spec.type != JobType::gang || placed_by_job[job] == spec.task_count);
+      RC_ASSERT(placed_by_job[job] <= spec.task_count);
     }
   }));
 }
 
-TEST(Planner, ServesWhatIsPressedFirstAndWhatIsHopelessLast) {
-  // Falling rank alone starves short jobs, whose due times are the nearest, while machines are scarce.
-  World w;
-  w.s.now = WallTime{from_seconds(1000)};
-  const auto due = [&](double estimate, double left) {
-    JobSpec& j = w.job("blue", 1, 1, estimate);
-    j.deadline = from_seconds(100);
-    w.s.jobs.back().accepted_at = w.s.now + from_seconds(left + estimate - 100);
+TEST(PlacementIndexTest, ServesJobsAtRiskFirstAndMissedJobsLast) {
+  // Descending rank alone would starve short jobs, which have the earliest deadlines, while machines are
+  // scarce.
+  Scenario scenario;
+  scenario.input.now = WallTime{from_seconds(1000)};
+  const auto add_job_due = [&](double estimate_s, double slack_s) {
+    JobSpec& job = scenario.add_job("blue", 1, 1, estimate_s);
+    job.deadline = from_seconds(100);
+    scenario.input.jobs.back().accepted_at = scenario.input.now + from_seconds(slack_s + estimate_s - 100);
   };
-  due(60, 200);  // 0: has time
-  due(20, 30);   // 1: pressed
-  due(20, 10);   // 2: more so
-  due(20, -50);  // 3: cannot be done in time any more
-  due(90, 200);  // 4: has time, higher rank
-  EXPECT_EQ(served(w.s), (std::vector<std::size_t>{2, 1, 4, 0, 3}));
+  add_job_due(60, 200);  // 0: has time
+  add_job_due(20, 30);   // 1: at risk
+  add_job_due(20, 10);   // 2: at risk, less slack
+  add_job_due(20, -50);  // 3: target missed
+  add_job_due(90, 200);  // 4: has time, higher rank
+  EXPECT_EQ(planned_order(scenario.input), (std::vector<std::size_t>{2, 1, 4, 0, 3}));
 }
 
-TEST(Planner, UnderOverloadTheLargestJobWaitsSoThatMostAreInTime) {
-  // Served by due time alone, a job too many makes every one behind it late.
-  World w;
-  w.s.now = WallTime{from_seconds(1000)};
-  w.s.coming = {{&w.small, to_amount(16)}};
+TEST(PlacementIndexTest, ShedsLargestJobUnderOverload) {
+  // With service by deadline alone, one job too many would make all later jobs miss their deadlines.
+  Scenario scenario;
+  scenario.input.now = WallTime{from_seconds(1000)};
+  scenario.input.starting_cores = {{&scenario.small, to_amount(16)}};
   for (const std::uint32_t tasks : {20U, 400U, 30U}) {
-    w.job("blue", tasks, 1, 10).deadline = from_seconds(60);
-    w.s.jobs.back().accepted_at = w.s.now;
+    scenario.add_job("blue", tasks, 1, 10).deadline = from_seconds(60);
+    scenario.input.jobs.back().accepted_at = scenario.input.now;
   }
-  EXPECT_EQ(served(w.s).back(), 1U);
-  w.s.coming = {{&w.small, to_amount(160)}};
-  EXPECT_NE(served(w.s).back(), 1U);
+  EXPECT_EQ(planned_order(scenario.input).back(), 1U);
+  scenario.input.starting_cores = {{&scenario.small, to_amount(160)}};
+  EXPECT_NE(planned_order(scenario.input).back(), 1U);
 }
 
-// Nothing bounded for how long a large job was put off while smaller ones came: on drawn days none of a
-// class's largest jobs began within four minutes.
-TEST(Planner, ALargeJobThatHasWaitedForMinutesIsNotPutOffForThoseThatHaveJustCome) {
-  World w;
-  w.s.now = WallTime{from_seconds(1000)};
-  w.s.coming = {{&w.small, to_amount(16)}};
+// Guards against starvation of large jobs. Without a bound on the time that a large job is shed while smaller
+// ones arrive, none of a class's largest jobs started within four minutes in randomly generated workloads.
+TEST(PlacementIndexTest, ServesOverdueLargeJobBeforeNewJobs) {
+  Scenario scenario;
+  scenario.input.now = WallTime{from_seconds(1000)};
+  scenario.input.starting_cores = {{&scenario.small, to_amount(16)}};
   for (const std::uint32_t tasks : {20U, 400U, 30U}) {
-    // All have the same time to spare, but the large one has waited for 200 s already.
-    const double waited = tasks == 400 ? 200 : 0;
-    w.job("blue", tasks, 1, 10).deadline = from_seconds(60 + waited);
-    w.s.jobs.back().accepted_at = w.s.now - from_seconds(waited);
+    // All jobs have the same slack, but the large one has already waited for 200 s.
+    const double waited_s = tasks == 400 ? 200 : 0;
+    scenario.add_job("blue", tasks, 1, 10).deadline = from_seconds(60 + waited_s);
+    scenario.input.jobs.back().accepted_at = scenario.input.now - from_seconds(waited_s);
   }
-  EXPECT_EQ(served(w.s).front(), 1U);
+  EXPECT_EQ(planned_order(scenario.input).front(), 1U);
 }
 
-TEST(Planner, AJobThatHasNotBegunIsPutOffForMinutesAndNoLonger) {
-  World w;
-  w.s.now = WallTime{from_seconds(1000)};
-  const auto waits = [&](const char* team, double since, bool begun) -> JobSpec& {
-    JobSpec& j = w.job(team, 1, 1, 50);
-    w.s.jobs.back().accepted_at = w.s.now - from_seconds(since);
-    w.s.jobs.back().has_started = begun;
-    return j;
+TEST(PlacementIndexTest, ServesOverdueJobsBeforeOthersOfTheirPriority) {
+  Scenario scenario;
+  scenario.input.now = WallTime{from_seconds(1000)};
+  const auto add_waiting_job = [&](const char* team, double waited_s, bool has_started) -> JobSpec& {
+    JobSpec& job = scenario.add_job(team, 1, 1, 50);
+    scenario.input.jobs.back().accepted_at = scenario.input.now - from_seconds(waited_s);
+    scenario.input.jobs.back().has_started = has_started;
+    return job;
   };
-  waits("blue", 140, false);  // 0: has a while yet
-  waits("red", 10, false);    // 1: within its guarantee
-  w.s.jobs.back().guaranteed = true;
-  waits("blue", 160, false).deadline = from_seconds(5);  // 2: overdue, and hopeless by its own due time
-  waits("blue", 160, true).deadline = from_seconds(5);   // 3: hopeless too, but it has begun
-  waits("blue", 170, false);                             // 4: overdue for longer
-  waits("blue", 1, false).priority = Priority::high;     // 5: urgent
-  waits("blue", 1, false).priority = Priority::prod;     // 6: most urgent
-  waits("blue", 160, false).type =
-      JobType::service;  // 7: overdue, but what starts as a whole keeps its urgency
-  EXPECT_EQ(served(w.s), (std::vector<std::size_t>{6, 4, 2, 5, 7, 1, 0, 3}));
+  add_waiting_job("blue", 140, false);  // 0: not overdue yet
+  add_waiting_job("red", 10, false);    // 1: within its guarantee
+  scenario.input.jobs.back().guaranteed = true;
+  add_waiting_job("blue", 160, false).deadline = from_seconds(5);  // 2: overdue, own deadline missed
+  add_waiting_job("blue", 160, true).deadline = from_seconds(5);   // 3: deadline missed, but already started
+  add_waiting_job("blue", 170, false);                             // 4: overdue for longer
+  add_waiting_job("blue", 1, false).priority = Priority::high;     // 5: high priority
+  add_waiting_job("blue", 1, false).priority = Priority::prod;     // 6: highest priority
+  add_waiting_job("blue", 160, false).type =
+      JobType::service;  // 7: overdue, but only arrays are raised in priority
+  EXPECT_EQ(planned_order(scenario.input), (std::vector<std::size_t>{6, 4, 2, 5, 7, 1, 0, 3}));
 }
 
-// Large tasks starved while small, more urgent ones took every place as it came.
-TEST(Planner, WhatIsOverdueBeginsWithOneTaskForWhichAPlaceIsKept) {
-  World w;
-  w.s.now = WallTime{from_seconds(1000)};
-  JobSpec& large = w.job("blue", 3, 16, 30);
-  w.s.jobs.back().accepted_at = w.s.now - from_seconds(160);
-  const auto tasks_of = [&](std::size_t job) {
-    std::uint32_t n = 0;
-    for (const Placement& p : planned(w.s).placements) n += p.job == job ? p.tasks : 0;
-    return n;
+// Guards against starvation of large tasks by small tasks of higher priority that take each place as it
+// becomes free.
+TEST(PlacementIndexTest, StartsOverdueArrayWithOneReservedTask) {
+  Scenario scenario;
+  scenario.input.now = WallTime{from_seconds(1000)};
+  JobSpec& large = scenario.add_job("blue", 3, 16, 30);
+  scenario.input.jobs.back().accepted_at = scenario.input.now - from_seconds(160);
+  const auto planned_tasks = [&](std::size_t job) {
+    std::uint32_t tasks = 0;
+    for (const Placement& placement : make_plan(scenario.input).placements)
+      tasks += placement.job == job ? placement.tasks : 0;
+    return tasks;
   };
-  w.job("blue", 40, 4, 30).priority = Priority::high;
-  w.s.jobs.back().accepted_at = w.s.now;
-  // Half of the machine is free, and the rest will be within the minute: nothing else is put there.
-  w.host(w.small, "a").free.resources.cores = to_amount(8);
-  w.s.here.back().leaving = {{{to_amount(8), 0, to_amount(8)}, std::nullopt, from_seconds(45), nullptr}};
-  EXPECT_EQ(tasks_of(0), 0U);
-  EXPECT_EQ(tasks_of(1), 0U);
-  w.s.jobs[0].has_started = true;
-  EXPECT_EQ(tasks_of(1), 2U);
-  w.s.jobs[0].has_started = false;
-  // Where there is room it takes one place, and leaves the others to those who go first otherwise.
-  w.host(w.small, "b");
-  w.host(w.small, "b");
-  EXPECT_EQ(tasks_of(0), 1U);
-  EXPECT_EQ(tasks_of(1), 6U);
+  scenario.add_job("blue", 40, 4, 30).priority = Priority::high;
+  scenario.input.jobs.back().accepted_at = scenario.input.now;
+  // Half of the machine is free now and the rest within a minute: the machine is reserved, so no other task
+  // is placed there.
+  scenario.add_machine(scenario.small, "a").free.resources.cores = to_amount(8);
+  scenario.input.machines.back().ending_tasks = {
+      {{to_amount(8), 0, to_amount(8)}, std::nullopt, from_seconds(45), nullptr}};
+  EXPECT_EQ(planned_tasks(0), 0U);
+  EXPECT_EQ(planned_tasks(1), 0U);
+  scenario.input.jobs[0].has_started = true;
+  EXPECT_EQ(planned_tasks(1), 2U);
+  scenario.input.jobs[0].has_started = false;
+  // With enough room, the overdue array takes one place, and the rest go to jobs of higher priority.
+  scenario.add_machine(scenario.small, "b");
+  scenario.add_machine(scenario.small, "b");
+  EXPECT_EQ(planned_tasks(0), 1U);
+  EXPECT_EQ(planned_tasks(1), 6U);
   large.priority = Priority::low;
-  EXPECT_EQ(tasks_of(0), 1U);
+  EXPECT_EQ(planned_tasks(0), 1U);
 }
 
-TEST(Planner, LeavesTypesToThoseWhoNeedThem) {
-  World w;
-  w.job("blue", 2, 4, 30);
-  w.s.jobs.back().excluded_types = {"large"};
-  w.host(w.large, "a");
-  const Plan p = planned(w.s);
-  EXPECT_TRUE(p.placements.empty());
-  ASSERT_EQ(p.shortages.size(), 1U);
+TEST(PlacementIndexTest, DoesNotPlaceJobOnExcludedMachineType) {
+  Scenario scenario;
+  scenario.add_job("blue", 2, 4, 30);
+  scenario.input.jobs.back().excluded_types = {"large"};
+  scenario.add_machine(scenario.large, "a");
+  const Plan plan = make_plan(scenario.input);
+  EXPECT_TRUE(plan.placements.empty());
+  ASSERT_EQ(plan.shortages.size(), 1U);
 }
 
-TEST(Planner, ReckonsFetchesThatShareTheRateExactly) {
-  // An image on its way once counted as there, and a machine with fetches as a multiple of a new one.
-  World w;
-  JobSpec& cold = w.job("blue", 1, 1, 30);  // 5 GB at 0.5 GB/s
+TEST(MachineFitTest, FetchTimeAccountsForSharedRate) {
+  // Guards against treating an image in transfer as cached, and against estimating a busy machine's fetch
+  // time as a multiple of an idle one's.
+  Scenario scenario;
+  JobSpec& cold = scenario.add_job("blue", 1, 1, 30);  // 5 GB at 0.5 GB/s
   JobSpec other = cold;
   other.image = "other";
-  PlanMachine& h = w.host(w.small, "a");
-  EXPECT_EQ(fetch_time(h, cold), from_seconds(10));
-  h.fetches = {{"x", 2, Priority::normal}, {"y", 20, Priority::normal}};
-  EXPECT_EQ(fetch_time(h, cold), from_seconds(24));            // 5 and 2 and 5 GB
-  EXPECT_EQ(*fetch_delay_imposed(h, cold), from_seconds(14));  // the same 7 GB for the others
-  h.fetches.push_back({"cold", 1, Priority::normal});          // its own is nearly there
-  EXPECT_EQ(fetch_time(h, cold), from_seconds(6));
-  EXPECT_EQ(*fetch_delay_imposed(h, cold), Micros{0});
-  EXPECT_EQ(fetch_time(h, other), from_seconds(26));
+  PlanMachine& machine = scenario.add_machine(scenario.small, "a");
+  EXPECT_EQ(fetch_time(machine, cold), from_seconds(10));
+  machine.fetches = {{"x", 2, Priority::normal}, {"y", 20, Priority::normal}};
+  EXPECT_EQ(fetch_time(machine, cold), from_seconds(24));            // 5 + 2 + 5 GB
+  EXPECT_EQ(*fetch_delay_imposed(machine, cold), from_seconds(14));  // delays the other fetches by 2 + 5 GB
+  machine.fetches.push_back({"cold", 1, Priority::normal});          // its own fetch is nearly complete
+  EXPECT_EQ(fetch_time(machine, cold), from_seconds(6));
+  EXPECT_EQ(*fetch_delay_imposed(machine, cold), Micros{0});
+  EXPECT_EQ(fetch_time(machine, other), from_seconds(26));
 }
 
-TEST(Planner, BeginsNoFetchBesideOneForAService) {
-  World w;
-  w.job("blue", 1, 1, 30);
-  w.host(w.small, "a").fetches = {{"x", 9, Priority::prod}};
-  EXPECT_TRUE(planned(w.s).placements.empty());
-  w.s.jobs[0].spec = [&] {
-    w.specs[0]->priority = Priority::prod;
-    return w.specs[0].get();
+TEST(PlacementIndexTest, StartsNoFetchBesideFetchForProdTask) {
+  Scenario scenario;
+  scenario.add_job("blue", 1, 1, 30);
+  scenario.add_machine(scenario.small, "a").fetches = {{"x", 9, Priority::prod}};
+  EXPECT_TRUE(make_plan(scenario.input).placements.empty());
+  scenario.input.jobs[0].spec = [&] {
+    scenario.specs[0]->priority = Priority::prod;
+    return scenario.specs[0].get();
   }();
-  EXPECT_EQ(planned(w.s).placements.size(), 1U);
+  EXPECT_EQ(make_plan(scenario.input).placements.size(), 1U);
 }
 
-TEST(Planner, AnArrayWaitsForAPlaceWithItsImageWhereThatIsSooner) {
-  // While machines are scarce every freed place took whatever came first, and nearly every start fetched for
-  // half as long as it ran.
-  World w;
-  w.job("blue", 3, 16, 30).image = "hot";
-  w.host(w.small, "a");  // 10 s of fetch
-  for (const double in : {4.0, 15.0})
-    w.busy(w.small, "a", {{w.specs[0]->resources, std::nullopt, from_seconds(in), nullptr}}).host.images =
-        &w.cached;
-  Plan p = planned(w.s);
-  // One waits 4 s; the fetch is sooner than the place that frees after 15 s; the third has that in view.
-  ASSERT_EQ(p.placements.size(), 1U);
-  EXPECT_TRUE(p.shortages.empty());
-  // A pressed job with but a place in view is short all the same.
-  w.specs[0]->deadline = from_seconds(40);
-  p = planned(w.s);
-  ASSERT_EQ(p.shortages.size(), 1U);
-  EXPECT_EQ(p.shortages[0].tasks, 2U);
-  EXPECT_EQ(p.shortages[0].expected_soon, 2U);
+TEST(PlacementIndexTest, ArrayWaitsForFuturePlaceWithImageIfSoonerThanFetch) {
+  // Guards against giving each freed place to the next job in order. While machines were scarce, nearly every
+  // task then spent half as long on fetching its image as on running.
+  Scenario scenario;
+  scenario.add_job("blue", 3, 16, 30).image = "hot";
+  scenario.add_machine(scenario.small, "a");  // the fetch takes 10 s
+  for (const double free_in_s : {4.0, 15.0})
+    scenario
+        .add_busy_machine(scenario.small, "a",
+                          {{scenario.specs[0]->resources, std::nullopt, from_seconds(free_in_s), nullptr}})
+        .machine.images = &scenario.cached;
+  Plan plan = make_plan(scenario.input);
+  // The first task waits for the place that is free after 4 s. The second is placed, since its fetch is
+  // sooner than the place that is free after 15 s. The third counts on that place.
+  ASSERT_EQ(plan.placements.size(), 1U);
+  EXPECT_TRUE(plan.shortages.empty());
+  // For a job at risk, tasks that only have a future place count as a shortage.
+  scenario.specs[0]->deadline = from_seconds(40);
+  plan = make_plan(scenario.input);
+  ASSERT_EQ(plan.shortages.size(), 1U);
+  EXPECT_EQ(plan.shortages[0].tasks, 2U);
+  EXPECT_EQ(plan.shortages[0].expected_soon, 2U);
 }
 
-TEST(Planner, AMachineThatHasAnImageAndFetchesItAgainOffersItsPlaceOnce) {
-  // The machines that have an image are looked up by its name. One listed twice would let two tasks wait for
-  // one place, and the second would wait for longer than the fetch it was spared.
-  World w;
-  w.job("blue", 2, 16, 30).image = "hot";
-  w.host(w.small, "a");
-  w.busy(w.small, "a", {{w.specs[0]->resources, std::nullopt, from_seconds(4), nullptr}});
-  PlanMachine& busy = w.s.here[1].host;
-  busy.images = &w.cached;
+TEST(PlacementIndexTest, CountsFuturePlaceOnceIfImageIsCachedAndFetched) {
+  // Machines are looked up by image name. If one were listed twice, two tasks would wait for the same place,
+  // and the second would wait longer than the fetch would have taken.
+  Scenario scenario;
+  scenario.add_job("blue", 2, 16, 30).image = "hot";
+  scenario.add_machine(scenario.small, "a");
+  scenario.add_busy_machine(scenario.small, "a",
+                            {{scenario.specs[0]->resources, std::nullopt, from_seconds(4), nullptr}});
+  PlanMachine& busy = scenario.input.machines[1].machine;
+  busy.images = &scenario.cached;
   busy.fetches = {{"hot", 1, Priority::normal}};
-  const Plan p = planned(w.s);
-  ASSERT_EQ(p.placements.size(), 1U);
-  EXPECT_EQ(p.placements[0].tasks, 1U);
-  EXPECT_TRUE(p.shortages.empty());
-  // On its way alone counts as well.
+  const Plan plan = make_plan(scenario.input);
+  ASSERT_EQ(plan.placements.size(), 1U);
+  EXPECT_EQ(plan.placements[0].tasks, 1U);
+  EXPECT_TRUE(plan.shortages.empty());
+  // An image that is only being fetched counts too.
   busy.images = nullptr;
-  EXPECT_EQ(planned(w.s).placements.size(), 1U);
-  EXPECT_TRUE(planned(w.s).shortages.empty());
+  EXPECT_EQ(make_plan(scenario.input).placements.size(), 1U);
+  EXPECT_TRUE(make_plan(scenario.input).shortages.empty());
   busy.fetches.clear();
-  ASSERT_EQ(planned(w.s).shortages.size(), 1U);
+  ASSERT_EQ(make_plan(scenario.input).shortages.size(), 1U);
 }
 
-TEST(Planner, AimsForStartsPressWhatStartsAsAWhole) {
-  World w;
-  w.settings.objectives = {{"wait", "q", 1.0, from_seconds(70)}, {"finished", "q", 1.0, from_seconds(400)}};
-  w.job("blue", 2, 1, 100).job_class = "q";
-  const auto at = [&](double waited) {
-    return slack(w.s.jobs[0], w.s.jobs[0].accepted_at + from_seconds(waited), w.settings.objectives);
+TEST(DeadlinesTest, WaitObjectiveAppliesToGangsButNotToArrays) {
+  Scenario scenario;
+  scenario.settings.objectives = {{"wait", "q", 1.0, from_seconds(70)},
+                                  {"finished", "q", 1.0, from_seconds(400)}};
+  scenario.add_job("blue", 2, 1, 100).job_class = "q";
+  const auto slack_after = [&](double waited_s) {
+    return slack(scenario.input.jobs[0], scenario.input.jobs[0].accepted_at + from_seconds(waited_s),
+                 scenario.settings.objectives);
   };
-  EXPECT_EQ(at(0).status, DeadlineStatus::on_track);  // an array counts by its end
-  w.specs[0]->type = JobType::gang;
-  EXPECT_EQ(at(10).status, DeadlineStatus::at_risk);
-  EXPECT_EQ(at(10).time_to_latest_start, from_seconds(60));
-  EXPECT_EQ(at(80).status, DeadlineStatus::on_track);  // missed: its end is next, with 220 s to spare
+  EXPECT_EQ(slack_after(0).status, DeadlineStatus::on_track);  // an array is measured by its completion
+  scenario.specs[0]->type = JobType::gang;
+  EXPECT_EQ(slack_after(10).status, DeadlineStatus::at_risk);
+  EXPECT_EQ(slack_after(10).time_to_latest_start, from_seconds(60));
+  EXPECT_EQ(slack_after(80).status,
+            DeadlineStatus::on_track);  // wait target missed; 220 s left for the completion target
 }
 
-TEST(Planner, KeepsPlacesForAGangThatMustStartSoon) {
-  // Small tasks took every place as it came, and a gang waited for two at once.
-  World w;
-  w.settings.objectives = {{"wait", "gangs", 1.0, from_seconds(70)}};
-  JobSpec& gang = w.job("blue", 1, 16, 90);
+TEST(PlacementIndexTest, ReservesPlacesForGangAtRisk) {
+  // Guards against small tasks taking each place as it becomes free while a gang waits for two at the same
+  // time.
+  Scenario scenario;
+  scenario.settings.objectives = {{"wait", "gangs", 1.0, from_seconds(70)}};
+  JobSpec& gang = scenario.add_job("blue", 1, 16, 90);
   gang.type = JobType::gang;
   gang.job_class = "gangs";
-  w.job("blue", 2, 8, 30);
-  PlanMachine& h = w.host(w.small, "a");
-  h.free.resources.cores = to_amount(8);
-  h.images = &w.cached;
-  w.s.here[0].leaving = {{{to_amount(8), 0, to_amount(1)}, std::nullopt, from_seconds(5), nullptr}};
-  EXPECT_TRUE(planned(w.s).placements.empty());
-  w.s.here[0].leaving[0].min_remaining = from_seconds(60);  // too far off to keep room idle
-  EXPECT_EQ(planned(w.s).placements.size(), 1U);
+  scenario.add_job("blue", 2, 8, 30);
+  PlanMachine& machine = scenario.add_machine(scenario.small, "a");
+  machine.free.resources.cores = to_amount(8);
+  machine.images = &scenario.cached;
+  scenario.input.machines[0].ending_tasks = {
+      {{to_amount(8), 0, to_amount(1)}, std::nullopt, from_seconds(5), nullptr}};
+  EXPECT_TRUE(make_plan(scenario.input).placements.empty());
+  scenario.input.machines[0].ending_tasks[0].min_remaining = from_seconds(60);  // too late to keep room idle
+  EXPECT_EQ(make_plan(scenario.input).placements.size(), 1U);
 }
 
-TEST(Planner, AGangWhoseTasksNeedNothingEndsThePlanAllTheSame) {
-  // Its tasks fitted for ever where places were kept for it.
-  World w;
-  w.settings.objectives = {{"wait", "gangs", 1.0, from_seconds(70)}};
-  JobSpec& gang = w.job("blue", 3, 0, 90);
+TEST(PlacementIndexTest, PlanTerminatesForGangWithoutResourceNeeds) {
+  // Guards against an endless loop in the reservation: tasks without resource needs always fit once more.
+  Scenario scenario;
+  scenario.settings.objectives = {{"wait", "gangs", 1.0, from_seconds(70)}};
+  JobSpec& gang = scenario.add_job("blue", 3, 0, 90);
   gang.resources = {};
   gang.type = JobType::gang;
   gang.job_class = "gangs";
-  w.busy(w.small, "a", {});
-  EXPECT_TRUE(planned(w.s).placements.empty());
+  scenario.add_busy_machine(scenario.small, "a", {});
+  EXPECT_TRUE(make_plan(scenario.input).placements.empty());
 }
 
-TEST(Planner, ServicesTakeTheMachineWhereLeastIsLost) {
-  World w;
-  w.job("blue", 1, 8, 60).priority = Priority::prod;
-  w.specs[0]->type = JobType::service;
-  w.specs[0]->image = "hot";
-  JobSpec array = w.job("blue", 1, 8, 60);
-  JobSpec gang = w.job("blue", 2, 8, 60);
+TEST(PreemptionTest, MakesRoomForServiceWhereCostIsLeast) {
+  Scenario scenario;
+  scenario.add_job("blue", 1, 8, 60).priority = Priority::prod;
+  scenario.specs[0]->type = JobType::service;
+  scenario.specs[0]->image = "hot";
+  JobSpec array = scenario.add_job("blue", 1, 8, 60);
+  JobSpec gang = scenario.add_job("blue", 2, 8, 60);
   gang.type = JobType::gang;
   gang.checkpoint_interval = from_seconds(10);
   gang.checkpoint_time = from_seconds(3);
-  w.s.jobs.resize(1);
-  for (int i = 0; i < 3; ++i) w.host(w.small, "a").free.resources = {};
-  w.s.here[1].host.images = &w.cached;
+  scenario.input.jobs.resize(1);
+  for (int i = 0; i < 3; ++i) scenario.add_machine(scenario.small, "a").free.resources = {};
+  scenario.input.machines[1].machine.images = &scenario.cached;
   std::vector<RunningTask> running = {{0, &array, 0, Micros{0}, from_seconds(60), false},
                                       {1, &gang, 0, from_seconds(40), from_seconds(50), false},
                                       {2, &gang, 1, from_seconds(40), from_seconds(50), false}};
-  // 10 s of fetch where an array has just begun, or the 3 s that a gang takes to save: it stops as a whole.
-  EXPECT_EQ(choose_preemptions(oracle::snapshot(w.s), {{0, 1}}, running), (std::vector<std::size_t>{1, 2}));
-  w.s.here[0].host.images = &w.cached;
-  EXPECT_EQ(choose_preemptions(oracle::snapshot(w.s), {{0, 1}}, running), (std::vector<std::size_t>{0}));
-  // Free room where the image would have to be fetched is left alone while room is made where it is.
-  w.host(w.small, "a");
-  EXPECT_EQ(planned(w.s).placements.size(), 1U);
-  EXPECT_TRUE(choose_preemptions(oracle::snapshot(w.s), {{0, 1}}, running).empty());
-  w.s.jobs[0].requires_image_locality = true;
-  EXPECT_TRUE(planned(w.s).placements.empty());
-  EXPECT_EQ(choose_preemptions(oracle::snapshot(w.s), {{0, 1}}, running), (std::vector<std::size_t>{0}));
+  // The choice is between 10 s of fetch on the machine where the array has just started, and the 3 s of the
+  // gang's checkpoint. The gang is stopped as a whole.
+  EXPECT_EQ(choose_preemptions(oracle::preemption_view(scenario.input), {{0, 1}}, running),
+            (std::vector<std::size_t>{1, 2}));
+  scenario.input.machines[0].machine.images = &scenario.cached;
+  EXPECT_EQ(choose_preemptions(oracle::preemption_view(scenario.input), {{0, 1}}, running),
+            (std::vector<std::size_t>{0}));
+  // With `requires_image_locality`, free room on a machine without the image is not used; room is made on a
+  // machine with the image.
+  scenario.add_machine(scenario.small, "a");
+  EXPECT_EQ(make_plan(scenario.input).placements.size(), 1U);
+  EXPECT_TRUE(choose_preemptions(oracle::preemption_view(scenario.input), {{0, 1}}, running).empty());
+  scenario.input.jobs[0].requires_image_locality = true;
+  EXPECT_TRUE(make_plan(scenario.input).placements.empty());
+  EXPECT_EQ(choose_preemptions(oracle::preemption_view(scenario.input), {{0, 1}}, running),
+            (std::vector<std::size_t>{0}));
 }
 
-TEST(Planner, StopsLessUrgentTasksForUrgentOnes) {
-  World w;
-  w.job("blue", 2, 4, 30).priority = Priority::high;
-  const Shortage two{0, 2};
-  w.host(w.small, "a").free.resources = {};
-  JobSpec saves = w.job("blue", 1, 4, 60);
-  saves.checkpoint_interval = from_seconds(10);
-  JobSpec normal = w.job("blue", 1, 4, 60);
-  JobSpec equal = normal;
-  equal.priority = Priority::high;
-  w.s.jobs.resize(1);
+TEST(PreemptionTest, PreemptsTasksOfLowerPriority) {
+  Scenario scenario;
+  scenario.add_job("blue", 2, 4, 30).priority = Priority::high;
+  const Shortage shortage{0, 2};
+  scenario.add_machine(scenario.small, "a").free.resources = {};
+  JobSpec checkpointed = scenario.add_job("blue", 1, 4, 60);
+  checkpointed.checkpoint_interval = from_seconds(10);
+  JobSpec normal = scenario.add_job("blue", 1, 4, 60);
+  JobSpec same_priority = normal;
+  same_priority.priority = Priority::high;
+  scenario.input.jobs.resize(1);
   const std::vector<RunningTask> running = {
-      {0, &equal, 0, from_seconds(1), from_seconds(50), false},    // 0: as urgent
-      {0, &normal, 0, from_seconds(50), from_seconds(20), false},  // 1: too far on to lose its work
-      {0, &normal, 1, from_seconds(5), from_seconds(50), false},   // 2: young
-      {0, &saves, 0, from_seconds(50), from_seconds(20), false},   // 3: loses nothing
-      {0, &saves, 1, from_seconds(55), from_seconds(5), false},    // 4: ends by itself
-      {0, &normal, 2, from_seconds(2), from_seconds(50), false},   // 5: younger still
+      {0, &same_priority, 0, from_seconds(1), from_seconds(50), false},  // 0: same priority
+      {0, &normal, 0, from_seconds(50), from_seconds(20), false},        // 1: too much work to lose
+      {0, &normal, 1, from_seconds(5), from_seconds(50), false},         // 2: started recently
+      {0, &checkpointed, 0, from_seconds(50), from_seconds(20), false},  // 3: loses no work
+      {0, &checkpointed, 1, from_seconds(55), from_seconds(5), false},   // 4: ends soon
+      {0, &normal, 2, from_seconds(2), from_seconds(50), false},         // 5: started most recently
   };
-  EXPECT_EQ(choose_preemptions(oracle::snapshot(w.s), {two}, running), (std::vector<std::size_t>{3, 5}));
-  // Room that is already being made is not made twice.
-  std::vector<RunningTask> going = running;
-  going[3].stopping = going[5].stopping = true;
-  EXPECT_TRUE(choose_preemptions(oracle::snapshot(w.s), {two}, going).empty());
+  EXPECT_EQ(choose_preemptions(oracle::preemption_view(scenario.input), {shortage}, running),
+            (std::vector<std::size_t>{3, 5}));
+  // Tasks that are already stopping count as room, so no others are chosen.
+  std::vector<RunningTask> already_stopping = running;
+  already_stopping[3].stopping = already_stopping[5].stopping = true;
+  EXPECT_TRUE(
+      choose_preemptions(oracle::preemption_view(scenario.input), {shortage}, already_stopping).empty());
 }
 
 namespace {
 
-/// A tree of two switches with three racks each, and a machine in each rack's range.
-std::shared_ptr<const wrenusher::topology::Topology> small_tree() {
+/// Returns a topology of two switches with three racks each; machine names are mapped to racks by suffix.
+std::shared_ptr<const wrenusher::topology::Topology> two_switch_topology() {
   std::string yaml = "version: 1\nlevels: [switch, rack]\ndomains:\n";
   for (int s = 0; s < 2; ++s) {
     yaml += "  s" + std::to_string(s) + ": {level: switch}\n";
@@ -501,20 +529,20 @@
   return wrenusher::topology::Topology::parse(yaml, "tree.yaml");
 }
 
-/// Draws from rapidcheck: generated jobs, machines and places, most of them alike, so that ties are common.
-struct Drawn {
-  World w;
-  std::shared_ptr<const wrenusher::topology::Topology> tree = small_tree();
-  std::vector<std::unique_ptr<wrenusher::topology::MachineLocation>> places;
+/// Random jobs, machines and ending tasks drawn from rapidcheck. Most are alike, so that ties are common.
+struct RandomScenario {
+  Scenario scenario;
+  std::shared_ptr<const wrenusher::topology::Topology> topology = two_switch_topology();
+  std::vector<std::unique_ptr<wrenusher::topology::MachineLocation>> locations;
   std::vector<std::unique_ptr<std::map<std::string, std::uint64_t>>> images;
-  std::map<std::string, Instant> avoid;
-  int made = 0;
+  std::map<std::string, Instant> avoided_machines;
+  int next_job_number = 0;
 
-  static int pick(int n) { return *rc::gen::inRange(0, n); }
+  static int pick(int count) { return *rc::gen::inRange(0, count); }
 
   PlanJob draw_job() {
     auto spec = std::make_unique<JobSpec>();
-    spec->job_id = "req-" + std::to_string(1000 + made++);
+    spec->job_id = "req-" + std::to_string(1000 + next_job_number++);
     spec->team = pick(3) == 0 ? "red" : "blue";
     spec->job_class = pick(2) == 0 ? "q" : "r";
     spec->task_count = static_cast<std::uint32_t>(1 + pick(6));
@@ -531,165 +559,180 @@
     spec->spread_zones = !spec->single_zone && pick(6) == 0;
     if (pick(6) == 0) spec->machine_types = {"small"};
     if (pick(2) == 0) spec->deadline = from_seconds(100 + 40 * pick(4));
-    PlanJob j;
+    PlanJob job;
     if (pick(3) == 0) {
       spec->layout.emplace();
-      PlanLayout l;
+      PlanLayout layout;
       if (pick(2) == 0) {
-        l.spread = pick(2);
-        l.max_tasks = static_cast<std::uint32_t>(1 + pick(3));
-        l.spread_required = pick(2) == 0;
-        if (pick(3) == 0) l.tasks_by_spread_domain = {{static_cast<std::uint32_t>(pick(9)), 1}};
+        layout.spread = pick(2);
+        layout.max_tasks = static_cast<std::uint32_t>(1 + pick(3));
+        layout.spread_required = pick(2) == 0;
+        if (pick(3) == 0) layout.tasks_by_spread_domain = {{static_cast<std::uint32_t>(pick(9)), 1}};
       }
       if (pick(2) == 0) {
-        l.colocation = pick(2);
-        l.colocation_required = pick(2) == 0;
-        if (pick(4) == 0) l.tasks_by_colocation_domain = {{static_cast<std::uint32_t>(pick(9)), 1}};
+        layout.colocation = pick(2);
+        layout.colocation_required = pick(2) == 0;
+        if (pick(4) == 0) layout.tasks_by_colocation_domain = {{static_cast<std::uint32_t>(pick(9)), 1}};
       }
       if (pick(4) == 0) spec->layout->devices = {{"signer", 1}};
-      j.layout = l;
+      job.layout = layout;
     }
-    j.spec = spec.get();
-    j.waiting = spec->task_count;
-    j.estimate = from_seconds(10 + 20 * pick(4));
-    j.guaranteed = pick(4) == 0;
-    j.has_started = pick(2) == 0;
-    j.requires_image_locality = spec->type == JobType::service && pick(4) == 0;
-    if (pick(6) == 0) j.excluded_types = {"large"};
-    if (pick(6) == 0) j.avoided_machines = &avoid;
-    j.accepted_at = WallTime{from_seconds(1000 - 30 * pick(9))};
-    w.specs.push_back(std::move(spec));
-    return j;
+    job.spec = spec.get();
+    job.waiting = spec->task_count;
+    job.estimate = from_seconds(10 + 20 * pick(4));
+    job.guaranteed = pick(4) == 0;
+    job.has_started = pick(2) == 0;
+    job.requires_image_locality = spec->type == JobType::service && pick(4) == 0;
+    if (pick(6) == 0) job.excluded_types = {"large"};
+    if (pick(6) == 0) job.avoided_machines = &avoided_machines;
+    job.accepted_at = WallTime{from_seconds(1000 - 30 * pick(9))};
+    scenario.specs.push_back(std::move(spec));
+    return job;
   }
-  oracle::Here draw_host(const std::string& name) {
-    oracle::Here h;
-    const MachineType& f = pick(3) == 0 ? w.large : w.small;
-    h.host.name = name + "-" + std::to_string(pick(3)) + std::to_string(pick(4));
-    h.host.zone = &f == &w.large || pick(2) == 0 ? "a" : "b";
-    h.host.machine_type = &f;
-    h.host.spot = pick(3) != 0;
-    h.host.runs_services = pick(5) == 0;
-    h.host.speed = pick(5) == 0 ? 0.9 : 1.0;
-    h.host.free.resources = f.capacity;
+  oracle::MachineInput draw_machine(const std::string& name) {
+    oracle::MachineInput input;
+    const MachineType& machine_type = pick(3) == 0 ? scenario.large : scenario.small;
+    input.machine.name = name + "-" + std::to_string(pick(3)) + std::to_string(pick(4));
+    input.machine.zone = &machine_type == &scenario.large || pick(2) == 0 ? "a" : "b";
+    input.machine.machine_type = &machine_type;
+    input.machine.spot = pick(3) != 0;
+    input.machine.runs_services = pick(5) == 0;
+    input.machine.speed = pick(5) == 0 ? 0.9 : 1.0;
+    input.machine.free.resources = machine_type.capacity;
     images.push_back(std::make_unique<std::map<std::string, std::uint64_t>>());
     for (int i = 0; i < pick(3); ++i) images.back()->emplace("b" + std::to_string(pick(4)), 1);
-    h.host.images = images.back().get();
+    input.machine.images = images.back().get();
     for (int i = 0; i < 4; ++i) {
-      const std::string b = "b" + std::to_string(i);
-      if (pick(6) == 0 && !images.back()->contains(b))
-        h.host.fetches.push_back({b, 1.0 + pick(4), pick(4) == 0 ? Priority::prod : Priority::normal});
+      const std::string image = "b" + std::to_string(i);
+      if (pick(6) == 0 && !images.back()->contains(image))
+        input.machine.fetches.push_back(
+            {image, 1.0 + pick(4), pick(4) == 0 ? Priority::prod : Priority::normal});
     }
-    places.push_back(std::make_unique<wrenusher::topology::MachineLocation>(
-        tree->find(h.host.name, "", f.name, h.host.zone)));
-    h.host.location = places.back().get();
-    h.host.free.devices = places.back()->devices;
-    h.host.reserved_for_devices = !h.host.free.devices.empty() && pick(2) == 0;
+    locations.push_back(std::make_unique<wrenusher::topology::MachineLocation>(
+        topology->find(input.machine.name, "", machine_type.name, input.machine.zone)));
+    input.machine.location = locations.back().get();
+    input.machine.free.devices = locations.back()->devices;
+    input.machine.reserved_for_devices = !input.machine.free.devices.empty() && pick(2) == 0;
     const int tasks = pick(4);
     for (int i = 0; i < tasks; ++i) {
-      EndingTask l{{to_amount(std::vector{1, 4, 16}[static_cast<std::size_t>(pick(3))]), 0, to_amount(1)},
-                   {},
-                   {},
-                   nullptr};
-      h.host.free.resources -= l.resources;
-      l.min_remaining = from_seconds(2 * pick(5));
-      if (pick(2) == 0) l.ends_at = Instant{from_seconds(500 + 5 * pick(20))};
-      if (pick(5) == 0 && !w.specs.empty())
-        l.awaited_image = w.specs[static_cast<std::size_t>(pick(static_cast<int>(w.specs.size())))].get();
-      h.leaving.push_back(l);
+      EndingTask ending{
+          {to_amount(std::vector{1, 4, 16}[static_cast<std::size_t>(pick(3))]), 0, to_amount(1)},
+          {},
+          {},
+          nullptr};
+      input.machine.free.resources -= ending.resources;
+      ending.min_remaining = from_seconds(2 * pick(5));
+      if (pick(2) == 0) ending.ends_at = Instant{from_seconds(500 + 5 * pick(20))};
+      if (pick(5) == 0 && !scenario.specs.empty())
+        ending.awaited_image_spec =
+            scenario.specs[static_cast<std::size_t>(pick(static_cast<int>(scenario.specs.size())))].get();
+      input.ending_tasks.push_back(ending);
     }
-    h.open = pick(6) != 0;
-    if (h.host.free.resources.cores < 0 || h.host.free.resources.memory < 0) h.open = false;
-    if (pick(5) == 0) avoid[h.host.name] = Instant{from_seconds(490 + pick(30))};
-    return h;
+    input.open = pick(6) != 0;
+    if (input.machine.free.resources.cores < 0 || input.machine.free.resources.memory < 0) input.open = false;
+    if (pick(5) == 0) avoided_machines[input.machine.name] = Instant{from_seconds(490 + pick(30))};
+    return input;
   }
 };
 
-/// The plan with names for numbers, since slots and indices differ.
-std::string told(const Plan& p, const std::function<const PlanJob&(std::size_t)>& job,
-                 const std::function<std::string(std::size_t)>& host) {
+/// Describes the plan with names instead of numbers, since slots and indices differ.
+std::string describe_plan(const Plan& plan, const std::function<const PlanJob&(std::size_t)>& job,
+                          const std::function<std::string(std::size_t)>& machine_name) {
   std::string out;
-  for (const Placement& x : p.placements)
-    out += job(x.job).spec->job_id + ": " + std::to_string(x.tasks) + " on " + host(x.machine) + "\n";
-  for (const Shortage& x : p.shortages)
-    out += job(x.job).spec->job_id + " lacks " + std::to_string(x.tasks) + ", soon " +
-           std::to_string(x.expected_soon) + "\n";
+  for (const Placement& placement : plan.placements)
+    out += job(placement.job).spec->job_id + ": " + std::to_string(placement.tasks) + " on " +
+           machine_name(placement.machine) + "\n";
+  for (const Shortage& shortage : plan.shortages)
+    out += job(shortage.job).spec->job_id + " lacks " + std::to_string(shortage.tasks) + ", soon " +
+           std::to_string(shortage.expected_soon) + "\n";
   return out;
 }
 
 }  // namespace
 
-TEST(Planner, TheBoardPlansAsLookingAtEverythingDoesThroughAnyHistory) {
+TEST(PlacementIndexTest, MatchesOracleAfterRandomChanges) {
   EXPECT_TRUE(rc::check([] {
-    Drawn d;
-    Burst& s = d.w.s;
-    d.w.settings.objectives = {{"wait", "q", 1.0, from_seconds(120)}, {"deadline", "r", 1.0, {}}};
-    s.now = WallTime{from_seconds(1000)};
-    s.clock = Instant{from_seconds(500)};
-    PlacementIndex b;
-    // What stands on the board, and where.
-    std::map<std::string, std::pair<PlacementIndex::Slot, oracle::Here>> hosts;
+    RandomScenario generated;
+    PlanningInput& input = generated.scenario.input;
+    generated.scenario.settings.objectives = {{"wait", "q", 1.0, from_seconds(120)},
+                                              {"deadline", "r", 1.0, {}}};
+    input.now = WallTime{from_seconds(1000)};
+    input.steady_now = Instant{from_seconds(500)};
+    PlacementIndex index;
+    // Contents of the index, with their slots, by name.
+    std::map<std::string, std::pair<PlacementIndex::Slot, oracle::MachineInput>> machines;
     std::map<std::string, std::pair<PlacementIndex::Slot, PlanJob>> jobs;
-    int names = 0;
+    int next_machine_number = 0;
     const int steps = *rc::gen::inRange(1, 25);
     for (int step = 0; step < steps; ++step) {
       const int changes = *rc::gen::inRange(1, 8);
       for (int i = 0; i < changes; ++i) {
-        const int what = Drawn::pick(10);
-        if (what < 3 || hosts.empty()) {
-          oracle::Here h = d.draw_host("m" + std::to_string(100 + names++));
-          const PlacementIndex::Slot slot = b.new_machine();
-          b.set_machine(slot, h.host, h.leaving, h.host.machine_type->capacity.cores, h.open);
-          hosts.emplace(h.host.name, std::pair(slot, h));
-        } else if (what < 6 || jobs.empty()) {
-          const PlanJob j = d.draw_job();
-          const PlacementIndex::Slot slot = b.new_job();
-          b.set_job(slot, j, d.w.settings.objectives);
-          jobs.emplace(j.spec->job_id, std::pair(slot, j));
-        } else if (what == 6) {
-          const auto it = std::next(hosts.begin(), Drawn::pick(static_cast<int>(hosts.size())));
-          b.drop_machine(it->second.first);
-          hosts.erase(it);
-        } else if (what == 7) {
-          const auto it = std::next(jobs.begin(), Drawn::pick(static_cast<int>(jobs.size())));
-          b.drop_job(it->second.first);
+        const int action = RandomScenario::pick(10);
+        if (action < 3 || machines.empty()) {
+          oracle::MachineInput machine_input =
+              generated.draw_machine("m" + std::to_string(100 + next_machine_number++));
+          const PlacementIndex::Slot slot = index.new_machine();
+          index.set_machine(slot, machine_input.machine, machine_input.ending_tasks,
+                            machine_input.machine.machine_type->capacity.cores, machine_input.open);
+          machines.emplace(machine_input.machine.name, std::pair(slot, machine_input));
+        } else if (action < 6 || jobs.empty()) {
+          const PlanJob job = generated.draw_job();
+          const PlacementIndex::Slot slot = index.new_job();
+          index.set_job(slot, job, generated.scenario.settings.objectives);
+          jobs.emplace(job.spec->job_id, std::pair(slot, job));
+        } else if (action == 6) {
+          const auto it =
+              std::next(machines.begin(), RandomScenario::pick(static_cast<int>(machines.size())));
+          index.drop_machine(it->second.first);
+          machines.erase(it);
+        } else if (action == 7) {
+          const auto it = std::next(jobs.begin(), RandomScenario::pick(static_cast<int>(jobs.size())));
+          index.drop_job(it->second.first);
           jobs.erase(it);
-        } else if (what == 8) {
-          auto& [slot, h] = std::next(hosts.begin(), Drawn::pick(static_cast<int>(hosts.size())))->second;
-          oracle::Here again = d.draw_host("x");
-          again.host.name = h.host.name;
-          h = again;
-          b.set_machine(slot, h.host, h.leaving, h.host.machine_type->capacity.cores, h.open);
+        } else if (action == 8) {
+          auto& [slot, machine_input] =
+              std::next(machines.begin(), RandomScenario::pick(static_cast<int>(machines.size())))->second;
+          oracle::MachineInput replacement = generated.draw_machine("x");
+          replacement.machine.name = machine_input.machine.name;
+          machine_input = replacement;
+          index.set_machine(slot, machine_input.machine, machine_input.ending_tasks,
+                            machine_input.machine.machine_type->capacity.cores, machine_input.open);
         } else {
-          auto& [slot, j] = std::next(jobs.begin(), Drawn::pick(static_cast<int>(jobs.size())))->second;
-          j.waiting = static_cast<std::uint32_t>(1 + Drawn::pick(static_cast<int>(j.spec->task_count)));
-          j.estimate = from_seconds(10 + 20 * Drawn::pick(4));
-          b.set_job(slot, j, d.w.settings.objectives);
+          auto& [slot, job] =
+              std::next(jobs.begin(), RandomScenario::pick(static_cast<int>(jobs.size())))->second;
+          job.waiting =
+              static_cast<std::uint32_t>(1 + RandomScenario::pick(static_cast<int>(job.spec->task_count)));
+          job.estimate = from_seconds(10 + 20 * RandomScenario::pick(4));
+          index.set_job(slot, job, generated.scenario.settings.objectives);
         }
       }
-      const Micros passes = from_seconds(Drawn::pick(12));
-      s.now += passes;
-      s.clock += passes;
-      s.teams["red"].cores = to_amount(*rc::gen::element(0.0, 40.0, 64.0));
-      s.here.clear();
-      s.jobs.clear();
-      for (const auto& [name, h] : hosts) s.here.push_back(h.second);
-      for (const auto& [ref, j] : jobs) s.jobs.push_back(j.second);
-      if (Drawn::pick(3) == 0) s.coming = {{&d.w.small, to_amount(16 * Drawn::pick(5))}};
-      std::string mine_order;
-      std::string all_order;
-      for (const PlacementIndex::Slot j : b.service_order(oracle::moment(s)))
-        mine_order += b.job(j).spec->job_id + " ";
-      for (const std::size_t j : oracle::order(s)) all_order += s.jobs[j].spec->job_id + " ";
-      RC_ASSERT(mine_order == all_order);
-      const Plan mine = b.plan(oracle::moment(s));
-      const Plan all = oracle::place(s);
-      const std::string got = told(
-          mine, [&](std::size_t i) -> const PlanJob& { return b.job(static_cast<PlacementIndex::Slot>(i)); },
-          [&](std::size_t i) { return b.machine(static_cast<PlacementIndex::Slot>(i))->name; });
-      const std::string want = told(
-          all, [&](std::size_t i) -> const PlanJob& { return s.jobs[i]; },
-          [&](std::size_t i) { return s.here[i].host.name; });
-      RC_ASSERT(got == want);
+      const Micros elapsed = from_seconds(RandomScenario::pick(12));
+      input.now += elapsed;
+      input.steady_now += elapsed;
+      input.team_usage["red"].cores = to_amount(*rc::gen::element(0.0, 40.0, 64.0));
+      input.machines.clear();
+      input.jobs.clear();
+      for (const auto& [name, entry] : machines) input.machines.push_back(entry.second);
+      for (const auto& [job_id, entry] : jobs) input.jobs.push_back(entry.second);
+      if (RandomScenario::pick(3) == 0)
+        input.starting_cores = {{&generated.scenario.small, to_amount(16 * RandomScenario::pick(5))}};
+      std::string index_order;
+      std::string oracle_order;
+      for (const PlacementIndex::Slot slot : index.service_order(oracle::planning_context(input)))
+        index_order += index.job(slot).spec->job_id + " ";
+      for (const std::size_t job : oracle::service_order(input))
+        oracle_order += input.jobs[job].spec->job_id + " ";
+      RC_ASSERT(index_order == oracle_order);
+      const Plan index_plan = index.plan(oracle::planning_context(input));
+      const Plan oracle_plan = oracle::plan(input);
+      const std::string index_result = describe_plan(
+          index_plan,
+          [&](std::size_t i) -> const PlanJob& { return index.job(static_cast<PlacementIndex::Slot>(i)); },
+          [&](std::size_t i) { return index.machine(static_cast<PlacementIndex::Slot>(i))->name; });
+      const std::string oracle_result = describe_plan(
+          oracle_plan, [&](std::size_t i) -> const PlanJob& { return input.jobs[i]; },
+          [&](std::size_t i) { return input.machines[i].machine.name; });
+      RC_ASSERT(index_result == oracle_result);
     }
   }));
 }
