--- a/src/domain_failure_detector/domain_failure_detector.cpp
+++ b/src/domain_failure_detector/domain_failure_detector.cpp
@@ -13,17 +13,18 @@
 
 namespace {
 
-/// Nothing is concluded about a domain with fewer machines than this.
+/// A domain with fewer machines is never considered lost.
 constexpr std::uint32_t kMinMachines = 3;
-/// A loss is logged after this long: what is lost with a switch is recognised rack by rack.
-constexpr Micros kSettleTime = from_seconds(3);
-/// One machine of a domain that is heard again is trusted at once, and twice as many after each such step.
+/// A loss is logged after this delay, since the racks behind a failed switch are detected one by one.
+constexpr Micros kLossLogDelay = from_seconds(3);
+/// One machine of a recovered domain is trusted at once; the number doubles after each step.
 constexpr Micros kTrustStep = from_seconds(5);
-/// More doublings than any domain has machines for.
+/// With this many doublings, the machines of any domain are all trusted.
 constexpr std::int64_t kMaxTrustSteps = 20;
 constexpr int kMaxRelapses = 11;
-/// A domain without machines is forgotten after this long; a loss within it is a relapse.
-constexpr Micros kDomainMemory = from_seconds(600);
+/// The state of a domain without machines is discarded after this time; another loss before that is a
+/// relapse.
+constexpr Micros kDomainRetention = from_seconds(600);
 
 }  // namespace
 
@@ -50,11 +51,11 @@
 
 void DomainFailureDetector::evaluate(Instant now, Micros lateness, const std::vector<DomainMember>& members) {
   if (!topology_) return;
-  const bool any_heard = std::any_of(members.begin(), members.end(), [&](const DomainMember& member) {
+  const bool any_reporting = std::any_of(members.begin(), members.end(), [&](const DomainMember& member) {
     return now - member.last_report_at <= lateness;
   });
-  // Where nobody at all is heard, the fault may well be this node's.
-  if (any_heard) update_domains(now, count(now, lateness, members));
+  // If no machine reports at all, the fault may be on this node.
+  if (any_reporting) update_domains(now, count(now, lateness, members));
   log_losses(now);
   update_suspected(now, lateness, members);
 }
@@ -79,18 +80,18 @@
     if (tally.all_late()) {
       mark_lost(id, now, tally);
     } else if (const auto it = domains_.find(id); it != domains_.end()) {
-      update_known(id, it->second, now, tally);
+      update_tracked(id, it->second, now, tally);
     }
   }
   std::erase_if(domains_,
-                [&](const auto& entry) { return now - entry.second.last_populated > kDomainMemory; });
+                [&](const auto& entry) { return now - entry.second.last_populated > kDomainRetention; });
 }
 
 void DomainFailureDetector::mark_lost(DomainId id, Instant now, const Tally& tally) {
-  const auto [it, first_time] = domains_.try_emplace(id);
+  const auto [it, first_loss] = domains_.try_emplace(id);
   DomainState& state = it->second;
   if (!state.lost) {
-    state.relapses = first_time ? 0 : std::min(state.relapses + 1, kMaxRelapses);
+    state.relapses = first_loss ? 0 : std::min(state.relapses + 1, kMaxRelapses);
     state.lost = true;
     state.logged = false;
     state.since = now;
@@ -99,16 +100,18 @@
   state.last_populated = now;
 }
 
-/// A domain that was lost and of which not all machines are late now.
-void DomainFailureDetector::update_known(DomainId id, DomainState& state, Instant now,
-                                         const Tally& tally) const {
+/// Updates a domain that was lost before and of which not all machines are late now.
+void DomainFailureDetector::update_tracked(DomainId id, DomainState& state, Instant now,
+                                           const Tally& tally) const {
   if (tally.machines > 0) state.last_populated = now;
-  // It is heard again only if some machine is: its machines may have been returned one by one meanwhile.
+  // The domain has recovered only if one of its machines reports. Otherwise its machines may have been
+  // returned one by one, until too few are left to count as lost.
   if (!state.lost || tally.late == tally.machines) return;
   state.lost = false;
   if (state.logged)
     log::info("domain_heard",
-              "{level} {domain} is heard again after {seconds:.0f} s, its machines are trusted step by step",
+              "{level} {domain} reports again after {seconds:.0f} s; its machines are put back into use step "
+              "by step",
               log::with("level", topology_->level_of(id)), log::with("domain", topology_->path(id)),
               log::with("seconds", to_seconds(now - state.since)));
   state.since = now;
@@ -124,16 +127,17 @@
   return false;
 }
 
-/// One line for one event: of the domains that are lost together, the widest.
+/// Logs one line per event: of nested domains that are lost together, only the outermost.
 void DomainFailureDetector::log_losses(Instant now) {
   for (auto& [id, state] : domains_) {
-    if (!state.lost || state.logged || now - state.since < kSettleTime) continue;
+    if (!state.lost || state.logged || now - state.since < kLossLogDelay) continue;
     state.logged = true;
     if (ancestor_lost(id)) continue;
-    log::warn("domain_lost",
-              "{level} {domain} is lost: all of its {machines} machines are silent, no task is placed there",
-              log::with("level", topology_->level_of(id)), log::with("domain", topology_->path(id)),
-              log::with("machines", state.machines));
+    log::warn(
+        "domain_lost",
+        "{level} {domain} is lost: all of its {machines} machines are silent; no task is placed on them",
+        log::with("level", topology_->level_of(id)), log::with("domain", topology_->path(id)),
+        log::with("machines", state.machines));
   }
 }
 
@@ -141,7 +145,7 @@
                                              const std::vector<DomainMember>& members) {
   suspected_.clear();
   if (domains_.empty()) return;
-  std::map<DomainId, std::vector<const DomainMember*>> heard_again;
+  std::map<DomainId, std::vector<const DomainMember*>> reporting_by_domain;
   for (const DomainMember& member : members) {
     if (is_lost(*member.location)) {
       suspected_.insert(*member.host);
@@ -149,22 +153,22 @@
     }
     for (const DomainId id : member.location->by_level) {
       if (domains_.contains(id) && now - member.last_report_at <= lateness)
-        heard_again[id].push_back(&member);
+        reporting_by_domain[id].push_back(&member);
     }
   }
-  for (auto& [id, heard] : heard_again) suspect_untrusted(domains_.at(id), now, heard);
+  for (auto& [id, reporting] : reporting_by_domain) suspect_untrusted(domains_.at(id), now, reporting);
 }
 
-/// Suspects all but the first machines by name, so that the same ones stay trusted.
+/// Suspects all but the first machines in name order, so that a trusted machine stays trusted.
 void DomainFailureDetector::suspect_untrusted(const DomainState& state, Instant now,
-                                              std::vector<const DomainMember*>& heard) {
+                                              std::vector<const DomainMember*>& reporting) {
   const Micros step = kTrustStep * (1 + state.relapses);
   const auto steps = std::min<std::int64_t>((now - state.since) / step, kMaxTrustSteps);
-  const std::size_t trusted = std::size_t{1} << static_cast<std::size_t>(steps);
-  if (trusted >= heard.size()) return;
-  std::sort(heard.begin(), heard.end(),
+  const std::size_t trusted_count = std::size_t{1} << static_cast<std::size_t>(steps);
+  if (trusted_count >= reporting.size()) return;
+  std::sort(reporting.begin(), reporting.end(),
             [](const DomainMember* a, const DomainMember* b) { return *a->host < *b->host; });
-  for (std::size_t i = trusted; i < heard.size(); ++i) suspected_.insert(*heard[i]->host);
+  for (std::size_t i = trusted_count; i < reporting.size(); ++i) suspected_.insert(*reporting[i]->host);
 }
 
 }  // namespace wrenusher::domain_failure_detector
--- a/src/domain_failure_detector/include/wrenusher/domain_failure_detector/domain_failure_detector.hpp
+++ b/src/domain_failure_detector/include/wrenusher/domain_failure_detector/domain_failure_detector.hpp
@@ -1,7 +1,7 @@
 #pragma once
-// Package domain_failure_detector: recognises that a whole failure domain (rack, switch, zone ...) fell
-// silent, as one event, and how far its machines are to be trusted once they are heard again. Who is heard is
-// passed in, and what follows from a loss is decided elsewhere. It may depend on time, topology and log.
+// Package domain_failure_detector: detects the loss of a whole failure domain (rack, switch, zone ...) as one
+// event, and decides which machines may be used again after the domain recovers. The caller passes in the
+// times of the latest reports and decides how to react. It may depend on time, topology and log.
 
 #include <cstdint>
 #include <map>
@@ -19,44 +19,48 @@
 using time::Micros;
 using topology::DomainId;
 
-/// A machine that reports to this leader, or should. Refers to what the caller owns, for the time of a call.
+/// A machine that reports, or should report, to this leader. Its pointers are borrowed for the duration of a
+/// call.
 struct DomainMember {
   const std::string* host = nullptr;
   const topology::MachineLocation* location = nullptr;
   Instant last_report_at{};
 };
 
-/// A domain of at least three machines is lost when all its machines are late at the same time. Once some of
-/// them are heard again, they are trusted step by step: one at once, and twice as many after each step of 5
-/// s; of a domain that was lost before within ten minutes, the steps take longer with every relapse.
+/// Detects lost domains. A domain of at least three machines is lost when the reports of all of them are late
+/// at the same time. It has recovered when some of its machines report again.
 ///
-/// Owns the state of each domain that is or was lost of late. Single-threaded.
+/// After the recovery, one machine is trusted at once, and the number of trusted machines doubles after each
+/// step of 5 s. If a domain is lost again within ten minutes (a relapse), the steps become longer with every
+/// relapse.
+///
+/// Owns the state of each domain that is lost or was lost recently. Single-threaded.
 class DomainFailureDetector {
  public:
-  /// Another topology: everything known is void. Null: there are no domains.
+  /// Sets the topology and discards all state. Null: there are no domains.
   void set_topology(std::shared_ptr<const topology::Topology> topology);
-  /// A new term: nothing is known.
+  /// Discards all state, as a new term begins.
   void clear();
 
-  /// Judges by who was heard when; a machine is late when it was not heard for `lateness`. To be called
-  /// several times a second, and only while silence is the machines' own fault and not the listener's.
+  /// Updates the lost domains and the suspected machines. A machine is late if its last report is older than
+  /// `lateness`. Must be called several times a second, but only while this node itself can receive reports.
   void evaluate(Instant now, Micros lateness, const std::vector<DomainMember>& members);
-  /// Machines that should get no new tasks: of lost domains, and those not yet trusted of domains that are
-  /// heard again.
+  /// Returns the machines that should get no new tasks: those of lost domains, and those of recovered domains
+  /// that are not trusted yet.
   [[nodiscard]] const std::set<std::string>& suspected() const { return suspected_; }
-  /// Whether a domain that contains this location is lost.
+  /// Returns whether a domain that contains this location is lost.
   [[nodiscard]] bool is_lost(const topology::MachineLocation& location) const;
 
  private:
   struct DomainState {
     bool lost = false;
-    bool logged = false;         ///< its loss is in the log
-    Instant since{};             ///< when it was lost, or heard again
-    Instant last_populated{};    ///< when a machine of it was last known
-    std::uint32_t machines = 0;  ///< while lost: how many it has had at most; otherwise how many it had then
-    int relapses = 0;            ///< how often it was lost again before it was forgotten
+    bool logged = false;         ///< whether its loss has been logged
+    Instant since{};             ///< when it was lost or recovered
+    Instant last_populated{};    ///< when it last contained a machine
+    std::uint32_t machines = 0;  ///< while lost: maximum during the loss; otherwise: number at recovery
+    int relapses = 0;            ///< number of further losses since its first one
   };
-  /// The machines of one domain at one evaluation.
+  /// The machine counts of one domain at one evaluation.
   struct Tally {
     std::uint32_t machines = 0;
     std::uint32_t late = 0;
@@ -65,14 +69,14 @@
   std::vector<Tally> count(Instant now, Micros lateness, const std::vector<DomainMember>& members) const;
   void update_domains(Instant now, const std::vector<Tally>& tallies);
   void mark_lost(DomainId id, Instant now, const Tally& tally);
-  void update_known(DomainId id, DomainState& state, Instant now, const Tally& tally) const;
+  void update_tracked(DomainId id, DomainState& state, Instant now, const Tally& tally) const;
   void log_losses(Instant now);
   void update_suspected(Instant now, Micros lateness, const std::vector<DomainMember>& members);
-  void suspect_untrusted(const DomainState& state, Instant now, std::vector<const DomainMember*>& heard);
+  void suspect_untrusted(const DomainState& state, Instant now, std::vector<const DomainMember*>& reporting);
   bool ancestor_lost(DomainId id) const;
 
   std::shared_ptr<const topology::Topology> topology_;
-  std::map<DomainId, DomainState> domains_;  ///< those that are lost or were so of late
+  std::map<DomainId, DomainState> domains_;  ///< domains that are lost or were lost recently
   std::set<std::string> suspected_;          ///< hosts
 };
 
--- a/src/events/include/wrenusher/events/capacity.hpp
+++ b/src/events/include/wrenusher/events/capacity.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Events about capacity: machine types, what the cloud can supply, and the demand that the provisioner meets.
+// Events about capacity: the machine types, the available capacity of the cloud, and the demand for machines.
 
 #include <cstdint>
 #include <map>
@@ -15,46 +15,49 @@
 
 namespace wrenusher::events {
 
-/// The machine types, as the cloud or the key-value store last listed them. From the provisioner.
+/// The machine types as last listed by the cloud or read from the key-value store. Sent by the provisioner.
 struct CatalogUpdated {
   std::shared_ptr<const protocol::Catalog> catalog;  ///< never null
 };
 
-/// What the cloud can't supply at present, and what is on its way. From the provisioner.
+/// The machine types that the cloud cannot supply at present, and the machines that are starting. Sent by the
+/// provisioner.
 struct CapacityChanged {
-  std::set<std::string> exhausted;  ///< machine types of which it has none left
+  std::set<std::string> exhausted;  ///< machine types that the cloud has run out of
   std::map<std::string, std::uint32_t>
-      starting;  ///< by machine type: machines rented or requested, and not up yet
+      starting;  ///< number of machines rented or requested but not up yet, by machine type
 };
 
-/// What the provisioner decides by. From the leader, once a scheduling cycle at most.
+/// The demand and the machine load from which the provisioner decides what to rent and return. Sent by the
+/// leader, at most once per scheduling cycle.
 struct Workload {
-  /// Tasks of one job that wait for a machine.
+  /// The tasks of one job that wait for a machine.
   struct Demand {
     protocol::JobSpec spec;
-    std::uint32_t tasks = 0;                 ///< that wait
-    std::uint32_t expected_on_existing = 0;  ///< of those: expected to be placed on a machine that there is
-    time::Micros estimate{};                 ///< of the run time of a task
-    time::Micros slack{};                    ///< how long it may wait for its start
-    std::set<std::string> excluded_types;    ///< machine types reserved for jobs that fit nowhere else
-    /// Pairs of machine type and zone where a machine could satisfy the job's layout; nothing: any.
+    std::uint32_t tasks = 0;  ///< number of waiting tasks
+    std::uint32_t expected_on_existing =
+        0;                                 ///< waiting tasks expected to fit on machines that are already up
+    time::Micros estimate{};               ///< estimated run time of a task
+    time::Micros slack{};                  ///< how long the job may wait for its start
+    std::set<std::string> excluded_types;  ///< machine types reserved for jobs that fit on no other type
+    /// Pairs of machine type and zone in which a new machine could satisfy the job's layout; nullopt: all.
     std::optional<std::set<std::pair<std::string, std::string>>> eligible_placements;
   };
-  /// What a machine is used for.
+  /// How much of a machine is in use.
   struct MachineLoad {
     std::string host;
     std::string machine_type;
     std::string zone;
     bool spot = false;
-    bool usable = false;            ///< new tasks may be placed on it
-    std::uint32_t assignments = 0;  ///< tasks
-    // Resources as cores, see placement::core_equivalents.
-    protocol::Amount reserved = 0;      ///< by all tasks assigned to it
-    protocol::Amount running = 0;       ///< by those that run
-    protocol::Amount service_load = 0;  ///< by services, which don't end
-    bool has_named_device = false;      ///< it has a named device, which no rented machine could replace
+    bool usable = false;            ///< whether new tasks may be placed on it
+    std::uint32_t assignments = 0;  ///< number of assigned tasks
+    // Resources are in core equivalents, see placement::core_equivalents.
+    protocol::Amount reserved = 0;      ///< by all assigned tasks
+    protocol::Amount running = 0;       ///< by running tasks
+    protocol::Amount service_load = 0;  ///< by replicas of services, which do not end
+    bool has_named_device = false;  ///< whether it has a named device, which no rented machine could replace
   };
-  std::vector<Demand> demands;  ///< in the order in which they are scheduled
+  std::vector<Demand> demands;  ///< in scheduling order
   std::vector<MachineLoad> machines;
 };
 
--- a/src/events/include/wrenusher/events/hints.hpp
+++ b/src/events/include/wrenusher/events/hints.hpp
@@ -1,6 +1,7 @@
 #pragma once
-// What a leader knows of machines, jobs and rentals that no record holds, as its successors receive it. Hints
-// may change the order of work and improve estimates; they never prove anything.
+// Hints: the state about machines, jobs and rentals that the leader sends to the standbys because no record
+// contains it. Hints may change the order of work and improve estimates; no decision may rely on them as
+// proof.
 
 #include <cstdint>
 #include <map>
@@ -11,7 +12,7 @@
 
 namespace wrenusher::events {
 
-/// What a leader knows of one machine.
+/// The leader's unrecorded state of one machine.
 struct MachineHint {
   /// An image in the machine's cache.
   struct Image {
@@ -34,74 +35,74 @@
   std::string machine_type;
   std::string zone;
   bool spot = false;
-  bool silent = false;    ///< it has not reported for long
-  bool has_room = false;  ///< some of its resources were free
+  bool silent = false;    ///< whether its worker has stopped reporting
+  bool has_room = false;  ///< whether some of its resources were free
   std::uint64_t incarnation = 0;
-  int speed_samples = 0;  ///< tasks that `slowness` is the median of
+  int speed_samples = 0;  ///< number of tasks over which `slowness` is the median
   /// Logarithm of (actual / expected run time), relative to other tasks of the same jobs.
   double slowness = 0;
-  time::Micros age{};         ///< of this hint, at the receiver
+  time::Micros age{};         ///< age of this hint at the receiver
   std::vector<Image> images;  ///< least recently used first
   std::vector<Fetch> fetches;
   std::vector<Failure> failures;
 };
 
-/// How far the latest jobs of a job class ran longer or shorter than their users estimated.
+/// The run times of the latest jobs of a job class, compared with their users' estimates.
 struct JobClassHint {
   /// One finished job.
   struct JobSample {
     std::string job_id;
-    double log_ratio_sum = 0;  ///< over its tasks, of the logarithm of (actual / estimated run time)
-    int tasks = 0;             ///< how many those were
+    double log_ratio_sum = 0;  ///< sum over its tasks of log(actual / estimated run time)
+    int tasks = 0;             ///< number of tasks in the sum
   };
   std::string job_class;
   std::vector<JobSample> jobs;
 };
 
-/// A job whose tasks failed.
+/// The failures and retries of a job whose tasks failed.
 struct JobHint {
   std::string job_id;
-  std::vector<std::string> hosts;  ///< machines on which they failed
-  time::Micros retry_pause{};      ///< from now until the next retry
-  int retry_count = 0;             ///< so far
+  std::vector<std::string> hosts;  ///< machines on which its tasks failed
+  time::Micros retry_pause{};      ///< time from now to the next retry
+  int retry_count = 0;             ///< number of retries so far
 };
 
-/// A machine that was rented and is not up yet.
+/// A rented machine that is not up yet.
 struct RentalHint {
   std::string host;
   std::string machine_type;
   std::string zone;
   bool spot = false;
-  time::Micros age{};         ///< since it was rented
-  time::Micros report_due{};  ///< from now, the time within which it is to report first
+  time::Micros age{};         ///< time since it was rented
+  time::Micros report_due{};  ///< time from now until its first report is due
 };
 
-/// A request to rent machines that the cloud has not answered yet.
+/// A rental request that the cloud has not answered yet.
 struct RentalRequestHint {
-  std::string name;  ///< by which the request is idempotent
+  std::string name;  ///< idempotency key of the request
   std::string machine_type;
   std::string zone;
   bool spot = false;
   std::uint32_t count = 0;
 };
 
-/// What the leader publishes: machines, job classes and jobs of which something changed since it last did.
+/// The machines, job classes and jobs that changed since the leader last published hints.
 struct LeaderHints {
   std::vector<MachineHint> machines;
   std::vector<JobClassHint> job_classes;
   std::vector<JobHint> jobs;
 };
 
-/// All rentals and rental requests under way. Published by the provisioner.
+/// All unfinished rentals and rental requests. Published by the provisioner.
 struct RentalHints {
   std::vector<RentalHint> rentals;
   std::vector<RentalRequestHint> requests;
 };
 
-/// What this node had received from the previous leader when its own term began.
+/// The hints that this node had received from the previous leader when its own term began.
 struct InheritedHints {
-  std::uint64_t term = 0;                       ///< the fencing token of the term that begins
-  bool complete = false;                        ///< all that the previous leader knew about one heartbeat ago
+  std::uint64_t term = 0;  ///< the fencing token of this node's term
+  bool complete = false;   ///< whether they cover the previous leader's full state of about one heartbeat ago
   std::map<std::string, MachineHint> machines;  ///< by host
   std::vector<JobClassHint> job_classes;
   std::vector<JobHint> jobs;
--- a/src/events/include/wrenusher/events/jobs.hpp
+++ b/src/events/include/wrenusher/events/jobs.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Events about jobs: cancellations, announcements of what users are told, changes of the records, progress.
+// Events about jobs: cancellations, announcements of job stages, changes of the records, and progress.
 
 #include <cstdint>
 #include <optional>
@@ -12,32 +12,33 @@
 
 namespace wrenusher::events {
 
-/// A user is about to be told that this job is cancelled, by this node or another, or the key-value store
-/// says that it is. Sent before the answer to the user.
+/// The job is cancelled: a node is about to confirm the cancellation to a user, or the key-value store has
+/// recorded it. Sent before the response to the user.
 struct JobCancelled {
   std::string job_id;
 };
 
-/// How far a job has got, as users are told. Answers to users never go back, see job_api::ReadConsistency.
+/// The stage of a job in responses to users. Responses never show an earlier stage than a previous response
+/// did, see job_api::ReadConsistency.
 enum class JobStage {
-  absent,    ///< unknown
+  absent,    ///< no such job
   accepted,  ///< pending or running
   finished   ///< done or cancelled
 };
 
-/// A node is about to tell a user that the job has got so far. Sent by the users' interface to the peers, by
-/// a peer to this node, and back to the users' interface as a confirmation once every peer has received it.
+/// A node is about to respond to a user with this stage of the job. Sent by the job API to the peers, and by
+/// a peer to this node. Also sent back to the job API, as a confirmation, once every peer has received it.
 struct StageAnnouncement {
   std::string job_id;
   JobStage stage = JobStage::accepted;
 };
 
-/// Which jobs a watch of the live records found changed.
+/// The jobs whose live records changed, from a watch.
 struct RecordsChanged {
-  std::vector<std::string> live;   ///< accepted, and not cancelled
-  std::vector<std::string> ended;  ///< cancelled, or no longer live
+  std::vector<std::string> live;   ///< accepted and not cancelled
+  std::vector<std::string> ended;  ///< cancelled, or without a live record
 
-  /// A live record was put. Keys of other kinds are ignored.
+  /// Adds the job whose live record was written. Ignores keys of other kinds.
   void put(const std::string& key, const value::Value& record) {
     if (auto cancelled = records::cancelled_job(key, record)) {
       ended.push_back(std::move(*cancelled));
@@ -45,26 +46,27 @@
       live.push_back(std::move(*job_id));
     }
   }
-  /// A live record was deleted.
+  /// Adds the job whose live record was deleted. Ignores keys of other kinds.
   void erase(const std::string& key) {
     if (auto job_id = records::parse_job_key(key)) ended.push_back(std::move(*job_id));
   }
 };
 
-/// The key-value store has answered with every cancellation of a live job that it had when it was asked.
+/// This node has read every cancellation of a live job that the key-value store had when the request was
+/// sent.
 struct CancellationsRead {
   time::Instant request_sent_at{};
-  std::vector<std::string> job_ids;  ///< those that are new to the reader
+  std::vector<std::string> job_ids;  ///< cancelled jobs that the reader had not seen before
 };
 
-/// Every cancellation that any user was told of before `through` has been sent as JobCancelled. From the
-/// peers' actor.
+/// Every cancellation that was confirmed to any user before `through` has been sent as JobCancelled. Sent by
+/// membership::Peer.
 struct CancellationsKnown {
   time::Instant through = time::Instant::min();
-  std::string slowest_peer;  ///< the one that was not heard for longest; empty: none
+  std::string slowest_peer;  ///< the peer with the oldest last exchange; empty: none
 };
 
-/// Task counts of the live jobs as the leader last published them; for display alone.
+/// Task counts of the live jobs as last published by the leader. For display only.
 struct Progress {
   /// The task counts of one job.
   struct Row {
@@ -72,16 +74,16 @@
     std::uint64_t done = 0;
     std::uint64_t running = 0;
   };
-  /// The range of jobs that a page covers, by identifier.
+  /// The range of job identifiers that a page covers.
   struct JobRange {
-    std::string after;    ///< exclusive
-    std::string through;  ///< inclusive; empty: to the end
+    std::string after;    ///< lower bound, exclusive
+    std::string through;  ///< upper bound, inclusive; empty: no upper bound
     bool contains(const std::string& job_id) const {
       return job_id > after && (through.empty() || job_id <= through);
     }
   };
   std::vector<Row> rows;
-  std::optional<JobRange> job_range;  ///< nothing: the rows cover all live jobs
+  std::optional<JobRange> job_range;  ///< nullopt: the rows cover all live jobs
 };
 
 }  // namespace wrenusher::events
--- a/src/events/include/wrenusher/events/membership.hpp
+++ b/src/events/include/wrenusher/events/membership.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Events about who leads, and what the controllers exchange with each other.
+// Events about leadership, and about the heartbeats that the controllers exchange.
 
 #include <cstdint>
 #include <optional>
@@ -12,78 +12,79 @@
 
 namespace wrenusher::events {
 
-/// A term began or ended, here or elsewhere. From leadership.
+/// A term began or ended, on this node or on another. Sent by leadership.
 struct TermChanged {
-  bool leading = false;
-  std::uint64_t fencing_token = 0;  ///< the highest that this node knows; the term's, while leading
-  /// Of the `leader` key, while leading: a compare-and-swap condition of every scheduling write.
+  bool leading = false;             ///< whether this node leads
+  std::uint64_t fencing_token = 0;  ///< highest token seen by this node; while leading, the token of its term
+  /// While leading: mod revision of the `leader` key, a compare-and-swap condition of every scheduling write.
   std::uint64_t mod_revision = 0;
-  std::string leader;  ///< its node; empty: not known
-  /// While leading: when the expiry of the previous lease was noticed here. Zero: there was none.
+  std::string leader;  ///< node that leads; empty: unknown
+  /// While leading: when this node detected the expiry of the previous lease. Zero: there was no expiry.
   time::Instant lease_expiry_noticed{};
-  /// While leading: when the previous leader was last heard. Zero: never.
+  /// While leading: when the previous leader's last heartbeat arrived. Zero: none arrived.
   time::Instant last_heartbeat{};
 };
 
-/// Until when this node is certain to be the only leader. From leadership.
+/// The time until which this node is certain to be the only leader. Sent by leadership.
 struct LeaseValidity {
   time::Instant until{};
 };
 
-/// How much of what the leader knows a standby has.
+/// How much of the leader's state a standby has.
 enum class Readiness {
   cold,     ///< nothing
-  partial,  ///< the records or the hints, not both
+  partial,  ///< either the records or the hints
   warm      ///< both
 };
 
-/// What a peer says of itself in a heartbeat. From the peers' actor.
+/// The status of a peer, from its heartbeat. Sent by membership::Peer.
 struct PeerStatus {
   std::string node;
   std::uint64_t fencing_token = 0;
   std::string leader;
   bool leading = false;
-  bool kv_reachable = false;                  ///< the key-value store answers it
-  bool receives_reports = false;              ///< workers reach it
-  std::vector<std::string> cancelled;         ///< jobs, by its cancellation log
-  topology::TopologyVersion topology;         ///< the version in its file
-  topology::TopologyVersion active_topology;  ///< the version in force, while it leads
+  bool kv_reachable = false;                  ///< whether the peer reaches the key-value store
+  bool receives_reports = false;              ///< whether workers reach the peer
+  std::vector<std::string> cancelled;         ///< cancelled jobs in its cancellation log
+  topology::TopologyVersion topology;         ///< version of its topology file
+  topology::TopologyVersion active_topology;  ///< version in force, while it leads
   Readiness readiness = Readiness::cold;
-  bool abstains = false;  ///< it has stepped down and does not want to lead again yet
-  /// When the heartbeat went out that this answers: the peer was alive later than that. Nothing: the peer
-  /// sent this by itself.
+  bool abstains = false;  ///< whether it has stepped down and does not stand for election yet
+  /// When this node sent the heartbeat to which this is the response: the peer was alive after that time.
+  /// nullopt: the peer sent its status in a heartbeat of its own.
   std::optional<time::Instant> request_sent_at;
-  std::string successor;  ///< the node that it wants to lead next; empty: none
-  /// Everything that it had announced to this node has been received with this; otherwise more follows.
+  std::string successor;  ///< the node that it proposes as the next leader; empty: none
+  /// Whether this node has now received all announcements of the peer; otherwise more follow.
   bool announcements_complete = true;
 };
 
-/// A worker or a peer showed a fencing token above this node's, or a write failed on the `leader` key.
+/// A worker or a peer sent a higher fencing token than this node's, or a write failed its condition on the
+/// `leader` key.
 struct LeadershipLost {
-  std::uint64_t fencing_token = 0;  ///< the higher one; 0: not known
+  std::uint64_t fencing_token = 0;  ///< the higher token; 0: unknown
 };
 
-/// How well this node and the workers reach each other. From the worker gateway, every 250 ms.
+/// Whether this node and the workers reach each other. Sent by the worker gateway every 250 ms.
 struct WorkerReachability {
-  bool receives_nothing = false;  ///< it leads, and too few of its workers report
-  bool replies_lost = false;      ///< it leads, and the reports show nothing of its answers
-  bool receives_reports = false;  ///< some worker has reported of late, leading or not
-  bool had_workers = false;       ///< some reported in this term
+  bool receives_nothing = false;  ///< this node leads, and too few of its workers report
+  bool replies_lost = false;      ///< this node leads, and the reports show no effect of its replies
+  bool receives_reports = false;  ///< a worker has reported recently, whether this node leads or not
+  bool had_workers = false;       ///< at least one worker has reported in this term
   bool starved = false;           ///< this process got no processor time for most of the last seconds
 };
 
-/// This node steps down now.
+/// This node steps down from leadership now.
 struct SteppingDown {
-  std::string successor;  ///< the node that is to lead next; empty: any
+  std::string successor;  ///< the node that should lead next; empty: any
 };
 
-/// Data for one peer that is to travel with the next heartbeat, or data of a peer that has arrived with one.
+/// Data to send to a peer with the next heartbeat, or data received with a heartbeat of a peer.
 struct HeartbeatAttachment {
   std::string peer;
   value::Value value;
 };
 
-/// A heartbeat has been sent: attachments for the next one are due.
+/// A heartbeat was sent: attachments for the next one may be prepared.
 struct HeartbeatSent {};
 
 }  // namespace wrenusher::events
--- a/src/events/include/wrenusher/events/topology.hpp
+++ b/src/events/include/wrenusher/events/topology.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Events about the failure domains: which topology is in force, and which machines are suspected.
+// Events about failure domains: the topology in force, and the suspected machines.
 
 #include <memory>
 #include <set>
@@ -9,21 +9,21 @@
 
 namespace wrenusher::events {
 
-/// This node's topology file was read and is valid. From the topology loader.
+/// This node has read its topology file, and the file is valid. Sent by the topology loader.
 struct TopologyLoaded {
   std::shared_ptr<const topology::Topology> topology;  ///< null: the settings name no file
 };
 
-/// The topology by which to decide from now on: the leader's own; on other nodes this node's own, if it is
-/// the same version. From leadership.
+/// The topology to use from now on. It is always this node's own; on a node that does not lead, only if it
+/// has the same version as the leader's. Sent by leadership.
 struct TopologyActivated {
   std::shared_ptr<const topology::Topology> topology;  ///< null: none
-  topology::TopologyVersion version;  ///< the version in force, which a leader may not have loaded
-  bool agreed = true;  ///< false: another version is in force, and nothing may be decided by this one
+  topology::TopologyVersion version;  ///< the version in force; a leader may not have loaded it
+  bool agreed = true;  ///< false: another version is in force, and no decision may use this topology
 };
 
-/// All machines that get no new tasks because their failure domain is lost, or is heard again only since
-/// recently. From the worker gateway, whenever the set changes.
+/// All machines that get no new tasks because their failure domain is lost or has recovered only recently.
+/// Sent by the worker gateway whenever the set changes.
 struct MachinesSuspected {
   std::set<std::string> hosts;
 };
--- a/src/machine_inventory/images.cpp
+++ b/src/machine_inventory/images.cpp
@@ -1,4 +1,4 @@
-// Images on machines: what is cached, and the fetches under way.
+// The images on the machines: cached images and fetches in progress.
 #include <algorithm>
 
 #include "wrenusher/machine_inventory/machine_inventory.hpp"
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// A fetch is never estimated to have less than this fraction of the image left.
+/// Lower bound of the estimated remaining size of a fetch, as a fraction of the image size.
 constexpr double kMinRemainingFraction = 0.05;
 
 }  // namespace
@@ -25,8 +25,8 @@
 }
 
 void MachineInventory::advance_fetches(Machine& machine) {
-  const double seconds = time::to_seconds(runtime_.now() - machine.fetches_as_of);
-  machine.fetches_as_of = runtime_.now();
+  const double seconds = time::to_seconds(runtime_.now() - machine.fetches_estimated_at);
+  machine.fetches_estimated_at = runtime_.now();
   const MachineType* machine_type = machine.fetches.empty() ? nullptr : type_of(machine);
   if (machine_type == nullptr) return;
   const double fetched_gb =
@@ -40,7 +40,7 @@
   advance_fetches(machine);
   mark_changed(machine);
   fetching_.insert(&machine);
-  const auto [it, first] =
+  const auto [it, added] =
       machine.fetches.try_emplace(spec.image, ImageFetch{spec.image_gb, spec.image_gb, 0, spec.priority});
   if (auto inherited = machine.inherited_fetches.extract(spec.image))
     it->second.remaining_gb = std::min(it->second.remaining_gb, inherited.mapped());
--- a/src/machine_inventory/include/wrenusher/machine_inventory/machine_inventory.hpp
+++ b/src/machine_inventory/include/wrenusher/machine_inventory/machine_inventory.hpp
@@ -1,8 +1,10 @@
 #pragma once
-// Package machine_inventory: the leader's view of the machines that workers report from or that assignments
-// stand on. It owns the machine types, where machines stand in the active topology, what is reserved and runs
-// on them, their cached images and fetches, and which of them changed since the last plan. It knows nothing
-// of jobs. It may depend on time, value, runtime, protocol, topology, placement and estimates.
+// Package machine_inventory: the leader's state of all machines whose workers report or that have
+// assignments. It keeps no jobs.
+//
+// It owns the machine types, the locations of the machines in the active topology, their reserved and used
+// resources, their cached images and fetches, and the list of machines changed since the last plan. It may
+// depend on time, value, runtime, protocol, topology, placement and estimates.
 
 #include <cstddef>
 #include <cstdint>
@@ -30,10 +32,9 @@
 using protocol::WorkerReport;
 using runtime::Runtime;
 
-/// All machines of the term. Invariant: what is reserved, running and being fetched on a machine is the sum
-/// over the assignments that stand on it (`disagreement` compares). Single-threaded: called from the
-/// runtime's loop only. It owns the machines; pointers and references to one hold until it is erased or all
-/// are cleared.
+/// All machines of the term. Invariant: the reserved and running resources and the fetches of a machine are
+/// the sums over its assignments (`disagreement` verifies this). Single-threaded: called from the runtime's
+/// loop only. Owns the machines; pointers and references to a machine stay valid until `erase` or `clear`.
 class MachineInventory {
  public:
   MachineInventory(Runtime& runtime, const estimates::Estimator& estimator)
@@ -41,101 +42,108 @@
 
   // Machines.
 
-  /// A new term: only the machine types and the topology stay known.
+  /// Removes all machines, as a new term begins. The machine types and the topology stay.
   void clear();
-  /// The machine of that name, added if it is not known.
+  /// Returns the machine with this name, and adds it if there is none.
   Machine& get_or_add(const std::string& host);
-  /// Null when it is not known.
+  /// Returns the machine with this name, or null if there is none.
   Machine* find(const std::string& host);
-  /// The machine is gone; no assignment may stand on it. Does nothing when it is not known.
+  /// Removes the machine, which must have no assignments. Does nothing if there is no such machine.
   void erase(const std::string& host);
-  /// Takes over type, location and state from a heartbeat. `token_accepted`: its worker has accepted this
-  /// term's fencing token.
+  /// Updates type, location and state from a worker's report. `token_accepted` is true if the worker has
+  /// accepted this term's fencing token.
   void update_from_report(Machine& machine, const WorkerReport& report, bool token_accepted);
-  /// Ordered by name.
+  /// Returns all machines, ordered by name.
   std::map<std::string, Machine>& all() { return machines_; }
   const std::map<std::string, Machine>& all() const { return machines_; }
 
   // Machine types and topology.
 
-  /// Takes over the machine types, unless they are the same as before.
+  /// Replaces the machine types, unless the new ones are equal to the current ones.
   void set_catalog(std::shared_ptr<const Catalog> catalog);
-  /// Null until the cloud or the state service has named the types.
+  /// Returns the machine types, or null until they were received from the cloud or the key-value store.
   const Catalog* catalog() const { return catalog_.get(); }
-  /// Null while the machine's type is not known.
+  /// Returns the type of the machine, or null while it is unknown.
   const MachineType* type_of(const Machine& machine) const { return find_type(machine.machine_type); }
-  /// Null when there is no such type.
+  /// Returns the type with this name, or null if there is none.
   const MachineType* find_type(const std::string& name) const;
-  /// Locates every machine anew. Null: no topology is active.
+  /// Sets the active topology and updates the location of every machine. Null: no topology is active.
   void set_topology(std::shared_ptr<const topology::Topology> topology);
-  /// Null while none is active.
+  /// Returns the active topology, or null if none is active.
   const topology::Topology* topology() const { return topology_.get(); }
-  /// Named devices that waiting jobs ask for: machines that have one are kept for those jobs.
+  /// Sets the named devices that waiting jobs require. Machines with such a device are reserved for these
+  /// jobs.
   void set_wanted_devices(std::set<std::string> names);
 
   // Changes since the last plan and the last hint.
 
-  /// Something changed that a plan looks at.
+  /// Marks the machine as changed for the next plan and for the next hint.
   void mark_changed(Machine& machine);
-  /// The machines marked since the last call, in the order of their first mark.
+  /// Returns the machines marked since the last call, in the order of their first mark.
   [[nodiscard]] std::vector<Machine*> take_changed();
-  /// The machines marked since a call last returned them, at most `max_count`; the rest stay pending.
+  /// Returns at most `max_count` of the machines that were marked since a call last returned them. The others
+  /// stay pending.
   [[nodiscard]] std::vector<Machine*> take_pending_hints(std::size_t max_count);
-  /// Slots in the placement index of machines erased since the last call.
+  /// Returns the placement index slots of the machines erased since the last call.
   std::vector<std::uint32_t> take_freed_slots() { return std::exchange(freed_slots_, {}); }
-  /// Rises when everything that the placement index shows is void: a new term, other machine types, another
-  /// topology.
+  /// Returns a number that rises whenever the whole placement index is invalidated: by a new term, other
+  /// machine types or another topology.
   std::uint64_t generation() const { return generation_; }
 
   // Assignments.
 
-  /// A task of the job is assigned to the machine.
+  /// Adds the resources of a task that was assigned to the machine.
   void reserve(Machine& machine, const JobSpec& spec);
-  /// Such an assignment has ended.
+  /// Subtracts the resources of a task whose assignment to the machine has ended.
   void release(Machine& machine, const JobSpec& spec);
-  /// An assigned task began to run.
+  /// Adds the resources of an assigned task that started to run.
   static void task_started(Machine& machine, const JobSpec& spec) { machine.use.running += spec.resources; }
-  /// It no longer runs.
+  /// Subtracts the resources of a task that no longer runs.
   static void task_stopped(Machine& machine, const JobSpec& spec) { machine.use.running -= spec.resources; }
 
   // Images.
 
-  /// An image that the last term's leader believed to be on a machine.
+  /// An image that is cached or being fetched on a machine according to the previous leader's hints.
   struct InheritedImage {
     std::string image;
-    double gb = 0;            ///< its size
-    double remaining_gb = 0;  ///< what was left of its fetch; 0: it was cached
+    double gb = 0;            ///< size of the image
+    double remaining_gb = 0;  ///< remaining size of its fetch; 0: it was cached
   };
-  /// Takes over what the last term's leader knew, least recently used images first. Heartbeats correct what
-  /// is wrong.
+  /// Adopts the images from the previous leader's hints, ordered from least to most recently used. Reports
+  /// correct wrong entries.
   void adopt_images(Machine& machine, const std::vector<InheritedImage>& inherited);
-  /// A task waits for its image on the machine. False when the image is cached there.
+  /// Adds a task that waits for its image on the machine. Returns false if the image is cached there, so that
+  /// no fetch is needed.
   [[nodiscard]] bool begin_fetch(Machine& machine, const JobSpec& spec);
-  /// A task that waited has its image, or is gone. Without any such task the fetch is given up.
+  /// Removes a task that waited for its image, because the image has arrived or the task has ended. Removes
+  /// the fetch if no other task waits for it.
   void end_fetch(Machine& machine, const JobSpec& spec);
-  /// The image was used on the machine: it is cached, and the least recently used ones make way for it.
+  /// Records that a task used the image: it is cached now, and the least recently used images beyond the
+  /// cache size are evicted.
   void record_image_use(Machine& machine, const JobSpec& spec);
-  /// The image that was believed to be cached has made way for others.
+  /// Records that the machine has evicted an image that was listed as cached.
   void record_image_eviction(Machine& machine, const JobSpec& spec);
-  /// Estimates anew what is left of the machine's fetches. They share its rate evenly, and the rate is off by
-  /// up to a third, so a fetch is never taken to be complete before a heartbeat shows it.
+  /// Updates the estimated remaining size of the machine's fetches, which share its fetch rate evenly. The
+  /// actual rate may differ by up to a third, so a fetch is never considered complete before a report shows
+  /// it.
   void advance_fetches(Machine& machine);
-  /// Machines with a fetch under way.
+  /// Returns the machines with a fetch in progress.
   const std::set<Machine*>& fetching() const { return fetching_; }
 
   // Views.
 
-  /// The machine's fetches, as of the last `advance_fetches`.
+  /// Returns the machine's fetches, as of the last `advance_fetches`.
   static std::vector<placement::PlannedFetch> fetches_of(const Machine& machine);
-  /// The machine as the placement index shows it, its fetches as of the last `advance_fetches`.
+  /// Returns the machine's entry for the placement index, with its fetches as of the last `advance_fetches`.
   placement::PlanMachine to_plan_machine(const Machine& machine, const MachineType& machine_type) const;
 
-  /// What the assignments on one machine add up to.
+  /// The resource use and the fetches of one machine, recomputed from its assignments.
   struct Recomputed {
     ResourceUse use;
-    std::map<std::string, std::uint32_t> fetching_tasks;  ///< image -> tasks that wait for it
+    std::map<std::string, std::uint32_t> fetching_tasks;  ///< image -> number of tasks that wait for it
   };
-  /// Compares what is kept up to date with what was computed anew; empty when they agree.
+  /// Compares the incrementally updated state with the recomputed one. Returns a description of the first
+  /// difference, or an empty string if there is none.
   std::string disagreement(const std::map<const Machine*, Recomputed>& recomputed) const;
 
  private:
@@ -146,7 +154,8 @@
   std::shared_ptr<const Catalog> catalog_;
   std::shared_ptr<const topology::Topology> topology_;
   std::map<std::string, Machine> machines_;
-  /// The same machines, hashed: thousands of heartbeats a second look one up. Keys point into the machines.
+  /// Hash index of the machines, since thousands of reports a second look one up. Keys point into
+  /// `machines_`.
   std::unordered_map<std::string_view, Machine*> by_name_;
   std::vector<Machine*> changed_;
   std::vector<Machine*> pending_hints_;
@@ -154,7 +163,7 @@
   std::set<Machine*> fetching_;
   std::set<std::string> wanted_devices_;
   std::uint64_t generation_ = 0;
-  std::uint64_t image_uses_ = 0;  ///< counter that orders uses of images
+  std::uint64_t image_uses_ = 0;  ///< sequence number of the latest use of an image
 };
 
 }  // namespace wrenusher::machine_inventory
--- a/src/machine_inventory/machine_inventory.cpp
+++ b/src/machine_inventory/machine_inventory.cpp
@@ -8,7 +8,7 @@
 using protocol::JobType;
 
 Machine& MachineInventory::get_or_add(const std::string& host) {
-  if (Machine* known = find(host)) return *known;
+  if (Machine* existing = find(host)) return *existing;
   Machine& machine = machines_[host];
   machine.name = host;
   by_name_.emplace(machine.name, &machine);
@@ -64,7 +64,7 @@
 }
 
 void MachineInventory::set_catalog(std::shared_ptr<const Catalog> catalog) {
-  // The placement index points into the catalog: the same types once more must not replace it.
+  // The placement index points into the catalog, so an equal catalog must not replace it.
   if (catalog_ && catalog && *catalog == *catalog_) return;
   catalog_ = std::move(catalog);
   ++generation_;
@@ -73,7 +73,7 @@
 void MachineInventory::set_topology(std::shared_ptr<const topology::Topology> topology) {
   if (topology_ == topology) return;
   topology_ = std::move(topology);
-  // The failure domains of every job's tasks are others from now on.
+  // The tasks of every job are in other failure domains now.
   ++generation_;
   for (auto& [host, machine] : machines_)
     machine.location = topology_ && !machine.zone.empty() ? locate(machine) : topology::MachineLocation{};
@@ -158,17 +158,17 @@
 }
 
 std::string MachineInventory::disagreement(const std::map<const Machine*, Recomputed>& recomputed) const {
-  const Recomputed nothing;
+  const Recomputed no_assignments;
   for (const auto& [host, machine] : machines_) {
     const auto it = recomputed.find(&machine);
-    const Recomputed& expected = it == recomputed.end() ? nothing : it->second;
+    const Recomputed& expected = it == recomputed.end() ? no_assignments : it->second;
     const bool same_fetches =
         std::equal(machine.fetches.begin(), machine.fetches.end(), expected.fetching_tasks.begin(),
                    expected.fetching_tasks.end(), [](const auto& fetch, const auto& tasks) {
                      return fetch.first == tasks.first && fetch.second.tasks == tasks.second;
                    });
     if (!(expected.use == machine.use) || !same_fetches)
-      return "machine " + host + ": its recorded use or fetches differ from its assignments";
+      return "machine " + host + ": recorded use or fetches differ from the sums over its assignments";
   }
   return {};
 }
--- a/src/worker_gateway/include/wrenusher/worker_gateway/delivery_monitor.hpp
+++ b/src/worker_gateway/include/wrenusher/worker_gateway/delivery_monitor.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Whether a worker receives the answers to its reports.
+// Detects workers that do not receive the replies to their reports.
 
 #include <cstdint>
 #include <vector>
@@ -8,41 +8,42 @@
 
 namespace wrenusher::worker_gateway {
 
-/// So many reports in a row that show nothing of the answer before them: the worker receives nothing. An
-/// answer is lost now and then; three in a row are not.
-inline constexpr int kMaxUnobserved = 3;
+/// A worker receives no replies if this many consecutive reports show no effect of the reply before them.
+/// Single replies are lost now and then, but not three in a row.
+inline constexpr int kMaxUnobservedReplies = 3;
 
-/// A machine whose reports arrive while answers and commands don't reach it looks healthy by its reports
-/// alone: it is never silent, gets its starts in vain, and loses its tasks with every lease. This class
-/// compares each report of one worker with what the worker was answered before. Single-threaded.
+/// Compares each report of one worker with the reply to the report before. A machine that sends reports but
+/// receives no replies or commands looks healthy by its reports alone: it is never silent, but it never
+/// executes its start commands, and it loses its tasks whenever its lease expires. Single-threaded.
 class DeliveryMonitor {
  public:
-  /// The newest report was answered with these commands.
+  /// Records that the newest report was answered with these commands.
   void on_reply(std::uint64_t fencing_token, const std::vector<protocol::WorkerCommand>& commands);
-  /// The worker was called: it may have spent a sequence number on an answer that never arrived.
-  void on_polled() { ++polls_; }
-  /// The worker's next report. `steady`: it came about when it was due, so that a lease that expired did so
-  /// for want of answers alone.
-  void on_report(const protocol::WorkerReport& report, bool steady);
-  /// How many reports in a row showed nothing of the answer before them.
+  /// Records that the worker was called: it may have used a sequence number for a response that was lost.
+  void on_polled() { ++calls_; }
+  /// Compares the worker's next report with the last reply. `on_time` is true if the report arrived about
+  /// when it was due: if the worker's lease has expired, the cause is then that replies were lost.
+  void on_report(const protocol::WorkerReport& report, bool on_time);
+  /// Returns how many consecutive reports showed no effect of the reply before them. An expired lease counts
+  /// as several.
   [[nodiscard]] int unobserved_replies() const { return unobserved_replies_; }
 
  private:
-  /// What is compared with the next report.
+  /// The position of the last report, to compare with the next report.
   struct LastReport {
     std::uint64_t fencing_token = 0;
     std::uint64_t incarnation = 0;
     std::uint64_t sequence = 0;
   };
-  void compare(const protocol::WorkerReport& report, const LastReport& last, std::uint64_t polls,
-               bool steady);
+  void compare(const protocol::WorkerReport& report, const LastReport& last, std::uint64_t calls,
+               bool on_time);
   void count(bool observed) { unobserved_replies_ = observed ? 0 : unobserved_replies_ + 1; }
 
   LastReport last_report_;
-  std::uint64_t polls_ = 0;        ///< since the last report
-  bool replied_ = false;           ///< the last report was answered
-  std::uint64_t reply_token_ = 0;  ///< the fencing token in that answer
-  /// Those of its commands that show in the next report if the answer arrived.
+  std::uint64_t calls_ = 0;        ///< calls to the worker since its last report
+  bool replied_ = false;           ///< whether the last report was answered
+  std::uint64_t reply_token_ = 0;  ///< the fencing token in that reply
+  /// The commands of that reply whose effect shows in the next report if the reply arrived.
   std::vector<protocol::WorkerCommand> reply_commands_;
   int unobserved_replies_ = 0;
 };
--- a/src/worker_gateway/include/wrenusher/worker_gateway/departed_machines.hpp
+++ b/src/worker_gateway/include/wrenusher/worker_gateway/departed_machines.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Machines that the cloud has taken away.
+// The set of machines that the cloud has removed.
 
 #include <cstddef>
 #include <deque>
@@ -8,10 +8,11 @@
 
 namespace wrenusher::worker_gateway {
 
-/// Remembers the machines that departed last, so that their late reports are ignored. Bounded: the one that
-/// departed first is forgotten first. Single-threaded: called from the runtime's loop only.
+/// Keeps the most recently departed machines, so that their late reports are ignored. Bounded: when it is
+/// full, the machine that departed first is removed. Single-threaded: called from the runtime's loop only.
 class DepartedMachines {
  public:
+  /// Adds a machine. Does nothing if it is already in the set.
   void add(const std::string& host) {
     if (!hosts_.insert(host).second) return;
     insertion_order_.push_back(host);
@@ -22,7 +23,7 @@
   [[nodiscard]] bool contains(const std::string& host) const { return hosts_.contains(host); }
 
  private:
-  /// Every machine of the largest deployment (11,000), twice.
+  /// Twice the number of machines of the largest deployment (11,000).
   static constexpr std::size_t kMaxMachines = 22000;
 
   std::set<std::string> hosts_;
--- a/src/worker_gateway/include/wrenusher/worker_gateway/lease_renewal_guard.hpp
+++ b/src/worker_gateway/include/wrenusher/worker_gateway/lease_renewal_guard.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Which worker leases may be renewed, given what is known of cancellations.
+// Decides whether a worker's lease may be renewed, depending on how current the known cancellations are.
 
 #include <deque>
 #include <string>
@@ -13,12 +13,16 @@
 
 namespace wrenusher::worker_gateway {
 
-/// Serves the rule that no task of a cancelled job is left `cancel_s` after a user was told. A lease is
-/// renewed only while every cancellation that any user was told of longer ago than `max_unknown` is known
-/// here, and its tasks are stopped by the same answer. What is not known may concern any task, so the lease
-/// of its worker is let run out, which takes `lease_s` from the last renewal on.
+/// Enforces that no task of a cancelled job runs later than `cancel_s` after a user received the
+/// confirmation.
 ///
-/// Owns the cancelled jobs of late; `runtime` and `settings` must outlive it. Single-threaded: called from
+/// A lease is renewed only if this node has every cancellation that was confirmed longer than
+/// `max_cancellation_lag` ago. The reply that renews the lease also stops the tasks of cancelled jobs.
+///
+/// A cancellation that is missing here may concern any task. Therefore the leases of all workers with tasks
+/// are left to expire, which takes `lease_s` from the last renewal.
+///
+/// Owns the recently cancelled jobs; `runtime` and `settings` must outlive it. Single-threaded: called from
 /// the runtime's loop only.
 class LeaseRenewalGuard {
  public:
@@ -26,36 +30,36 @@
       : runtime_(runtime), settings_(settings) {}
 
   void on_job_cancelled(const events::JobCancelled& event);
-  void on_cancellations_known(const events::CancellationsKnown& event) { known_ = event; }
+  void on_cancellations_known(const events::CancellationsKnown& event) { known_cancellations_ = event; }
 
-  /// Whether an answer to this report may renew its worker's lease.
+  /// Returns whether the reply to this report may renew its worker's lease.
   [[nodiscard]] bool may_renew(const protocol::WorkerReport& report) const;
-  /// Drops starts of cancelled jobs, and adds a stop for each of their tasks that the report shows. The
-  /// leader may not know of the cancellation yet: it may have read no record so far.
+  /// Removes start commands of cancelled jobs, and adds a stop command for each of their tasks in the report.
+  /// The leader may not have done so, since it may not have read any record yet.
   void add_stops(const protocol::WorkerReport& report, std::vector<protocol::WorkerCommand>& commands) const;
 
-  /// A renewal was refused. Logs the first one.
+  /// Records that a renewal was withheld. Logs the first one.
   void on_withheld();
-  /// Logs that renewals are possible again, once after refusals.
+  /// Logs that leases are renewed again, once after renewals were withheld.
   void log_if_recovered();
 
  private:
-  /// One cancellation event, for forgetting it in time.
+  /// One received cancellation, for removing it when it has expired.
   struct Cancellation {
     time::Instant received_at{};
     std::string job_id;
   };
-  bool all_known() const;
-  time::Micros max_unknown() const;
-  void forget_old(time::Instant now);
+  bool cancellations_current() const;
+  time::Micros max_cancellation_lag() const;
+  void remove_expired(time::Instant now);
 
   const runtime::Runtime& runtime_;
   const settings::Settings& settings_;
-  /// Cancelled jobs, by when the event came, for as long as a task of theirs may be anywhere.
+  /// Cancelled jobs and when the event arrived, kept for as long as one of their tasks may be running.
   std::unordered_map<std::string, time::Instant> cancelled_;
   std::deque<Cancellation> cancelled_order_;
-  events::CancellationsKnown known_;
-  bool withholding_ = false;  ///< it is in the log that renewals are refused
+  events::CancellationsKnown known_cancellations_;
+  bool withholding_ = false;  ///< whether it has been logged that renewals are withheld
 };
 
 }  // namespace wrenusher::worker_gateway
--- a/src/worker_gateway/include/wrenusher/worker_gateway/listener_health.hpp
+++ b/src/worker_gateway/include/wrenusher/worker_gateway/listener_health.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Whether this node itself is the reason that workers seem silent.
+// Detects faults of this node that make workers seem silent.
 
 #include <cstddef>
 #include <optional>
@@ -8,44 +8,48 @@
 
 namespace wrenusher::worker_gateway {
 
-/// Judges how well this node hears its workers, so that no machine is blamed for a fault of the node: a
-/// process that got no processor time, or a network that cuts the leader off. Single-threaded.
+/// Checks whether this node can receive the reports of its workers, so that no machine is considered silent
+/// because of a fault of this node: a process without processor time, or a network that isolates the leader.
+/// Single-threaded.
 class ListenerHealth {
  public:
-  /// What is heard of the workers that this leader counts on.
-  struct Audience {
+  /// How many of the workers report to this leader.
+  struct ReportCounts {
     std::size_t expected = 0;  ///< workers that are not marked silent
-    std::size_t heard = 0;     ///< those of them that have reported about when it was due
+    std::size_t on_time = 0;   ///< those of them whose last report is not late
   };
 
-  /// A new report came, whether this node leads or not.
+  /// Records that a new report has arrived, whether this node leads or not.
   void on_report(time::Instant now);
-  /// To be called every `tick_interval`. Returns for how long this node stood still since the last call;
-  /// nothing: it did not, or too little to matter. Times at which workers were heard are to be put off by
-  /// that.
+  /// Must be called every `tick_interval`. Returns for how long this process was stalled since the last call,
+  /// by which the caller must move the times of the latest reports forward. Returns nullopt for no stall or
+  /// one too short to matter.
   [[nodiscard]] std::optional<time::Micros> on_tick(time::Instant now, time::Micros tick_interval);
-  /// To be called once a tick while it is known who is heard.
-  void on_audience(time::Instant now, const Audience& audience);
+  /// Updates `too_few_reporting`. Must be called once per tick.
+  void on_report_counts(time::Instant now, const ReportCounts& counts);
 
-  /// Whether reports have reached this node within `limit`.
+  /// Returns whether a report has reached this node within `limit`.
   [[nodiscard]] bool receives_reports(time::Instant now, time::Micros limit) const {
     return any_report_ && now - last_report_ < limit;
   }
-  /// Whether so few of the workers are heard that the fault is more likely here. Machines do not end most at
-  /// a time, and a leader cut off from its workers alone would otherwise return them all before it knows.
-  /// Holds for `limit` at most: they may have ended after all.
-  [[nodiscard]] bool too_few_heard(time::Instant now, time::Micros limit) const {
-    return now > enough_heard_at_ && now - enough_heard_at_ < limit;
+  /// Returns whether so few workers report that a fault of this node is more likely than one of the machines,
+  /// of which most do not fail at the same time. Returns true for at most `limit`, since they may have failed
+  /// after all.
+  ///
+  /// Without this check, a leader that is isolated only from its workers would return all machines before it
+  /// detects the isolation.
+  [[nodiscard]] bool too_few_reporting(time::Instant now, time::Micros limit) const {
+    return now > enough_reporting_at_ && now - enough_reporting_at_ < limit;
   }
-  /// Whether this node stood still for most of the last seconds.
+  /// Returns whether this process was stalled for most of the last seconds.
   [[nodiscard]] bool starved() const;
 
  private:
   time::Instant last_report_{};
   bool any_report_ = false;
-  time::Instant last_tick_{};        ///< zero: there was none
-  double stall_share_ = 0;           ///< part of the last seconds that this node stood still, 0 to 1
-  time::Instant enough_heard_at_{};  ///< when a fair part of the workers was last heard
+  time::Instant last_tick_{};  ///< zero: there was none
+  double stall_share_ = 0;     ///< share of the last seconds in which the process was stalled, 0 to 1
+  time::Instant enough_reporting_at_{};  ///< when enough of the workers last reported on time
 };
 
 }  // namespace wrenusher::worker_gateway
--- a/src/worker_gateway/include/wrenusher/worker_gateway/refusals.hpp
+++ b/src/worker_gateway/include/wrenusher/worker_gateway/refusals.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// Every answer by which a node doesn't accept a worker's report. A function is named by the `code` in the
-// answer's body, so that the code leads to it.
+// All responses that reject a worker's report. Each function has the name of the `code` in the response body,
+// so that it can be found from the code.
 
 #include <string>
 
@@ -8,16 +8,16 @@
 
 namespace wrenusher::worker_gateway::refusals {
 
-/// 405 `wrong_method`: reports are sent with POST.
+/// 405 `wrong_method`: reports must be sent with POST.
 [[nodiscard]] runtime::Response wrong_method();
-/// 400 `bad_report`: the body doesn't decode to a report.
+/// 400 `bad_report`: the body cannot be decoded to a report.
 [[nodiscard]] runtime::Response bad_report();
-/// 421 without a code: another node leads, `leader` as far as is known here. Empty: not known, and the worker
-/// tries the next node.
+/// 421 without a code: another node leads. `leader` is that node; if it is empty, the leader is unknown, and
+/// the worker tries the next node.
 [[nodiscard]] runtime::Response redirect(const std::string& leader);
-/// 503 `cancellations_unknown`, retry after 1 s. Cause: this leader has not learned in time from the
-/// key-value store or from its peers what users cancelled (LeaseRenewalGuard), so it may not renew the
-/// worker's lease.
+/// 503 `cancellations_unknown`, retry after 1 s. This leader has not received the cancellations by users in
+/// time from the key-value store or from its peers, so it may not renew the worker's lease (see
+/// LeaseRenewalGuard).
 [[nodiscard]] runtime::Response cancellations_unknown();
 
 }  // namespace wrenusher::worker_gateway::refusals
--- a/src/worker_gateway/include/wrenusher/worker_gateway/report_order.hpp
+++ b/src/worker_gateway/include/wrenusher/worker_gateway/report_order.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// The order of a worker's reports. Copies of messages may arrive long after the original, and out of order.
+// Detects duplicate and reordered reports. A duplicate may arrive long after the original.
 
 #include <compare>
 #include <cstdint>
@@ -11,9 +11,9 @@
 
 namespace wrenusher::worker_gateway {
 
-/// Where a report stands among the others of its worker: the higher is the newer one. The fencing token comes
-/// first: within one incarnation of the worker it only rises, and a copy from an earlier incarnation, whose
-/// sequence number may be higher, has the lower token.
+/// The position of a report in the sequence of its worker's reports; a higher position is newer. The fencing
+/// token is compared first: within one incarnation of the worker it only rises, and a duplicate from an
+/// earlier incarnation has a lower token, though its sequence number may be higher.
 struct ReportPosition {
   std::uint64_t fencing_token = 0;
   std::uint64_t incarnation = 0;
@@ -22,19 +22,21 @@
   auto operator<=>(const ReportPosition&) const = default;
 };
 
+/// Returns the position of the report.
 [[nodiscard]] inline ReportPosition position_of(const protocol::WorkerReport& report) {
   return {report.fencing_token, report.incarnation, report.sequence};
 }
 
-/// Tells new reports from copies, on any node, whether it leads or not. Owns the position of each worker's
-/// newest report. Single-threaded: called from the runtime's loop only.
+/// Distinguishes new reports from duplicates, whether this node leads or not. Owns the position of each
+/// worker's newest report. Single-threaded: called from the runtime's loop only.
 class ReportOrder {
  public:
-  /// Whether this report is newer than all that this node received of its worker before.
+  /// Records the report if it is newer than all earlier reports of its worker on this node. Returns whether
+  /// it is.
   [[nodiscard]] bool record_if_newest(const protocol::WorkerReport& report, time::Instant now);
-  /// Forgets workers that have not reported for so long that no copy can still arrive. To be called often;
-  /// it does the work once in a while.
-  void forget_old(time::Instant now);
+  /// Removes workers that have not reported for so long that no duplicate can still arrive. May be called
+  /// often: it does the work only once per retention time.
+  void remove_expired(time::Instant now);
 
  private:
   struct Newest {
--- a/src/worker_gateway/include/wrenusher/worker_gateway/worker_calls.hpp
+++ b/src/worker_gateway/include/wrenusher/worker_gateway/worker_calls.hpp
@@ -1,6 +1,7 @@
 #pragma once
-// Calls from the leader to a worker: commands that can't wait for its next report, and polls, which are calls
-// without commands. A worker answers with a report, and takes the call's fencing token where it is higher.
+// Calls from the leader to a worker: commands that must not wait for its next report, and polls, which are
+// calls without commands. A worker responds with a report, and adopts the fencing token of the call if it is
+// higher.
 
 #include <cstdint>
 #include <optional>
@@ -11,18 +12,19 @@
 
 namespace wrenusher::worker_gateway {
 
-/// For which term and which life of the worker a call is meant.
+/// The term and the incarnation of the worker for which a call is valid.
 struct CallTarget {
   std::uint64_t fencing_token = 0;
-  std::uint64_t incarnation = 0;  ///< a worker of another incarnation executes nothing and answers 409
+  std::uint64_t incarnation = 0;  ///< in another incarnation the worker executes nothing and responds 409
 };
 
-/// Commands for a worker.
+/// Returns a request with commands for a worker.
 [[nodiscard]] runtime::Request commands_request(const CallTarget& target,
                                                 const std::vector<protocol::WorkerCommand>& commands);
-/// Asks a worker for its newest report. Its connection isn't kept, since polls go to many workers once.
+/// Returns a request for a worker's newest report. Its connection is closed after the response, since polls
+/// go to many workers only once each.
 [[nodiscard]] runtime::Request poll_request(const CallTarget& target);
-/// The report in a worker's answer; nothing: the body holds none.
+/// Returns the report in a worker's response, or nullopt if the body contains no valid report.
 [[nodiscard]] std::optional<protocol::WorkerReport> read_report_body(const runtime::Response& response);
 
 }  // namespace wrenusher::worker_gateway
--- a/src/worker_gateway/include/wrenusher/worker_gateway/worker_gateway.hpp
+++ b/src/worker_gateway/include/wrenusher/worker_gateway/worker_gateway.hpp
@@ -1,17 +1,17 @@
 #pragma once
 // Package worker_gateway: the leader's connection to its workers.
 //
-//   WorkerGateway      receives reports, answers them, delivers commands, notices silence
-//   ReportOrder        tells new reports from copies that arrive late
-//   LeaseRenewalGuard  which answers may renew a lease, given what is known of cancellations
-//   WorkerPoller       polls workers that don't report to a new leader by themselves
-//   DeliveryMonitor    whether a worker receives its answers
-//   ListenerHealth     whether this node itself is why workers seem silent
-//   DepartedMachines   machines whose late reports are ignored
-//   refusals           every answer that doesn't accept a report, by its code
+//   WorkerGateway      receives reports, replies to them, delivers commands, detects silent workers
+//   ReportOrder        distinguishes new reports from late duplicates
+//   LeaseRenewalGuard  decides which replies may renew a lease, depending on the known cancellations
+//   WorkerPoller       polls workers that have not yet reported to a new leader
+//   DeliveryMonitor    detects workers that do not receive their replies
+//   ListenerHealth     detects faults of this node that make workers seem silent
+//   DepartedMachines   keeps the removed machines, whose late reports are ignored
+//   refusals           all responses that reject a report, by their code
 //
-// What a report means is decided by package leader. It may depend on time, value, runtime, settings,
-// protocol, topology, events, domain_failure_detector and log.
+// Package leader decides what follows from a report. This package may depend on time, value, runtime,
+// settings, protocol, topology, events, domain_failure_detector and log.
 
 #include <deque>
 #include <functional>
@@ -40,40 +40,40 @@
 
 namespace wrenusher::worker_gateway {
 
-/// Receives the workers' reports. On a leader it hands each new one on as an event, answers with the commands
-/// that come back, and watches for workers that fall silent or receive nothing. Other nodes redirect workers
-/// to the leader.
+/// Receives the workers' reports. On the leader it sends each new report as an event, replies with the
+/// commands that the event's receiver returns, and detects workers that are silent or receive no replies.
+/// Other nodes redirect workers to the leader.
 ///
-/// Owns, by machine, the position and time of the newest report. `runtime` and `settings` must outlive it.
+/// Owns the position and time of each machine's newest report. `runtime` and `settings` must outlive it.
 /// Single-threaded: called from the runtime's loop only.
 class WorkerGateway {
  public:
   WorkerGateway(runtime::Runtime& runtime, const settings::Settings& settings);
 
-  /// Begins the periodic checks.
+  /// Starts the periodic checks.
   void start() { tick(); }
-  /// A worker's report. Calls `answer` once, at once or later.
+  /// Handles a worker's report. Calls `answer` exactly once, immediately or later.
   void on_report(const runtime::Request& request, const runtime::Responder& answer);
 
   void on_term(const events::TermChanged& term);
   void on_lease_validity(const events::LeaseValidity& event) { lease_valid_until_ = event.until; }
-  void on_job_cancelled(const events::JobCancelled& event) { renewals_.on_job_cancelled(event); }
+  void on_job_cancelled(const events::JobCancelled& event) { renewal_guard_.on_job_cancelled(event); }
   void on_cancellations_known(const events::CancellationsKnown& event);
   void on_machine_departed(const events::MachineDeparted& event);
   void on_topology_activated(const events::TopologyActivated& event);
-  /// Calls the worker, if it has reported to this leader; `start` commands are left out.
+  /// Sends the commands except `start` to the worker in a call, if the worker has reported to this leader.
   void on_direct_commands(const events::DirectCommands& event);
-  /// Polls the workers that the previous leader had.
+  /// Polls the workers of the previous leader.
   void on_hints_inherited(const std::shared_ptr<const events::InheritedHints>& hints);
-  /// Polls a worker that has not reported, and that no hint named.
+  /// Polls the machine's worker if it has not reported and was in no hint.
   void on_machine_listed(const events::MachineListed& event);
 
   runtime::EventSink<events::WorkerReported> worker_reported;
   runtime::EventSink<events::WorkerSilent> worker_silent;
-  /// A machine receives nothing, or has begun anew under its name: it is to be returned.
+  /// Sent when a machine must be returned, since it receives no replies or has restarted under the same name.
   runtime::EventSink<events::MachineCordoned> machine_unreachable;
   runtime::EventSink<events::MachinesSuspected> machines_suspected;
-  /// Sent every 250 ms, leading or not.
+  /// Sent every 250 ms, whether this node leads or not.
   runtime::EventSink<events::WorkerReachability> reachability;
   runtime::EventSink<events::LeadershipLost> leadership_lost;
 
@@ -82,21 +82,21 @@
   using Commands = std::vector<protocol::WorkerCommand>;
   using ReplyHandler = std::function<void(Commands)>;
 
-  /// A worker that has reported to this leader in this term.
+  /// The state of a worker that has reported to this leader in this term.
   struct WorkerState {
     std::string address;
     std::string machine_type;
     std::string zone;
     topology::MachineLocation location;
-    ReportPosition position;  ///< of its newest report
-    time::Instant heard_at{};
+    ReportPosition position;  ///< position of its newest report
+    time::Instant last_report_at{};
     bool silent = false;
-    std::optional<time::Instant> reclaimed_by;  ///< when the cloud takes it away, by its eviction notice
+    std::optional<time::Instant> reclaimed_by;  ///< when the cloud reclaims it, from its eviction notice
     DeliveryMonitor delivery;
-    bool cordoned = false;          ///< it is being returned
-    time::Instant challenged_at{};  ///< when it was last polled about a report that seemed old
+    bool cordoned = false;                    ///< whether it is being returned
+    time::Instant last_old_report_poll_at{};  ///< last poll about a report that seemed old
   };
-  /// A report that can't be answered yet, since its tasks may have been cancelled.
+  /// A report that cannot be answered yet, since the tasks in it may have been cancelled.
   struct WaitingReport {
     Report report;
     std::uint64_t fencing_token = 0;
@@ -104,29 +104,29 @@
     time::Instant deadline{};
   };
 
-  void accept_report(const Report& report, bool settled, const ReplyHandler& reply);
-  void accept_polled(protocol::WorkerReport report);
-  void update_worker(WorkerState& worker, const protocol::WorkerReport& report, bool settled);
+  void process_report(const Report& report, bool worker_initiated, const ReplyHandler& reply);
+  void process_call_response(protocol::WorkerReport report);
+  void update_worker(WorkerState& worker, const protocol::WorkerReport& report, bool worker_initiated);
   void send_reply(const Report& report, std::uint64_t fencing_token, Commands commands,
                   const runtime::Responder& answer);
   void record_reply(const protocol::WorkerReport& report, const Commands& commands);
-  void reply_waiting();
+  void answer_waiting_reports();
   runtime::Response redirect() const;
 
-  void challenge_position(WorkerState& worker, const protocol::WorkerReport& old_report);
-  void on_challenge_result(const std::string& host, std::uint64_t fencing_token,
-                           const runtime::CallResult& result);
+  void poll_about_old_report(WorkerState& worker, const protocol::WorkerReport& old_report);
+  void on_old_report_poll_result(const std::string& host, std::uint64_t fencing_token,
+                                 const runtime::CallResult& result);
   void cordon(const std::string& host, WorkerState& worker, const char* reason) const;
 
   void tick();
   void compensate_stall(time::Instant now);
-  ListenerHealth::Audience audience(time::Instant now) const;
+  ListenerHealth::ReportCounts report_counts(time::Instant now) const;
   void check_delivery(time::Micros limit);
-  void check_domains();
+  void check_failure_domains();
   void check_silence(time::Instant now, time::Micros limit);
   void report_silent(const std::string& host, time::Micros silence, bool domain_lost) const;
   time::Micros silence_limit() const;
-  time::Micros report_lateness() const;
+  time::Micros max_report_delay() const;
 
   bool leads_term(std::uint64_t fencing_token) const {
     return term_.leading && term_.fencing_token == fencing_token;
@@ -139,16 +139,16 @@
   time::Instant leading_since_{};
   std::map<std::string, WorkerState> workers_;  ///< by host
   ReportOrder report_order_;
-  ListenerHealth health_;
-  LeaseRenewalGuard renewals_;
+  ListenerHealth listener_health_;
+  LeaseRenewalGuard renewal_guard_;
   WorkerPoller poller_;
-  DepartedMachines departed_;
-  std::deque<WaitingReport> waiting_;
-  time::Instant next_challenge_{};
-  bool replies_lost_ = false;  ///< most workers show nothing of this leader's answers
+  DepartedMachines departed_machines_;
+  std::deque<WaitingReport> waiting_reports_;
+  time::Instant next_old_report_poll_at_{};
+  bool replies_lost_ = false;  ///< whether most reports show no effect of this leader's replies
   std::shared_ptr<const topology::Topology> topology_;
   domain_failure_detector::DomainFailureDetector domain_failures_;
-  std::set<std::string> suspected_;  ///< as in the last event
+  std::set<std::string> suspected_;  ///< the machines in the last event
 };
 
 }  // namespace wrenusher::worker_gateway
--- a/src/worker_gateway/include/wrenusher/worker_gateway/worker_poller.hpp
+++ b/src/worker_gateway/include/wrenusher/worker_gateway/worker_poller.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Polls workers that have not reported to a new leader by themselves.
+// Polls workers that have not yet reported to a new leader.
 
 #include <cstddef>
 #include <cstdint>
@@ -16,50 +16,55 @@
 
 namespace wrenusher::worker_gateway {
 
-/// After a failover, polls the workers that the previous leader had, a bounded number at a time. A poll
-/// raises the worker's fencing token, so that it reports to this leader at once. Also reports as silent those
-/// that neither answer nor report: nobody else counts their silence, since this leader never heard them.
+/// Polls the workers of the previous leader after a failover, with a bounded number of concurrent polls. A
+/// poll raises the worker's fencing token, so that the worker reports to this leader at once.
 ///
-/// Owns the polls under way. `runtime` and `term`, the newest term at any time, must outlive it.
-/// Single-threaded: called from the runtime's loop only.
+/// Also reports workers as silent that neither respond nor report. The WorkerGateway detects silence only of
+/// workers that have reported in this term.
+///
+/// Owns the queued and unanswered polls. `runtime` and `term`, which always refers to the newest term, must
+/// outlive it. Single-threaded: called from the runtime's loop only.
 class WorkerPoller {
  public:
+  /// The functions through which the poller reaches its owner.
   struct Callbacks {
-    /// Whether the machine has reported to this leader by itself or has departed: no poll is needed.
-    std::function<bool(const std::string& host)> is_settled;
-    /// A worker answered with this report, of the present term.
+    /// Returns whether the machine needs no poll, since it has reported to this leader or has departed.
+    std::function<bool(const std::string& host)> needs_no_poll;
+    /// Called when a worker has responded with a report of this term.
     std::function<void(protocol::WorkerReport report)> on_report;
-    /// A worker knows a higher fencing token than the term's.
+    /// Called when a worker has a higher fencing token than this term's.
     std::function<void(std::uint64_t fencing_token)> on_newer_token;
-    /// A worker of the previous leader's was given up; silent for so long.
+    /// Called when the poller gives up on a worker of the previous leader. `silence`: time without a report.
     std::function<void(const std::string& host, time::Micros silence)> on_silent;
   };
 
   WorkerPoller(runtime::Runtime& runtime, const events::TermChanged& term, Callbacks callbacks)
       : runtime_(runtime), term_(term), callbacks_(std::move(callbacks)) {}
 
-  /// This node begins to lead. `previous_heartbeat`: when the previous leader was last heard; zero: never.
+  /// Starts a term of this node. `previous_heartbeat`: when the previous leader's last heartbeat arrived;
+  /// zero: none arrived.
   void begin_term(time::Instant previous_heartbeat);
-  /// This node doesn't lead: all polls are void.
+  /// Discards all polls, since this node does not lead.
   void reset();
-  /// The workers that the previous leader had.
+  /// Polls the workers of the previous leader.
   void poll_inherited(const events::InheritedHints& hints);
-  /// A worker at this address that no hint named.
+  /// Polls the worker at this address, which was in no hint.
   void poll_listed(const std::string& host, const std::string& address);
-  /// The machine is heard or has departed.
-  void settle(const std::string& host) { unheard_.erase(host); }
-  /// Whether the machine was the previous leader's and has not been heard yet.
-  [[nodiscard]] bool is_unheard(const std::string& host) const { return unheard_.contains(host); }
-  /// Gives up those that were not heard for `silence_limit`, counted from when the previous leader, which
-  /// couldn't reach them either, was last heard itself.
+  /// Records that the machine has reported or departed.
+  void remove_missing(const std::string& host) { missing_.erase(host); }
+  /// Returns whether the machine was one of the previous leader's and has not reported yet.
+  [[nodiscard]] bool is_missing(const std::string& host) const { return missing_.contains(host); }
+  /// Gives up on workers that have not reported for `silence_limit`. The time counts from the previous
+  /// leader's last heartbeat, since no leader could receive their reports after it.
   void give_up(time::Micros silence_limit);
 
  private:
+  /// One queued or unanswered poll.
   struct Poll {
     std::string host;
     std::string address;
     std::uint64_t incarnation = 0;
-    int tries = 0;  ///< that have failed
+    int failed_attempts = 0;
   };
   void send_polls();
   void on_result(const Poll& poll, std::uint64_t fencing_token, const runtime::CallResult& result);
@@ -69,10 +74,10 @@
   Callbacks callbacks_;
   std::deque<Poll> queue_;
   std::size_t in_flight_ = 0;
-  std::set<std::string> unheard_;    ///< of the previous leader's workers
-  std::size_t inherited_count_ = 0;  ///< how many there were at the start
+  std::set<std::string> missing_;    ///< workers of the previous leader that have not reported
+  std::size_t inherited_count_ = 0;  ///< size of `missing_` at the start of the term
   time::Instant leading_since_{};
-  time::Micros vacancy_{};  ///< for how long before that no leader was heard
+  time::Micros leaderless_time_{};  ///< time from the previous leader's last heartbeat to `leading_since_`
 };
 
 }  // namespace wrenusher::worker_gateway
--- a/src/worker_gateway/lease_renewal_guard.cpp
+++ b/src/worker_gateway/lease_renewal_guard.cpp
@@ -19,16 +19,17 @@
 
 namespace {
 
-/// What a stop, a lease and a clock may take beyond their times.
+/// Margin for delays of stopping a task, of the lease expiry and of the clocks.
 constexpr Micros kStopMargin = from_seconds(2);
-/// Twice the drift of a clock, as for the leader's lease.
-constexpr double kClockDrift = 0.001;
-/// Where `cancel_s` leaves no more than `lease_s`, nothing less than this works at all.
-constexpr Micros kMinUnknown = from_seconds(3);
-/// A cancellation that is received over and over is recorded anew once in so long.
+/// Twice the drift of one clock, as for the leader's lease.
+constexpr double kMaxRelativeClockDrift = 0.001;
+/// With a shorter lag no lease could be renewed. It applies if `cancel_s` is not sufficiently longer than
+/// `lease_s`.
+constexpr Micros kMinCancellationLag = from_seconds(3);
+/// A cancellation that is received repeatedly is recorded again at most once in this interval.
 constexpr Micros kRepeatInterval = from_seconds(10);
-/// For a confirmation of a cancellation that comes later than the news of it.
-constexpr Micros kLateConfirmation = from_seconds(60);
+/// Margin for a cancellation that is confirmed to the user later than it was received here.
+constexpr Micros kLateConfirmationMargin = from_seconds(60);
 
 bool stops_task(const WorkerCommand& command, const TaskReport& task) {
   return command.verb == WorkerCommand::Verb::stop && command.job_id == task.job_id &&
@@ -39,18 +40,18 @@
 
 void LeaseRenewalGuard::on_job_cancelled(const events::JobCancelled& event) {
   const Instant now = runtime_.now();
-  forget_old(now);
+  remove_expired(now);
   const auto [it, added] = cancelled_.try_emplace(event.job_id, now);
   if (!added && now - it->second < kRepeatInterval) return;
   it->second = now;
   cancelled_order_.push_back({now, event.job_id});
 }
 
-/// Once `cancel_s` is over no task of the job is left, by the rule that this class serves; twice that is
-/// ample.
-void LeaseRenewalGuard::forget_old(Instant now) {
-  const Micros memory = settings_.cancel_deadline * 2 + kLateConfirmation;
-  while (!cancelled_order_.empty() && now - cancelled_order_.front().received_at > memory) {
+/// Removes cancellations older than twice `cancel_s` plus `kLateConfirmationMargin`. By the rule that this
+/// class enforces, no task of the job runs after `cancel_s`; the factor of two is a margin.
+void LeaseRenewalGuard::remove_expired(Instant now) {
+  const Micros retention = settings_.cancel_deadline * 2 + kLateConfirmationMargin;
+  while (!cancelled_order_.empty() && now - cancelled_order_.front().received_at > retention) {
     const Cancellation& oldest = cancelled_order_.front();
     const auto it = cancelled_.find(oldest.job_id);
     if (it != cancelled_.end() && it->second == oldest.received_at) cancelled_.erase(it);
@@ -58,19 +59,20 @@
   }
 }
 
-Micros LeaseRenewalGuard::max_unknown() const {
-  const Micros drift{
-      static_cast<std::int64_t>(static_cast<double>(settings_.cancel_deadline.count()) * kClockDrift)};
-  return std::max(kMinUnknown, settings_.cancel_deadline - settings_.worker_lease - drift - kStopMargin);
+Micros LeaseRenewalGuard::max_cancellation_lag() const {
+  const Micros drift{static_cast<std::int64_t>(static_cast<double>(settings_.cancel_deadline.count()) *
+                                               kMaxRelativeClockDrift)};
+  return std::max(kMinCancellationLag,
+                  settings_.cancel_deadline - settings_.worker_lease - drift - kStopMargin);
 }
 
-bool LeaseRenewalGuard::all_known() const {
-  return known_.through >= runtime_.now() - max_unknown();
+bool LeaseRenewalGuard::cancellations_current() const {
+  return known_cancellations_.through >= runtime_.now() - max_cancellation_lag();
 }
 
 bool LeaseRenewalGuard::may_renew(const WorkerReport& report) const {
-  if (all_known()) return true;
-  // Tasks that have exited, or that the answer stops, need no lease.
+  if (cancellations_current()) return true;
+  // Tasks that have exited, or that the reply stops, need no lease.
   return std::all_of(report.tasks.begin(), report.tasks.end(), [&](const TaskReport& task) {
     return task.status == TaskStatus::exited || cancelled_.contains(task.job_id);
   });
@@ -83,26 +85,29 @@
   });
   for (const TaskReport& task : report.tasks) {
     if (task.status == TaskStatus::exited || !cancelled_.contains(task.job_id)) continue;
-    const bool stopped = std::any_of(commands.begin(), commands.end(),
-                                     [&](const WorkerCommand& command) { return stops_task(command, task); });
-    if (!stopped)
+    const bool has_stop = std::any_of(commands.begin(), commands.end(), [&](const WorkerCommand& command) {
+      return stops_task(command, task);
+    });
+    if (!has_stop)
       commands.push_back({WorkerCommand::Verb::stop, task.job_id, task.task, task.attempt, Micros{0}});
   }
 }
 
 void LeaseRenewalGuard::on_withheld() {
   if (std::exchange(withholding_, true)) return;
-  log::warn("lease_renewal_withheld",
-            "leases of machines with tasks are not renewed: neither the key-value store nor {peer} has "
-            "confirmed for {seconds:.0f} s what users cancelled",
-            log::with("peer", known_.slowest_peer.empty() ? "a peer" : known_.slowest_peer),
-            log::with("seconds", to_seconds(max_unknown())));
+  log::warn(
+      "lease_renewal_withheld",
+      "leases of machines with tasks are not renewed: the list of cancelled jobs has not been confirmed by "
+      "the key-value store or by {peer} for {seconds:.0f} s",
+      log::with("peer",
+                known_cancellations_.slowest_peer.empty() ? "a peer" : known_cancellations_.slowest_peer),
+      log::with("seconds", to_seconds(max_cancellation_lag())));
 }
 
 void LeaseRenewalGuard::log_if_recovered() {
-  if (!withholding_ || !all_known()) return;
+  if (!withholding_ || !cancellations_current()) return;
   withholding_ = false;
-  log::info("lease_renewal_resumed", "leases are renewed again: what users cancelled is known");
+  log::info("lease_renewal_resumed", "leases are renewed again: the list of cancelled jobs is up to date");
 }
 
 }  // namespace wrenusher::worker_gateway
--- a/src/worker_gateway/listener_health.cpp
+++ b/src/worker_gateway/listener_health.cpp
@@ -12,16 +12,16 @@
 
 namespace {
 
-/// With fewer machines than this nothing is concluded from how many are silent.
-constexpr std::size_t kMinWorkersToJudge = 6;
-/// One worker in so many has to be heard.
-constexpr std::size_t kEnoughHeardDivisor = 4;
-/// A node that stood still for more than this part of so much time is starved.
+/// With fewer workers, too few reports are not taken as a fault of this node.
+constexpr std::size_t kMinExpectedWorkers = 6;
+/// At least one in this many workers must report.
+constexpr std::size_t kEnoughReportingDivisor = 4;
+/// A process that was stalled for more than this share of the window is starved.
 constexpr double kStarvedShare = 0.5;
-constexpr Micros kStarvedMemory = from_seconds(6);
-/// A tick may come later than its interval by this factor without counting as a stall.
+constexpr Micros kStarvationWindow = from_seconds(6);
+/// A tick that comes within this multiple of its interval does not count as a stall.
 constexpr double kTickTolerance = 1.25;
-/// A tick that comes after so many intervals means that reports waited unread.
+/// If more than this many intervals pass between two ticks, received reports have waited unread.
 constexpr int kStallTicks = 3;
 
 }  // namespace
@@ -36,7 +36,7 @@
   if (last == Instant{}) return std::nullopt;
   const double passed = to_seconds(now - last);
   const double stalled = std::max(0.0, passed - to_seconds(tick_interval) * kTickTolerance) / passed;
-  const double weight = std::min(1.0, passed / to_seconds(kStarvedMemory));
+  const double weight = std::min(1.0, passed / to_seconds(kStarvationWindow));
   stall_share_ += (stalled - stall_share_) * weight;
   if (now - last <= tick_interval * kStallTicks) return std::nullopt;
   const Micros lost = now - last - tick_interval;
@@ -44,9 +44,9 @@
   return lost;
 }
 
-void ListenerHealth::on_audience(Instant now, const Audience& audience) {
-  if (audience.expected < kMinWorkersToJudge || audience.heard * kEnoughHeardDivisor >= audience.expected)
-    enough_heard_at_ = now;
+void ListenerHealth::on_report_counts(Instant now, const ReportCounts& counts) {
+  if (counts.expected < kMinExpectedWorkers || counts.on_time * kEnoughReportingDivisor >= counts.expected)
+    enough_reporting_at_ = now;
 }
 
 bool ListenerHealth::starved() const {
--- a/src/worker_gateway/report_order.cpp
+++ b/src/worker_gateway/report_order.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-/// No copy of a report arrives as late as this.
-constexpr Micros kPositionMemory = time::from_seconds(600);
+/// No duplicate of a report arrives later than this after the original.
+constexpr Micros kPositionRetention = time::from_seconds(600);
 
 }  // namespace
 
@@ -20,11 +20,11 @@
   return true;
 }
 
-void ReportOrder::forget_old(Instant now) {
+void ReportOrder::remove_expired(Instant now) {
   if (now < next_cleanup_) return;
-  next_cleanup_ = now + kPositionMemory;
+  next_cleanup_ = now + kPositionRetention;
   std::erase_if(by_host_,
-                [&](const auto& entry) { return now - entry.second.received_at > kPositionMemory; });
+                [&](const auto& entry) { return now - entry.second.received_at > kPositionRetention; });
 }
 
 }  // namespace wrenusher::worker_gateway
--- a/src/worker_gateway/worker_gateway.cpp
+++ b/src/worker_gateway/worker_gateway.cpp
@@ -35,20 +35,21 @@
 namespace {
 
 constexpr Micros kTickInterval = from_millis(250);
-/// A report may be this late without anything being wrong.
-constexpr Micros kReportDelay = from_seconds(1.5);
+/// A report may be late by this much without a fault.
+constexpr Micros kReportDelayMargin = from_seconds(1.5);
 constexpr Micros kMinSilence = from_seconds(4);
-/// A machine is polled about an old report no more often than this, and all machines together than the
-/// second.
-constexpr Micros kChallengeInterval = from_seconds(1.5);
-constexpr Micros kChallengePause = from_millis(300);
-constexpr Micros kChallengeTimeout = from_seconds(1);
+/// Minimum time between two polls about old reports, for one machine.
+constexpr Micros kOldReportPollIntervalPerMachine = from_seconds(1.5);
+/// The same for all machines together. It does not apply to machines whose newest report is late.
+constexpr Micros kOldReportPollInterval = from_millis(300);
+constexpr Micros kOldReportPollTimeout = from_seconds(1);
 constexpr Micros kDirectCommandsTimeout = from_seconds(2);
-/// A worker gives an answer up after 4 s and tries the next node 1 s later, which may redirect it back.
-constexpr Micros kAnswerLost = from_seconds(6);
-/// A report whose answer may not renew the lease yet waits so long; then its worker is refused.
+/// Time after which a worker whose reply was lost reports again: it stops waiting after 4 s, and 1 s later
+/// tries the next node, which may redirect it back.
+constexpr Micros kLostReplyDelay = from_seconds(6);
+/// A report whose reply may not renew the lease yet waits for this time; then it is rejected.
 constexpr Micros kMaxCancellationWait = from_seconds(1.5);
-/// The leader of the first term has no predecessor whose workers could be missing.
+/// The leader of the first term has no previous leader whose workers could be missing.
 constexpr std::uint64_t kFirstInheritingToken = 2;
 
 void erase_starts(std::vector<WorkerCommand>& commands) {
@@ -61,13 +62,13 @@
 WorkerGateway::WorkerGateway(runtime::Runtime& runtime, const settings::Settings& settings)
     : runtime_(runtime),
       settings_(settings),
-      renewals_(runtime, settings),
+      renewal_guard_(runtime, settings),
       poller_(runtime, term_,
-              {.is_settled =
+              {.needs_no_poll =
                    [this](const std::string& host) {
-                     return workers_.contains(host) || departed_.contains(host);
+                     return workers_.contains(host) || departed_machines_.contains(host);
                    },
-               .on_report = [this](WorkerReport report) { accept_polled(std::move(report)); },
+               .on_report = [this](WorkerReport report) { process_call_response(std::move(report)); },
                .on_newer_token =
                    [this](std::uint64_t fencing_token) { leadership_lost(LeadershipLost{fencing_token}); },
                .on_silent = [this](const std::string& host,
@@ -87,7 +88,7 @@
   }
 }
 
-// Reports and their answers.
+// Reports and their replies.
 
 void WorkerGateway::on_report(const Request& request, const Responder& answer) {
   if (request.method != "POST") {
@@ -100,12 +101,12 @@
     answer(refusals::bad_report());
     return;
   }
-  // A copy that comes late is no sign that workers reach this node.
-  if (report_order_.record_if_newest(*report, runtime_.now())) health_.on_report(runtime_.now());
+  // A late duplicate does not show that workers can reach this node.
+  if (report_order_.record_if_newest(*report, runtime_.now())) listener_health_.on_report(runtime_.now());
   if (report->fencing_token > term_.fencing_token) {
-    // The worker would drop a 200 with this node's lower fencing token, and let its lease run out.
+    // The worker would ignore a 200 with this node's lower fencing token, and its lease would expire.
     log::debug("report_token_newer",
-               "report of {machine} has fencing token {epoch}, the newest known here is {term}",
+               "report of {machine} has fencing token {epoch}, which is newer than this node's token {term}",
                log::with("machine", report->host), log::with("epoch", report->fencing_token),
                log::with("term", term_.fencing_token));
     leadership_lost(LeadershipLost{report->fencing_token});
@@ -113,92 +114,97 @@
     return;
   }
   if (!term_.leading) {
-    log::debug("report_redirected",
-               "report of {machine} with fencing token {epoch} is redirected to '{leader}' with {term}",
-               log::with("machine", report->host), log::with("epoch", report->fencing_token),
-               log::with("leader", term_.leader), log::with("term", term_.fencing_token));
+    log::debug(
+        "report_redirected",
+        "report of {machine} with fencing token {epoch} is redirected to '{leader}'; this node's token is "
+        "{term}",
+        log::with("machine", report->host), log::with("epoch", report->fencing_token),
+        log::with("leader", term_.leader), log::with("term", term_.fencing_token));
     answer(redirect());
     return;
   }
   const auto shared = std::make_shared<const WorkerReport>(std::move(*report));
-  accept_report(shared, true, [this, answer, fencing_token = term_.fencing_token, shared](Commands commands) {
-    send_reply(shared, fencing_token, std::move(commands), answer);
-  });
+  process_report(shared, true,
+                 [this, answer, fencing_token = term_.fencing_token, shared](Commands commands) {
+                   send_reply(shared, fencing_token, std::move(commands), answer);
+                 });
 }
 
 Response WorkerGateway::redirect() const {
   return refusals::redirect(term_.leader == settings_.node ? std::string{} : term_.leader);
 }
 
-/// `settled`: a report by the worker itself, not the answer to a call; what it was answered before has
-/// arrived by then, or never will.
-void WorkerGateway::accept_report(const Report& report, bool settled, const ReplyHandler& reply) {
-  if (departed_.contains(report->host)) {
+/// Handles a report unless it is old or its machine has departed. `worker_initiated`: the worker sent the
+/// report by itself, not as the response to a call, so the reply to its previous report has arrived or never
+/// will.
+void WorkerGateway::process_report(const Report& report, bool worker_initiated, const ReplyHandler& reply) {
+  if (departed_machines_.contains(report->host)) {
     reply({});
     return;
   }
-  poller_.settle(report->host);
+  poller_.remove_missing(report->host);
   WorkerState& worker = workers_[report->host];
   if (position_of(*report) <= worker.position) {
-    challenge_position(worker, *report);
+    poll_about_old_report(worker, *report);
     reply({});
     return;
   }
-  update_worker(worker, *report, settled);
+  update_worker(worker, *report, worker_initiated);
   const bool token_accepted = report->fencing_token == term_.fencing_token;
-  worker_reported(WorkerReported{report, token_accepted, settled, reply});
+  worker_reported(WorkerReported{report, token_accepted, worker_initiated, reply});
 }
 
-/// The answer to a call, which gets no answer itself.
-void WorkerGateway::accept_polled(WorkerReport report) {
-  accept_report(std::make_shared<const WorkerReport>(std::move(report)), false, [](const Commands&) {});
+/// Handles the report in the response to a call. It gets no reply.
+void WorkerGateway::process_call_response(WorkerReport report) {
+  process_report(std::make_shared<const WorkerReport>(std::move(report)), false, [](const Commands&) {});
 }
 
-void WorkerGateway::update_worker(WorkerState& worker, const WorkerReport& report, bool settled) {
+void WorkerGateway::update_worker(WorkerState& worker, const WorkerReport& report, bool worker_initiated) {
   if (worker.silent)
-    log::info("machine_heard", "machine {machine} is heard again", log::with("machine", report.host));
+    log::info("machine_heard", "machine {machine} reports again", log::with("machine", report.host));
   if (topology_ && (worker.address != report.address || worker.machine_type != report.machine_type ||
                     worker.zone != report.zone))
     worker.location = topology_->find(report.host, report.address, report.machine_type, report.zone);
   const Instant now = runtime_.now();
-  // The answer to a call shows what the call has done; an earlier answer to a report may still arrive.
-  if (settled) {
-    const Micros max_gap = std::max(settings_.report_interval * 2, kAnswerLost);
-    worker.delivery.on_report(report, now - worker.heard_at < max_gap);
+  // The response to a call shows the effect of the call; the reply to an earlier report may still arrive.
+  if (worker_initiated) {
+    const Micros max_gap = std::max(settings_.report_interval * 2, kLostReplyDelay);
+    worker.delivery.on_report(report, now - worker.last_report_at < max_gap);
   }
   worker.address = report.address;
   worker.machine_type = report.machine_type;
   worker.zone = report.zone;
   worker.position = position_of(report);
-  worker.heard_at = now;
+  worker.last_report_at = now;
   worker.silent = false;
   worker.reclaimed_by.reset();
   if (report.eviction_notice) worker.reclaimed_by = now + *report.eviction_notice;
 }
 
-/// The only answer that renews a lease.
+/// Sends the reply to a report. No other response renews a lease.
 void WorkerGateway::send_reply(const Report& report, std::uint64_t fencing_token, Commands commands,
                                const Responder& answer) {
   if (!leads_term(fencing_token)) {
     answer(redirect());
     return;
   }
-  if (!renewals_.may_renew(*report)) {
-    // The commands are dropped: what this report brought is settled by the next one.
-    waiting_.push_back({report, fencing_token, answer, runtime_.now() + kMaxCancellationWait});
+  if (!renewal_guard_.may_renew(*report)) {
+    // The commands are dropped; the reply to the next report contains those that are still needed.
+    waiting_reports_.push_back({report, fencing_token, answer, runtime_.now() + kMaxCancellationWait});
     return;
   }
-  // Without a valid lease another leader may already have decided otherwise; the answer still renews the
-  // worker's lease.
+  // Without a valid lease of this leader, another leader may have made other decisions, so no task may be
+  // started. The reply still renews the worker's lease.
   if (runtime_.now() >= lease_valid_until_) erase_starts(commands);
-  renewals_.add_stops(*report, commands);
+  renewal_guard_.add_stops(*report, commands);
   record_reply(*report, commands);
   answer({200,
           value::encode(Value::Map{{"epoch", fencing_token}, {"orders", protocol::write_commands(commands)}}),
           0});
 }
 
-/// Only the answer to the newest report tells whether answers arrive.
+/// Records the reply for the delivery check, unless a newer report has arrived: only the reply to the newest
+/// report can be compared with the next one.
 void WorkerGateway::record_reply(const WorkerReport& report, const Commands& commands) {
   const auto it = workers_.find(report.host);
   if (it != workers_.end() && it->second.position == position_of(report))
@@ -206,49 +212,52 @@
 }
 
 void WorkerGateway::on_cancellations_known(const events::CancellationsKnown& event) {
-  renewals_.on_cancellations_known(event);
-  reply_waiting();
+  renewal_guard_.on_cancellations_known(event);
+  answer_waiting_reports();
 }
 
-void WorkerGateway::reply_waiting() {
-  for (std::size_t n = waiting_.size(); n > 0; --n) {
-    WaitingReport waiting = std::move(waiting_.front());
-    waiting_.pop_front();
-    if (!leads_term(waiting.fencing_token) || renewals_.may_renew(*waiting.report)) {
-      // The commands for it may be others by now: it gets them with its next report.
+void WorkerGateway::answer_waiting_reports() {
+  for (std::size_t n = waiting_reports_.size(); n > 0; --n) {
+    WaitingReport waiting = std::move(waiting_reports_.front());
+    waiting_reports_.pop_front();
+    if (!leads_term(waiting.fencing_token) || renewal_guard_.may_renew(*waiting.report)) {
+      // The commands for the worker may have changed meanwhile; it gets them in the reply to its next report.
       send_reply(waiting.report, waiting.fencing_token, {}, waiting.answer);
     } else if (runtime_.now() < waiting.deadline) {
-      waiting_.push_back(std::move(waiting));
+      waiting_reports_.push_back(std::move(waiting));
     } else {
-      renewals_.on_withheld();
+      renewal_guard_.on_withheld();
       waiting.answer(refusals::cancellations_unknown());
     }
   }
-  renewals_.log_if_recovered();
+  renewal_guard_.log_if_recovered();
 }
 
 // Calls to workers.
 
-/// A report that is older than the newest one, while no newer ones come, is a copy that arrives late, or is
-/// from a machine that began anew under the same name and counts from the start. The answer to a poll is no
-/// copy, and tells which.
-void WorkerGateway::challenge_position(WorkerState& worker, const WorkerReport& old_report) {
+/// Polls the worker of a report that is not newer than the newest one. Such a report is either a late
+/// duplicate or from a machine that restarted under the same name with new sequence numbers. The response to
+/// a poll is not a duplicate, so its position shows which case it is.
+void WorkerGateway::poll_about_old_report(WorkerState& worker, const WorkerReport& old_report) {
   const Instant now = runtime_.now();
-  if (worker.cordoned || worker.address.empty() || now - worker.challenged_at < kChallengeInterval) return;
-  // Many copies must not make many calls; a worker whose newer reports are missing is polled in any case.
-  if (now - worker.heard_at < settings_.report_interval * 5 / 4 && now < next_challenge_) return;
-  next_challenge_ = now + kChallengePause;
-  worker.challenged_at = now;
+  if (worker.cordoned || worker.address.empty() ||
+      now - worker.last_old_report_poll_at < kOldReportPollIntervalPerMachine)
+    return;
+  // Many duplicates must not cause many calls, but a worker whose newest report is late is always polled.
+  if (now - worker.last_report_at < settings_.report_interval * 5 / 4 && now < next_old_report_poll_at_)
+    return;
+  next_old_report_poll_at_ = now + kOldReportPollInterval;
+  worker.last_old_report_poll_at = now;
   worker.delivery.on_polled();
   const std::uint64_t fencing_token = term_.fencing_token;
-  runtime_.call(worker.address, poll_request({fencing_token, old_report.incarnation}), kChallengeTimeout,
+  runtime_.call(worker.address, poll_request({fencing_token, old_report.incarnation}), kOldReportPollTimeout,
                 [this, host = old_report.host, fencing_token](const CallResult& result) {
-                  on_challenge_result(host, fencing_token, result);
+                  on_old_report_poll_result(host, fencing_token, result);
                 });
 }
 
-void WorkerGateway::on_challenge_result(const std::string& host, std::uint64_t fencing_token,
-                                        const CallResult& result) {
+void WorkerGateway::on_old_report_poll_result(const std::string& host, std::uint64_t fencing_token,
+                                              const CallResult& result) {
   const auto it = workers_.find(host);
   if (!leads_term(fencing_token) || it == workers_.end() || !result.answered) return;
   auto report = read_report_body(result.response);
@@ -256,16 +265,16 @@
   if (position_of(*report) <= it->second.position) {
     cordon(host, it->second, "its report sequence went back");
   } else {
-    accept_polled(std::move(*report));
+    process_call_response(std::move(*report));
   }
 }
 
-/// Nothing more is placed there, and the machine is returned: whatever it says or doesn't say of its tasks,
-/// only that proves them gone.
+/// Requests that the machine gets no new tasks and is returned. Whatever its reports contain, only its return
+/// proves that its tasks no longer run.
 void WorkerGateway::cordon(const std::string& host, WorkerState& worker, const char* reason) const {
   if (std::exchange(worker.cordoned, true)) return;
-  log::info("machine_unreachable", "machine {machine} is to be returned: {reason}",
-            log::with("machine", host), log::with("reason", reason));
+  log::info("machine_unreachable", "machine {machine} will be returned: {reason}", log::with("machine", host),
+            log::with("reason", reason));
   machine_unreachable(MachineCordoned{host, reason});
 }
 
@@ -282,7 +291,7 @@
                   if (!leads_term(fencing_token) || !result.answered || result.response.status != 200) return;
                   if (auto report = read_report_body(result.response);
                       report && report->fencing_token == fencing_token)
-                    accept_polled(std::move(*report));
+                    process_call_response(std::move(*report));
                 });
 }
 
@@ -292,15 +301,15 @@
 
 void WorkerGateway::on_machine_listed(const events::MachineListed& event) {
   if (!term_.leading || term_.fencing_token < kFirstInheritingToken || event.address.empty() ||
-      workers_.contains(event.host) || poller_.is_unheard(event.host))
+      workers_.contains(event.host) || poller_.is_missing(event.host))
     return;
   poller_.poll_listed(event.host, event.address);
 }
 
 void WorkerGateway::on_machine_departed(const events::MachineDeparted& event) {
   workers_.erase(event.host);
-  poller_.settle(event.host);
-  departed_.add(event.host);
+  poller_.remove_missing(event.host);
+  departed_machines_.add(event.host);
 }
 
 void WorkerGateway::on_topology_activated(const events::TopologyActivated& event) {
@@ -317,86 +326,88 @@
 void WorkerGateway::tick() {
   const Instant now = runtime_.now();
   compensate_stall(now);
-  reply_waiting();
+  answer_waiting_reports();
   const Micros limit = silence_limit();
-  const bool receives_reports = health_.receives_reports(now, limit);
-  health_.on_audience(now, audience(now));
-  const bool too_few_heard = health_.too_few_heard(now, settings_.worker_lease);
+  const bool receives_reports = listener_health_.receives_reports(now, limit);
+  listener_health_.on_report_counts(now, report_counts(now));
+  const bool too_few_reporting = listener_health_.too_few_reporting(now, settings_.worker_lease);
   const bool receives_nothing =
-      term_.leading && now - leading_since_ > limit && (!receives_reports || too_few_heard);
+      term_.leading && now - leading_since_ > limit && (!receives_reports || too_few_reporting);
   check_delivery(limit);
   reachability(WorkerReachability{.receives_nothing = receives_nothing,
                                   .replies_lost = replies_lost_,
                                   .receives_reports = receives_reports,
                                   .had_workers = !workers_.empty(),
-                                  .starved = health_.starved()});
-  report_order_.forget_old(now);
-  // Otherwise silence is no fault of the machines'.
-  if (term_.leading && !receives_nothing && !too_few_heard) {
-    check_domains();
+                                  .starved = listener_health_.starved()});
+  report_order_.remove_expired(now);
+  // In all other cases a silent machine may be healthy.
+  if (term_.leading && !receives_nothing && !too_few_reporting) {
+    check_failure_domains();
     poller_.give_up(limit);
     check_silence(now, limit);
   }
   runtime_.after(kTickInterval, [this] { tick(); });
 }
 
-/// While this node itself stood still, reports waited unread, and no machine is to blame.
+/// Moves the times of the latest reports forward by the time that this process was stalled. Reports waited
+/// unread meanwhile, so no machine counts as silent because of the stall.
 void WorkerGateway::compensate_stall(Instant now) {
-  const auto lost = health_.on_tick(now, kTickInterval);
+  const auto lost = listener_health_.on_tick(now, kTickInterval);
   if (!lost) return;
-  for (auto& [host, worker] : workers_) worker.heard_at += *lost;
-  log::debug("controller_stalled", "this controller stood still for {seconds:.1f} s",
+  for (auto& [host, worker] : workers_) worker.last_report_at += *lost;
+  log::debug("controller_stalled", "this controller was stalled for {seconds:.1f} s",
              log::with("seconds", to_seconds(*lost)));
 }
 
-/// Without a report for so long, a worker is silent.
+/// Returns the time without a report after which a worker is silent.
 Micros WorkerGateway::silence_limit() const {
   const Micros reports{static_cast<std::int64_t>(static_cast<double>(settings_.report_interval.count()) *
                                                  settings_.tunables.silent_reports)};
   return std::max(kMinSilence, std::min(reports, settings_.worker_lease));
 }
 
-/// Without a report for so long, one report is missing.
-Micros WorkerGateway::report_lateness() const {
-  return settings_.report_interval * 3 / 2 + kReportDelay;
+/// Returns the time without a report after which one report is late.
+Micros WorkerGateway::max_report_delay() const {
+  return settings_.report_interval * 3 / 2 + kReportDelayMargin;
 }
 
-ListenerHealth::Audience WorkerGateway::audience(Instant now) const {
-  const Micros lateness = report_lateness();
-  ListenerHealth::Audience counts;
+ListenerHealth::ReportCounts WorkerGateway::report_counts(Instant now) const {
+  const Micros lateness = max_report_delay();
+  ListenerHealth::ReportCounts counts;
   for (const auto& [host, worker] : workers_) {
     if (worker.silent) continue;
     ++counts.expected;
-    if (now - worker.heard_at <= lateness) ++counts.heard;
+    if (now - worker.last_report_at <= lateness) ++counts.on_time;
   }
   return counts;
 }
 
-/// Cordons machines that show nothing of their answers. Where that is so of most, this node's answers reach
-/// nobody, and no machine is to blame.
+/// Cordons machines whose reports show no effect of the replies. If this applies to at least half of the
+/// machines (and at least two), the fault is on this node, and no machine is cordoned.
 void WorkerGateway::check_delivery(Micros limit) {
   replies_lost_ = false;
   if (!term_.leading) return;
-  std::size_t heard = 0;
-  std::size_t suspects = 0;
+  std::size_t reporting = 0;
+  std::size_t suspect_count = 0;
   std::vector<std::string> unreachable;
   for (const auto& [host, worker] : workers_) {
-    if (worker.silent || worker.cordoned || runtime_.now() - worker.heard_at > limit) continue;
-    ++heard;
-    if (worker.delivery.unobserved_replies() >= kMaxUnobserved - 1) ++suspects;
-    if (worker.delivery.unobserved_replies() >= kMaxUnobserved) unreachable.push_back(host);
+    if (worker.silent || worker.cordoned || runtime_.now() - worker.last_report_at > limit) continue;
+    ++reporting;
+    if (worker.delivery.unobserved_replies() >= kMaxUnobservedReplies - 1) ++suspect_count;
+    if (worker.delivery.unobserved_replies() >= kMaxUnobservedReplies) unreachable.push_back(host);
   }
-  replies_lost_ = suspects >= 2 && suspects * 2 >= heard;
+  replies_lost_ = suspect_count >= 2 && suspect_count * 2 >= reporting;
   if (replies_lost_) return;
   for (const std::string& host : unreachable) cordon(host, workers_.at(host), "it receives no replies");
 }
 
-void WorkerGateway::check_domains() {
+void WorkerGateway::check_failure_domains() {
   if (!topology_) return;
   std::vector<domain_failure_detector::DomainMember> members;
   members.reserve(workers_.size());
-  for (const auto& [host, worker] : workers_) members.push_back({&host, &worker.location, worker.heard_at});
-  domain_failures_.evaluate(runtime_.now(), report_lateness(), members);
+  for (const auto& [host, worker] : workers_)
+    members.push_back({&host, &worker.location, worker.last_report_at});
+  domain_failures_.evaluate(runtime_.now(), max_report_delay(), members);
   if (domain_failures_.suspected() == suspected_) return;
   suspected_ = domain_failures_.suspected();
   machines_suspected(MachinesSuspected{suspected_});
@@ -405,9 +416,10 @@
 void WorkerGateway::check_silence(Instant now, Micros limit) {
   for (auto& [host, worker] : workers_) {
     if (worker.silent) continue;
-    const Micros silence = now - worker.heard_at;
-    // A machine that the cloud was to take about now needs no long silence to be believed gone. A notice may
-    // turn out half as long as it says, so some silence is needed as well.
+    const Micros silence = now - worker.last_report_at;
+    // If the reclaim time of the eviction notice has passed, a machine counts as silent after a shorter time.
+    // Some silence is still required, since the announced time is not exact: a notice may be half as long as
+    // stated.
     const bool reclaimed =
         worker.reclaimed_by && now >= *worker.reclaimed_by && silence > settings_.report_interval * 3 / 2;
     if (silence <= limit && !reclaimed) continue;
@@ -416,10 +428,11 @@
   }
 }
 
-/// `domain_lost`: one log line tells of the whole domain already.
+/// Reports a worker as silent. `domain_lost`: its failure domain is lost, which has a log line of its own, so
+/// the machine is logged at debug level only.
 void WorkerGateway::report_silent(const std::string& host, Micros silence, bool domain_lost) const {
   log::say(domain_lost ? spdlog::level::debug : spdlog::level::info, "machine_silent",
-           "machine {machine} is silent for {seconds:.1f} s", log::with("machine", host),
+           "machine {machine} has sent no report for {seconds:.1f} s", log::with("machine", host),
            log::with("seconds", to_seconds(silence)));
   worker_silent(WorkerSilent{host});
 }
--- a/src/worker_gateway/worker_poller.cpp
+++ b/src/worker_gateway/worker_poller.cpp
@@ -18,24 +18,27 @@
 
 namespace {
 
-/// Workers polled at a time. A node that is short of processor time gets the answers later and polls more
-/// slowly.
+/// Minimum limit of concurrent polls. A node that is short of processor time receives the responses later,
+/// and so polls more slowly.
 constexpr std::size_t kMinConcurrentPolls = 24;
-/// Of many workers one in so many at a time, so that those that time out delay the others no longer.
+/// With many workers, this fraction of them is polled concurrently, so that polls that time out do not delay
+/// the others more than with few workers.
 constexpr std::size_t kConcurrentPollsDivisor = 40;
 constexpr Micros kPollTimeout = from_seconds(1);
-constexpr int kPollTries = 3;
-/// Time for all polls, and for a worker whose report to the previous leader must time out first.
-constexpr Micros kPollWindow = from_seconds(4.5);
-/// Where more than one in so many is missing, the fault is more likely this node's.
+constexpr int kMaxPollAttempts = 3;
+/// Time for all polls to finish, and for a worker to report whose report to the previous leader must time out
+/// first.
+constexpr Micros kMinPollTime = from_seconds(4.5);
+/// If more than one in this many workers is missing, a fault of this node is more likely.
 constexpr std::size_t kMaxMissingDivisor = 4;
 constexpr int kStatusOk = 200;
-/// The worker has begun another incarnation; its report says which.
+/// The worker is in another incarnation, which its report contains.
 constexpr int kStatusConflict = 409;
 
 enum class PollPriority { has_room, busy, silent };
 
-/// First the machines that have room for tasks that wait; last those that were silent before.
+/// Returns when to poll the machine: first the machines with room for waiting tasks, last those that were
+/// already silent.
 PollPriority priority_of(const MachineHint& machine) {
   if (machine.silent) return PollPriority::silent;
   return machine.has_room ? PollPriority::has_room : PollPriority::busy;
@@ -46,13 +49,13 @@
 void WorkerPoller::begin_term(Instant previous_heartbeat) {
   reset();
   leading_since_ = runtime_.now();
-  vacancy_ = previous_heartbeat == Instant{} ? Micros{0} : leading_since_ - previous_heartbeat;
+  leaderless_time_ = previous_heartbeat == Instant{} ? Micros{0} : leading_since_ - previous_heartbeat;
 }
 
 void WorkerPoller::reset() {
   queue_.clear();
   in_flight_ = 0;
-  unheard_.clear();
+  missing_.clear();
   inherited_count_ = 0;
 }
 
@@ -61,15 +64,15 @@
     for (const auto& [host, machine] : hints.machines) {
       if (priority_of(machine) != priority || machine.address.empty()) continue;
       queue_.push_back({host, machine.address, machine.incarnation, 0});
-      unheard_.insert(host);
+      missing_.insert(host);
     }
   }
-  inherited_count_ = unheard_.size();
+  inherited_count_ = missing_.size();
   send_polls();
 }
 
 void WorkerPoller::poll_listed(const std::string& host, const std::string& address) {
-  // Its incarnation isn't known: where it is another, the answer says which.
+  // The incarnation is unknown. If it is not 1, the response contains the right one.
   queue_.push_back({host, address, 1, 0});
   send_polls();
 }
@@ -79,7 +82,7 @@
   while (in_flight_ < limit && !queue_.empty()) {
     const Poll poll = std::move(queue_.front());
     queue_.pop_front();
-    if (callbacks_.is_settled(poll.host)) continue;
+    if (callbacks_.needs_no_poll(poll.host)) continue;
     ++in_flight_;
     const std::uint64_t fencing_token = term_.fencing_token;
     runtime_.call(
@@ -98,23 +101,23 @@
     callbacks_.on_newer_token(report->fencing_token);
   } else if (report && report->host == poll.host && report->fencing_token == fencing_token) {
     callbacks_.on_report(std::move(*report));
-  } else if (poll.tries + 1 < kPollTries) {
-    // The answer was lost, or the worker has begun another incarnation since the hint.
+  } else if (poll.failed_attempts + 1 < kMaxPollAttempts) {
+    // The response was lost, or the worker has started another incarnation since the hint was sent.
     queue_.push_back(
-        {poll.host, poll.address, report ? report->incarnation : poll.incarnation, poll.tries + 1});
+        {poll.host, poll.address, report ? report->incarnation : poll.incarnation, poll.failed_attempts + 1});
   }
   send_polls();
 }
 
 void WorkerPoller::give_up(Micros silence_limit) {
-  if (unheard_.empty()) return;
+  if (missing_.empty()) return;
   const Micros leading_for = runtime_.now() - leading_since_;
-  if (leading_for < std::max(kPollWindow, silence_limit - vacancy_)) return;
-  // What is assigned to machines that are not reported here is given up later all the same.
-  if (unheard_.size() * kMaxMissingDivisor <= inherited_count_) {
-    for (const std::string& host : unheard_) callbacks_.on_silent(host, leading_for + vacancy_);
+  if (leading_for < std::max(kMinPollTime, silence_limit - leaderless_time_)) return;
+  // Assignments on missing machines that are not reported as silent here are still given up later.
+  if (missing_.size() * kMaxMissingDivisor <= inherited_count_) {
+    for (const std::string& host : missing_) callbacks_.on_silent(host, leading_for + leaderless_time_);
   }
-  unheard_.clear();
+  missing_.clear();
 }
 
 }  // namespace wrenusher::worker_gateway
--- a/tests/capacity_test.cpp
+++ b/tests/capacity_test.cpp
@@ -1,5 +1,5 @@
-// No fixed limit stands below the machines of one deployment: 4,500 of what each limit counts. Where a page
-// stays smaller than that, it is shown to go on.
+// Checks that no fixed limit is below the size of one deployment: each test uses 4,500 of the items that a
+// limit counts. Where a page holds fewer items, the test checks that all pages are processed.
 
 #include <arpa/inet.h>
 #include <gtest/gtest.h>
@@ -31,107 +31,109 @@
 
 namespace {
 
-constexpr int kMany = 4500;
-/// The largest request body that a node takes.
-constexpr std::size_t kBody = 64 * 1024;
+/// The number of machines, jobs, records or connections in each test.
+constexpr int kItemCount = 4500;
+/// The largest request body that a node accepts.
+constexpr std::size_t kMaxRequestBodyBytes = 64 * 1024;
 
-std::string host(int i) {
+std::string host_name(int i) {
   return "m-" + std::to_string(100000 + i);
 }
 
-std::string ref(int i) {
+std::string job_ref(int i) {
   return "req-" + std::to_string(100000 + i);
 }
 
-WorkerReport report_of(const std::string& name) {
-  WorkerReport r;
-  r.host = name;
-  r.address = "10.1.0.1:9000";
-  r.machine_type = "small";
-  r.zone = "a";
-  r.fencing_token = 7;
-  r.incarnation = r.sequence = 1;
-  return r;
+WorkerReport make_report(const std::string& name) {
+  WorkerReport report;
+  report.host = name;
+  report.address = "10.1.0.1:9000";
+  report.machine_type = "small";
+  report.zone = "a";
+  report.fencing_token = 7;
+  report.incarnation = report.sequence = 1;
+  return report;
 }
 
-/// As a worker without tasks sends it.
-Request hello_of(const std::string& name) {
-  const WorkerReport r = report_of(name);
+/// Returns the request with which a worker without tasks reports.
+Request make_report_request(const std::string& name) {
+  const WorkerReport report = make_report(name);
   return {"POST", "/hello",
-          encode(Value::Map{{"host", r.host},
-                            {"addr", r.address},
-                            {"flavor", r.machine_type},
-                            {"site", r.zone},
+          encode(Value::Map{{"host", report.host},
+                            {"addr", report.address},
+                            {"flavor", report.machine_type},
+                            {"site", report.zone},
                             {"standby", false},
-                            {"tenure", r.incarnation},
-                            {"serial", r.sequence},
-                            {"epoch", r.fencing_token},
+                            {"tenure", report.incarnation},
+                            {"serial", report.sequence},
+                            {"epoch", report.fencing_token},
                             {"units", Value::List{}}})};
 }
 
-events::TermChanged leading() {
-  events::TermChanged t;
-  t.fencing_token = 7;
-  t.leading = true;
-  return t;
+events::TermChanged leader_term() {
+  events::TermChanged term;
+  term.fencing_token = 7;
+  term.leading = true;
+  return term;
 }
 
-/// A node of two, with its heartbeats carried by hand.
-struct Node {
+/// One of two nodes, whose heartbeats the test delivers.
+struct PeerNode {
   wrenusher::settings::Settings settings;
   wrenusher::membership::Peer peer;
   std::vector<events::StageAnnouncement> announced;
   std::vector<events::StageAnnouncement> confirmed;
-  std::vector<std::string> withdrawn;
-  std::vector<bool> announced_all;  ///< of each answer, whether nothing more was to come
+  std::vector<std::string> cancelled;
+  std::vector<bool> announcements_complete;  ///< the flag of each response, in order
   std::vector<std::shared_ptr<const events::Progress>> progress;
 
-  Node(ByHand& runtime, const char* name, const char* other)
+  PeerNode(ByHand& runtime, const char* name, const char* other)
       : settings([&] {
-          auto s = World::small_site();
-          s.node = name;
-          s.peers = {{other, "a", "10.0.0.2:8081"}};
-          return s;
+          auto site = World::small_site();
+          site.node = name;
+          site.peers = {{other, "a", "10.0.0.2:8081"}};
+          return site;
         }()),
         peer(runtime, settings) {
-    peer.stage_announced.connect(runtime,
-                                 [this](const events::StageAnnouncement& a) { announced.push_back(a); });
-    peer.stage_confirmed.connect(runtime,
-                                 [this](const events::StageAnnouncement& a) { confirmed.push_back(a); });
-    peer.job_cancelled.connect(runtime,
-                               [this](const events::JobCancelled& w) { withdrawn.push_back(w.job_id); });
-    peer.peer_status.connect(runtime, [this](const events::PeerStatus& n) {
-      if (n.request_sent_at) announced_all.push_back(n.announcements_complete);
+    peer.stage_announced.connect(
+        runtime, [this](const events::StageAnnouncement& event) { announced.push_back(event); });
+    peer.stage_confirmed.connect(
+        runtime, [this](const events::StageAnnouncement& event) { confirmed.push_back(event); });
+    peer.job_cancelled.connect(
+        runtime, [this](const events::JobCancelled& event) { cancelled.push_back(event.job_id); });
+    peer.peer_status.connect(runtime, [this](const events::PeerStatus& status) {
+      if (status.request_sent_at) announcements_complete.push_back(status.announcements_complete);
     });
     peer.progress.connect(
-        runtime, [this](const std::shared_ptr<const events::Progress>& p) { progress.push_back(p); });
+        runtime, [this](const std::shared_ptr<const events::Progress>& event) { progress.push_back(event); });
   }
 };
 
-/// Two nodes; `from` sends heartbeats, which `to` answers.
-struct TwoNodes {
-  ByHand rt;
-  Node from{rt, "c0", "c1"};
-  Node to{rt, "c1", "c0"};
-  std::size_t largest = 0;  ///< bytes of a heartbeat or its answer
+/// Two nodes; `sender` sends heartbeats, to which `receiver` responds.
+struct PeerPair {
+  ByHand runtime;
+  PeerNode sender{runtime, "c0", "c1"};
+  PeerNode receiver{runtime, "c1", "c0"};
+  std::size_t max_message_bytes = 0;  ///< size of the largest heartbeat or response so far
 
-  TwoNodes() {
-    from.peer.start();
+  PeerPair() {
+    sender.peer.start();
     deliver();
   }
-  /// What is on its way arrives, and is answered.
+  /// Delivers all requests under way to the receiver, and its responses to the sender.
   void deliver() {
-    for (ByHand::Call& c : std::exchange(rt.calls, {})) {
-      largest = std::max(largest, c.request.body.size());
-      to.peer.serve(c.request, [&](const Response& r) {
-        largest = std::max(largest, r.body.size());
-        c.done({true, true, r});
+    for (ByHand::Call& call : std::exchange(runtime.calls, {})) {
+      max_message_bytes = std::max(max_message_bytes, call.request.body.size());
+      receiver.peer.serve(call.request, [&](const Response& response) {
+        max_message_bytes = std::max(max_message_bytes, response.body.size());
+        call.done({true, true, response});
       });
     }
   }
-  void beats(int n) {
-    for (int i = 0; i < n; ++i) {
-      rt.pass(from_millis(500));
+  /// Lets the given number of heartbeat intervals pass, and delivers each heartbeat and its response.
+  void run_heartbeats(int count) {
+    for (int i = 0; i < count; ++i) {
+      runtime.pass(from_millis(500));
       deliver();
     }
   }
@@ -139,337 +141,341 @@
 
 }  // namespace
 
-TEST(Capacity, AMachineThatIsGoneStaysGoneWhereManyAre) {
+TEST(CapacityTest, IgnoresLateReportsOfManyDepartedMachines) {
   ByHand runtime;
   const auto settings = World::small_site();
-  wrenusher::worker_gateway::WorkerGateway fleet(runtime, settings);
+  wrenusher::worker_gateway::WorkerGateway gateway(runtime, settings);
   std::vector<std::string> reported;
-  fleet.worker_reported.connect(runtime,
-                                [&](const events::WorkerReported& r) { reported.push_back(r.report->host); });
-  fleet.on_term(leading());
-  for (int i = 0; i < kMany; ++i) fleet.on_machine_departed({host(i)});
-  // A copy of a report that comes late.
-  for (const std::string& name : {host(0), host(kMany - 1), host(kMany)})
-    fleet.on_report(hello_of(name), [](const Response&) {});
-  EXPECT_EQ(reported, std::vector<std::string>{host(kMany)});
+  gateway.worker_reported.connect(
+      runtime, [&](const events::WorkerReported& event) { reported.push_back(event.report->host); });
+  gateway.on_term(leader_term());
+  for (int i = 0; i < kItemCount; ++i) gateway.on_machine_departed({host_name(i)});
+  // Late reports of two departed machines, and a report of a machine that has not departed.
+  for (const std::string& name : {host_name(0), host_name(kItemCount - 1), host_name(kItemCount)})
+    gateway.on_report(make_report_request(name), [](const Response&) {});
+  EXPECT_EQ(reported, std::vector<std::string>{host_name(kItemCount)});
 }
 
-TEST(Capacity, ANewLeaderCallsManyMachinesAFixedPartAtATimeAndAllOfThemInTheEnd) {
+TEST(CapacityTest, NewLeaderPollsAllInheritedMachinesWithBoundedConcurrency) {
   ByHand runtime;
   const auto settings = World::small_site();
-  wrenusher::worker_gateway::WorkerGateway fleet(runtime, settings);
-  fleet.on_term(leading());
-  auto all = std::make_shared<events::InheritedHints>();
-  all->term = 7;
-  for (int i = 0; i < kMany; ++i) {
-    events::MachineHint m;
-    m.host = host(i);
-    m.address = "10.1.0.1:" + std::to_string(10000 + i);
-    m.incarnation = 1;
-    all->machines.emplace(m.host, m);
+  wrenusher::worker_gateway::WorkerGateway gateway(runtime, settings);
+  gateway.on_term(leader_term());
+  auto hints = std::make_shared<events::InheritedHints>();
+  hints->term = 7;
+  for (int i = 0; i < kItemCount; ++i) {
+    events::MachineHint machine;
+    machine.host = host_name(i);
+    machine.address = "10.1.0.1:" + std::to_string(10000 + i);
+    machine.incarnation = 1;
+    hints->machines.emplace(machine.host, machine);
   }
-  fleet.on_hints_inherited(all);
-  EXPECT_EQ(runtime.calls.size(), std::size_t{kMany / 40});
-  std::size_t called = 0;
-  for (int turn = 0; turn < 1000 && !runtime.calls.empty(); ++turn) {
-    // None answers: each is called three times.
-    for (const ByHand::Call& c : std::exchange(runtime.calls, {})) {
-      ++called;
-      c.done({false, true, {}});
+  gateway.on_hints_inherited(hints);
+  EXPECT_EQ(runtime.calls.size(), std::size_t{kItemCount / 40});
+  std::size_t poll_count = 0;
+  for (int round = 0; round < 1000 && !runtime.calls.empty(); ++round) {
+    // No machine responds, so each is polled three times.
+    for (const ByHand::Call& call : std::exchange(runtime.calls, {})) {
+      ++poll_count;
+      call.done({false, true, {}});
     }
   }
-  EXPECT_EQ(called, std::size_t{3 * kMany});
+  EXPECT_EQ(poll_count, std::size_t{3 * kItemCount});
 }
 
-TEST(Capacity, HintsOfAJobThatFailedOnManyMachinesAndOfALargeBookingAreReadBack) {
-  events::JobHint job{ref(1), {}, from_seconds(8), kMany};
-  for (int i = 0; i < kMany; ++i) job.hosts.push_back(host(i));
-  replica::HintTable p;
-  const wrenusher::time::Instant told{from_seconds(10)};
-  ASSERT_TRUE(p.put(replica::to_hint_row(job), told, 4, 2));
+TEST(CapacityTest, ReadsBackHintsOfJobFailedOnManyMachinesAndOfLargeRentalRequest) {
+  events::JobHint job{job_ref(1), {}, from_seconds(8), kItemCount};
+  for (int i = 0; i < kItemCount; ++i) job.hosts.push_back(host_name(i));
+  replica::HintTable table;
+  const wrenusher::time::Instant received_at{from_seconds(10)};
+  ASSERT_TRUE(table.put(replica::to_hint_row(job), received_at, 4, 2));
   ASSERT_TRUE(
-      p.put(replica::to_hint_row(events::RentalRequestHint{"r-4-9", "small", "a", true, kMany}), told, 4, 2));
-  const events::InheritedHints all = p.inherited_hints(told);
-  ASSERT_EQ(all.jobs.size(), 1U);
-  EXPECT_EQ(all.jobs[0].hosts, job.hosts);
-  EXPECT_EQ(all.jobs[0].retry_count, kMany);
-  ASSERT_EQ(all.rentals.requests.size(), 1U);
-  EXPECT_EQ(all.rentals.requests[0].count, std::uint32_t{kMany});
+      table.put(replica::to_hint_row(events::RentalRequestHint{"r-4-9", "small", "a", true, kItemCount}),
+                received_at, 4, 2));
+  const events::InheritedHints hints = table.inherited_hints(received_at);
+  ASSERT_EQ(hints.jobs.size(), 1U);
+  EXPECT_EQ(hints.jobs[0].hosts, job.hosts);
+  EXPECT_EQ(hints.jobs[0].retry_count, kItemCount);
+  ASSERT_EQ(hints.rentals.requests.size(), 1U);
+  EXPECT_EQ(hints.rentals.requests[0].count, std::uint32_t{kItemCount});
 }
 
-TEST(Capacity, MachinesAreToldToStandbysPageByPageUntilAllAre) {
+TEST(CapacityTest, TakesPendingHintsOfAllMachinesPageByPage) {
   ByHand runtime;
   wrenusher::estimates::Estimator estimator;
   wrenusher::machine_inventory::MachineInventory machines{runtime, estimator};
-  for (int i = 0; i < kMany; ++i)
-    machines.update_from_report(machines.get_or_add(host(i)), report_of(host(i)), true);
-  std::set<std::string> told;
-  for (int page = 0; page < kMany / 300; ++page) {
-    for (const auto* m : machines.take_pending_hints(300)) told.insert(m->name);
+  for (int i = 0; i < kItemCount; ++i)
+    machines.update_from_report(machines.get_or_add(host_name(i)), make_report(host_name(i)), true);
+  std::set<std::string> taken;
+  for (int page = 0; page < kItemCount / 300; ++page) {
+    for (const auto* machine : machines.take_pending_hints(300)) taken.insert(machine->name);
   }
-  EXPECT_EQ(told.size(), std::size_t{kMany});
+  EXPECT_EQ(taken.size(), std::size_t{kItemCount});
   EXPECT_TRUE(machines.take_pending_hints(300).empty());
 }
 
-// With more announcements than a heartbeat holds, none may be lost, and what a peer may rely on is said only
-// with the last of them.
-TEST(Capacity, ManyAnnouncementsAtOnceAllReachThePeerOverSeveralHeartbeats) {
-  TwoNodes n;
-  for (int i = 0; i < kMany; ++i) n.to.peer.on_announcement({ref(i), events::JobStage::finished});
-  n.rt.calls.clear();
-  n.from.announced_all.clear();
-  n.beats(12);
-  ASSERT_EQ(n.from.announced.size(), std::size_t{kMany});
+// If there are more announcements than fit into a heartbeat, none may be lost, and only the last response may
+// set `announcements_complete`.
+TEST(CapacityTest, ManyAnnouncementsReachThePeerOverSeveralHeartbeats) {
+  PeerPair nodes;
+  for (int i = 0; i < kItemCount; ++i)
+    nodes.receiver.peer.on_announcement({job_ref(i), events::JobStage::finished});
+  nodes.runtime.calls.clear();
+  nodes.sender.announcements_complete.clear();
+  nodes.run_heartbeats(12);
+  ASSERT_EQ(nodes.sender.announced.size(), std::size_t{kItemCount});
   std::set<std::string> job_ids;
-  for (const auto& a : n.from.announced) job_ids.insert(a.job_id);
-  EXPECT_EQ(job_ids.size(), std::size_t{kMany});
-  EXPECT_EQ(n.to.confirmed.size(), std::size_t{kMany});
-  EXPECT_LT(n.largest, kBody);
-  ASSERT_EQ(n.from.announced_all.size(), 12U);
-  EXPECT_FALSE(n.from.announced_all.front());
-  EXPECT_TRUE(n.from.announced_all.back());
+  for (const auto& announcement : nodes.sender.announced) job_ids.insert(announcement.job_id);
+  EXPECT_EQ(job_ids.size(), std::size_t{kItemCount});
+  EXPECT_EQ(nodes.receiver.confirmed.size(), std::size_t{kItemCount});
+  EXPECT_LT(nodes.max_message_bytes, kMaxRequestBodyBytes);
+  ASSERT_EQ(nodes.sender.announcements_complete.size(), 12U);
+  EXPECT_FALSE(nodes.sender.announcements_complete.front());
+  EXPECT_TRUE(nodes.sender.announcements_complete.back());
 }
 
-// For a peer that is away no more is kept than before of what nobody waits for any more.
-TEST(Capacity, OldAnnouncementsAreDroppedWhereAPeerIsAway) {
-  TwoNodes n;
-  for (int i = 0; i < kMany; ++i) {
-    n.to.peer.on_announcement({ref(i), events::JobStage::finished});
-    if (i == 2 * kMany / 3) n.rt.at += from_seconds(5);
+// Announcements that no request waits for any more must not pile up while a peer is unreachable.
+TEST(CapacityTest, DropsOldAnnouncementsForAnUnreachablePeer) {
+  PeerPair nodes;
+  for (int i = 0; i < kItemCount; ++i) {
+    nodes.receiver.peer.on_announcement({job_ref(i), events::JobStage::finished});
+    if (i == 2 * kItemCount / 3) nodes.runtime.at += from_seconds(5);
   }
-  n.rt.calls.clear();
-  n.beats(12);
-  EXPECT_EQ(n.from.announced.size(), std::size_t{kMany - 2 * kMany / 3 - 1});
+  nodes.runtime.calls.clear();
+  nodes.run_heartbeats(12);
+  EXPECT_EQ(nodes.sender.announced.size(), std::size_t{kItemCount - 2 * kItemCount / 3 - 1});
 }
 
-TEST(Capacity, ManyCancellationsAtOnceAllReachThePeerOverSeveralHeartbeats) {
-  TwoNodes n;
-  for (int i = 0; i < kMany; ++i) n.to.peer.on_cancelled({ref(i)});
-  n.rt.calls.clear();
-  n.beats(12);
-  const std::set<std::string> job_ids(n.from.withdrawn.begin(), n.from.withdrawn.end());
-  EXPECT_EQ(job_ids.size(), std::size_t{kMany});
-  EXPECT_LT(n.largest, kBody);
+TEST(CapacityTest, ManyCancellationsReachThePeerOverSeveralHeartbeats) {
+  PeerPair nodes;
+  for (int i = 0; i < kItemCount; ++i) nodes.receiver.peer.on_cancelled({job_ref(i)});
+  nodes.runtime.calls.clear();
+  nodes.run_heartbeats(12);
+  const std::set<std::string> job_ids(nodes.sender.cancelled.begin(), nodes.sender.cancelled.end());
+  EXPECT_EQ(job_ids.size(), std::size_t{kItemCount});
+  EXPECT_LT(nodes.max_message_bytes, kMaxRequestBodyBytes);
 }
 
-// Everything that a heartbeat may carry, at its largest and with the longest names, stays within a request's
-// body.
-TEST(Capacity, AHeartbeatFullOfEverythingFitsIntoARequest) {
-  TwoNodes n;
-  const auto longest = [](int i) { return ref(i) + std::string(64 - ref(i).size(), '0'); };
-  auto p = std::make_shared<events::Progress>();
-  for (int i = 0; i < kMany; ++i) {
-    n.from.peer.on_cancelled({longest(i)});
-    n.from.peer.on_announcement({longest(i), events::JobStage::finished});
-    p->rows.push_back({longest(i), 100000, 100000});
+// A heartbeat with the maximum of each kind of content, and with the longest names, must not exceed the size
+// limit of a request body.
+TEST(CapacityTest, LargestHeartbeatFitsIntoOneRequestBody) {
+  PeerPair nodes;
+  const auto longest_ref = [](int i) { return job_ref(i) + std::string(64 - job_ref(i).size(), '0'); };
+  auto progress = std::make_shared<events::Progress>();
+  for (int i = 0; i < kItemCount; ++i) {
+    nodes.sender.peer.on_cancelled({longest_ref(i)});
+    nodes.sender.peer.on_announcement({longest_ref(i), events::JobStage::finished});
+    progress->rows.push_back({longest_ref(i), 100000, 100000});
   }
   std::set<std::string> job_ids;
-  n.rt.calls.clear();
+  nodes.runtime.calls.clear();
   for (int i = 0; i < 120; ++i) {
-    n.from.peer.on_progress(p);
-    n.from.peer.on_attachment({"c1", Value::Map{{"rows", std::string(24 * 1024, 'x')}}});
-    n.beats(1);
+    nodes.sender.peer.on_progress(progress);
+    nodes.sender.peer.on_attachment({"c1", Value::Map{{"rows", std::string(24 * 1024, 'x')}}});
+    nodes.run_heartbeats(1);
   }
-  for (const auto& got : n.to.progress) {
-    for (const auto& row : got->rows) job_ids.insert(row.job_id);
+  for (const auto& page : nodes.receiver.progress) {
+    for (const auto& row : page->rows) job_ids.insert(row.job_id);
   }
-  EXPECT_LT(n.largest, kBody);
-  EXPECT_EQ(job_ids.size(), std::size_t{kMany});
-  // Rows come again until they are confirmed.
-  const std::set<std::string> withdrawn(n.to.withdrawn.begin(), n.to.withdrawn.end());
-  EXPECT_EQ(withdrawn.size(), std::size_t{kMany});
+  EXPECT_LT(nodes.max_message_bytes, kMaxRequestBodyBytes);
+  EXPECT_EQ(job_ids.size(), std::size_t{kItemCount});
+  // Rows are repeated until they are confirmed, so duplicates are removed before counting.
+  const std::set<std::string> cancelled(nodes.receiver.cancelled.begin(), nodes.receiver.cancelled.end());
+  EXPECT_EQ(cancelled.size(), std::size_t{kItemCount});
   std::set<std::string> announced;
-  for (const auto& a : n.to.announced) announced.insert(a.job_id);
-  EXPECT_EQ(announced.size(), std::size_t{kMany});
+  for (const auto& announcement : nodes.receiver.announced) announced.insert(announcement.job_id);
+  EXPECT_EQ(announced.size(), std::size_t{kItemCount});
 }
 
-TEST(Capacity, TaskCountsOfManyJobsReachThePeerPageByPage) {
-  TwoNodes n;
-  auto p = std::make_shared<events::Progress>();
-  for (int i = 0; i < kMany; ++i) p->rows.push_back({ref((i * 7) % kMany), 1, 2});
-  n.from.peer.on_progress(p);
-  n.beats(8);
-  ASSERT_EQ(n.to.progress.size(), 5U);
+TEST(CapacityTest, TaskCountsOfManyJobsReachThePeerPageByPage) {
+  PeerPair nodes;
+  auto progress = std::make_shared<events::Progress>();
+  for (int i = 0; i < kItemCount; ++i) progress->rows.push_back({job_ref((i * 7) % kItemCount), 1, 2});
+  nodes.sender.peer.on_progress(progress);
+  nodes.run_heartbeats(8);
+  ASSERT_EQ(nodes.receiver.progress.size(), 5U);
   std::set<std::string> job_ids;
-  for (const auto& page : n.to.progress) {
+  for (const auto& page : nodes.receiver.progress) {
     ASSERT_TRUE(page->job_range);
     for (const auto& row : page->rows) {
       EXPECT_TRUE(page->job_range->contains(row.job_id));
       EXPECT_TRUE(job_ids.insert(row.job_id).second);
     }
   }
-  EXPECT_EQ(job_ids.size(), std::size_t{kMany});
-  EXPECT_EQ(n.to.progress.back()->job_range->through, "");
-  // A list that fits is whole, as ever.
-  auto few = std::make_shared<events::Progress>();
-  few->rows.push_back({ref(1), 1, 2});
-  n.from.peer.on_progress(few);
-  n.beats(1);
-  ASSERT_EQ(n.to.progress.size(), 6U);
-  EXPECT_FALSE(n.to.progress.back()->job_range);
+  EXPECT_EQ(job_ids.size(), std::size_t{kItemCount});
+  EXPECT_EQ(nodes.receiver.progress.back()->job_range->through, "");
+  // A list that fits into one page has no job range.
+  auto small = std::make_shared<events::Progress>();
+  small->rows.push_back({job_ref(1), 1, 2});
+  nodes.sender.peer.on_progress(small);
+  nodes.run_heartbeats(1);
+  ASSERT_EQ(nodes.receiver.progress.size(), 6U);
+  EXPECT_FALSE(nodes.receiver.progress.back()->job_range);
 }
 
-// A page replaces what was known of its own jobs alone.
-TEST(Capacity, APageOfTaskCountsLeavesTheOtherJobsAsTheyWere) {
-  DeskByHand d;
+// A page replaces only the task counts of the jobs in its own range.
+TEST(CapacityTest, PageOfTaskCountsKeepsCountsOfOtherJobs) {
+  DeskByHand fixture;
   const auto page = [](const std::string& after, const std::string& through,
                        std::vector<events::Progress::Row> rows) {
-    auto p = std::make_shared<events::Progress>();
-    p->rows = std::move(rows);
-    p->job_range = events::Progress::JobRange{after, through};
-    return p;
+    auto progress = std::make_shared<events::Progress>();
+    progress->rows = std::move(rows);
+    progress->job_range = events::Progress::JobRange{after, through};
+    return progress;
   };
   const auto state_of = [&](const std::string& job) {
-    d.ref = job;
-    d.states.clear();
-    d.poll();
-    const ByHand::Call c = d.sent();
-    if (c.request.method == "POST") {
-      DeskByHand::answer(c, 200, DeskByHand::none(6));
+    fixture.ref = job;
+    fixture.states.clear();
+    fixture.poll();
+    const ByHand::Call call = fixture.sent();
+    if (call.request.method == "POST") {
+      DeskByHand::answer(call, 200, DeskByHand::none(6));
     } else {
-      DeskByHand::answer(c, 200, d.live(5, false));
+      DeskByHand::answer(call, 200, fixture.live(5, false));
     }
-    return d.states.empty() ? "" : d.states[0];
+    return fixture.states.empty() ? "" : fixture.states[0];
   };
-  d.desk.on_progress(page("", ref(5), {{ref(2), 0, 1}, {ref(5), 0, 1}}));
-  d.desk.on_progress(page(ref(5), "", {{ref(7), 0, 1}}));
-  for (const int i : {2, 5, 7}) EXPECT_EQ(state_of(ref(i)), "running") << i;
-  d.desk.on_progress(page("", ref(5), {{ref(5), 0, 1}}));
-  EXPECT_EQ(state_of(ref(2)), "pending");
-  for (const int i : {5, 7}) EXPECT_EQ(state_of(ref(i)), "running") << i;
+  fixture.desk.on_progress(page("", job_ref(5), {{job_ref(2), 0, 1}, {job_ref(5), 0, 1}}));
+  fixture.desk.on_progress(page(job_ref(5), "", {{job_ref(7), 0, 1}}));
+  for (const int i : {2, 5, 7}) EXPECT_EQ(state_of(job_ref(i)), "running") << i;
+  fixture.desk.on_progress(page("", job_ref(5), {{job_ref(5), 0, 1}}));
+  EXPECT_EQ(state_of(job_ref(2)), "pending");
+  for (const int i : {5, 7}) EXPECT_EQ(state_of(job_ref(i)), "running") << i;
 }
 
-TEST(Capacity, TheLeaderTellsTheTaskCountsOfManyJobs) {
+TEST(CapacityTest, LeaderPublishesTaskCountsOfManyJobs) {
   ByHand runtime;
   wrenusher::settings::Settings settings = World::small_site();
   wrenusher::estimates::Estimator estimator;
   wrenusher::machine_inventory::MachineInventory machines{runtime, estimator};
-  wrenusher::job_table::JobTable book{runtime, machines};
-  wrenusher::scheduling_cycle::SchedulingCycle rounds{runtime, settings, book, machines, estimator};
-  book.reset(7);
-  for (int i = 0; i < kMany; ++i) {
+  wrenusher::job_table::JobTable jobs{runtime, machines};
+  wrenusher::scheduling_cycle::SchedulingCycle cycle{runtime, settings, jobs, machines, estimator};
+  jobs.reset(7);
+  for (int i = 0; i < kItemCount; ++i) {
     JobSpec spec = World::job(i, 1, 1, 100);
-    spec.job_id = ref(i);
-    auto& job = book.add(spec.job_id, {spec, {}, 1000, false}, 1);
-    book.assign(job, 0, machines.get_or_add(host(i)), 1, wrenusher::job_table::TaskState::assigned);
+    spec.job_id = job_ref(i);
+    auto& job = jobs.add(spec.job_id, {spec, {}, 1000, false}, 1);
+    jobs.assign(job, 0, machines.get_or_add(host_name(i)), 1, wrenusher::job_table::TaskState::assigned);
   }
-  const auto p = rounds.progress();
-  ASSERT_TRUE(p);
-  EXPECT_EQ(p->rows.size(), std::size_t{kMany});
+  const auto progress = cycle.progress();
+  ASSERT_TRUE(progress);
+  EXPECT_EQ(progress->rows.size(), std::size_t{kItemCount});
 }
 
-TEST(Capacity, FinalStatesOfManyJobsAreRemembered) {
-  DeskByHand d;
-  for (int i = 0; i < kMany; ++i) {
-    d.ref = ref(i);
-    d.poll();
-    DeskByHand::answer(d.sent(), 404, DeskByHand::none(9));
-    DeskByHand::answer(d.sent(), 200, d.over());
+TEST(CapacityTest, CachesFinalStatesOfManyJobs) {
+  DeskByHand fixture;
+  for (int i = 0; i < kItemCount; ++i) {
+    fixture.ref = job_ref(i);
+    fixture.poll();
+    DeskByHand::answer(fixture.sent(), 404, DeskByHand::none(9));
+    DeskByHand::answer(fixture.sent(), 200, fixture.over());
   }
-  d.states.clear();
-  d.ref = ref(0);
-  d.poll();
-  EXPECT_EQ(d.states, std::vector<std::string>{"done"});
-  EXPECT_TRUE(d.rt.calls.empty());
+  fixture.states.clear();
+  fixture.ref = job_ref(0);
+  fixture.poll();
+  EXPECT_EQ(fixture.states, std::vector<std::string>{"done"});
+  EXPECT_TRUE(fixture.rt.calls.empty());
 }
 
-// While there is no index: many jobs' records are compared, not read again, and the questions about all of
-// them wait at once.
-TEST(Capacity, QuestionsAboutManyLiveJobsAreComparedAndNotRefused) {
-  DeskByHand d;
-  for (int i = 0; i < kMany; ++i) {
-    d.ref = ref(i);
-    d.poll();
-    DeskByHand::answer(d.sent(), 200, d.live(5, false));
+// Before the job index is ready, queries about many live jobs wait at the same time. Their records are
+// compared by revision in batches instead of being read again, and no query is refused.
+TEST(CapacityTest, AnswersManyQueriesAboutLiveJobsByBatchedComparisons) {
+  DeskByHand fixture;
+  for (int i = 0; i < kItemCount; ++i) {
+    fixture.ref = job_ref(i);
+    fixture.poll();
+    DeskByHand::answer(fixture.sent(), 200, fixture.live(5, false));
   }
-  d.states.clear();
-  for (int i = 0; i < kMany; ++i) {
-    d.ref = ref(i);
-    d.poll();
+  fixture.states.clear();
+  for (int i = 0; i < kItemCount; ++i) {
+    fixture.ref = job_ref(i);
+    fixture.poll();
   }
-  EXPECT_TRUE(d.states.empty());
+  EXPECT_TRUE(fixture.states.empty());
   std::size_t comparisons = 0;
-  while (d.states.size() < std::size_t{kMany} && comparisons < std::size_t{kMany}) {
-    const ByHand::Call c = d.sent();
-    ASSERT_EQ(c.request.target, "/multi");
+  while (fixture.states.size() < std::size_t{kItemCount} && comparisons < std::size_t{kItemCount}) {
+    const ByHand::Call call = fixture.sent();
+    ASSERT_EQ(call.request.target, "/multi");
     ++comparisons;
-    DeskByHand::answer(c, 200, DeskByHand::none(6));
+    DeskByHand::answer(call, 200, DeskByHand::none(6));
   }
-  EXPECT_EQ(std::count(d.states.begin(), d.states.end(), "pending"), kMany);
-  EXPECT_LT(comparisons, std::size_t{kMany / 10});
+  EXPECT_EQ(std::count(fixture.states.begin(), fixture.states.end(), "pending"), kItemCount);
+  EXPECT_LT(comparisons, std::size_t{kItemCount / 10});
 }
 
-TEST(Capacity, TheIndexReadsManyLiveJobsPageByPageAndManyQuestionsWaitForIt) {
-  DeskByHand d;
-  d.desk.start();
+TEST(CapacityTest, JobIndexReadsLiveJobsPageByPageAndServesManyWaitingQueries) {
+  DeskByHand fixture;
+  fixture.desk.start();
   int pages = 0;
-  for (int next = 0; next < kMany; ++pages) {
-    const ByHand::Call c = d.sent();
-    ASSERT_TRUE(c.request.target.starts_with("/store?starts=job/")) << c.request.target;
-    // It goes on after the last job that the page before had.
-    const std::string from = next == 0 ? "" : "from=job/" + ref(next - 1);
-    ASSERT_NE(c.request.target.find(from), std::string::npos) << c.request.target;
+  for (int next = 0; next < kItemCount; ++pages) {
+    const ByHand::Call call = fixture.sent();
+    ASSERT_TRUE(call.request.target.starts_with("/store?starts=job/")) << call.request.target;
+    // Each page starts after the last job of the page before.
+    const std::string from_parameter = next == 0 ? "" : "from=job/" + job_ref(next - 1);
+    ASSERT_NE(call.request.target.find(from_parameter), std::string::npos) << call.request.target;
     Value::List rows;
-    for (int i = 0; i < 200 && next < kMany; ++i) {
-      d.ref = ref(next++);
-      rows.emplace_back(d.live(5, false));
+    for (int i = 0; i < 200 && next < kItemCount; ++i) {
+      fixture.ref = job_ref(next++);
+      rows.emplace_back(fixture.live(5, false));
     }
-    DeskByHand::answer(c, 200,
-                       Value::Map{{"rows", std::move(rows)}, {"truncated", next < kMany}, {"ledger_rev", 9}});
+    DeskByHand::answer(
+        call, 200,
+        Value::Map{{"rows", std::move(rows)}, {"truncated", next < kItemCount}, {"ledger_rev", 9}});
   }
   EXPECT_EQ(pages, 23);
-  for (int i = 0; i < kMany; ++i) {
-    d.ref = ref(i);
-    d.poll();
+  for (int i = 0; i < kItemCount; ++i) {
+    fixture.ref = job_ref(i);
+    fixture.poll();
   }
-  EXPECT_TRUE(d.states.empty());
-  DeskByHand::answer(d.sent(), 200, Value::Map{{"ledger_rev", std::uint64_t{9}}, {"events", Value::List{}}});
-  EXPECT_EQ(std::count(d.states.begin(), d.states.end(), "pending"), kMany);
-  EXPECT_TRUE(d.rt.calls.empty());
+  EXPECT_TRUE(fixture.states.empty());
+  DeskByHand::answer(fixture.sent(), 200,
+                     Value::Map{{"ledger_rev", std::uint64_t{9}}, {"events", Value::List{}}});
+  EXPECT_EQ(std::count(fixture.states.begin(), fixture.states.end(), "pending"), kItemCount);
+  EXPECT_TRUE(fixture.rt.calls.empty());
 }
 
 namespace {
 
-/// The value of a parameter of a request's target; empty: there is none.
-std::string parameter(const std::string& target, const std::string& name) {
-  const auto at = target.find(name + "=");
-  if (at == std::string::npos) return {};
-  const auto from = at + name.size() + 1;
-  return target.substr(from, target.find('&', from) - from);
+/// Returns the value of a query parameter, or an empty string if there is none.
+std::string query_parameter(const std::string& target, const std::string& name) {
+  const auto name_start = target.find(name + "=");
+  if (name_start == std::string::npos) return {};
+  const auto value_start = name_start + name.size() + 1;
+  return target.substr(value_start, target.find('&', value_start) - value_start);
 }
 
-/// A state service and a cloud that know many live jobs without claims, and many running machines.
-struct ManyRecords {
-  ByHand rt;
+/// A key-value store with many live jobs without claims, and a cloud with many running machines.
+struct LargeServices {
+  ByHand runtime;
   wrenusher::settings::Settings settings = [] {
-    auto s = World::small_site();
-    s.state_rps = s.cloud_rps = 1e6;
-    return s;
+    auto site = World::small_site();
+    site.state_rps = site.cloud_rps = 1e6;
+    return site;
   }();
-  wrenusher::kv_client::KvClient store{rt, settings};
-  int pages = 0;
-
-  /// Lets time pass, with every list answered by pages as they are asked for.
-  void answer_for(Micros how_long) {
-    const auto end = rt.at + how_long;
-    while (rt.at < end) {
-      for (const ByHand::Call& c : std::exchange(rt.calls, {})) answer(c);
-      rt.pass(from_millis(20));
+  wrenusher::kv_client::KvClient store{runtime, settings};
+  int page_count = 0;  ///< pages with at least one row
+
+  /// Lets the given time pass, and answers every request for a page of a list.
+  void run_for(Micros duration) {
+    const auto end = runtime.at + duration;
+    while (runtime.at < end) {
+      for (const ByHand::Call& call : std::exchange(runtime.calls, {})) answer(call);
+      runtime.pass(from_millis(20));
     }
   }
 
  private:
-  void answer(const ByHand::Call& c) {
-    const std::string& target = c.request.target;
-    const auto limit = static_cast<std::size_t>(std::atoi(parameter(target, "limit").c_str()));
-    const std::string from = parameter(target, "from");
+  void answer(const ByHand::Call& call) {
+    const std::string& target = call.request.target;
+    const auto limit = static_cast<std::size_t>(std::atoi(query_parameter(target, "limit").c_str()));
+    const std::string from = query_parameter(target, "from");
     Value::List rows;
     int i = 0;
     const bool rentals = target.starts_with("/rentals?");
     if (rentals) {
-      while (i < kMany && host(i) <= from) ++i;
-      for (; i < kMany && rows.size() < limit; ++i) {
-        rows.emplace_back(Value::Map{{"ref", host(i)},
+      while (i < kItemCount && host_name(i) <= from) ++i;
+      for (; i < kItemCount && rows.size() < limit; ++i) {
+        rows.emplace_back(Value::Map{{"ref", host_name(i)},
                                      {"flavor", "small"},
                                      {"site", "a"},
                                      {"status", "running"},
@@ -478,88 +484,89 @@
                                      {"held_s", 5}});
       }
     } else if (target.starts_with("/store?starts=job/")) {
-      while (i < kMany && "job/" + ref(i) <= from) ++i;
-      for (; i < kMany && rows.size() < limit; ++i) {
+      while (i < kItemCount && "job/" + job_ref(i) <= from) ++i;
+      for (; i < kItemCount && rows.size() < limit; ++i) {
         JobSpec spec = World::job(0, 1, 1, 10);
-        spec.job_id = ref(i);
-        rows.emplace_back(Value::Map{{"k", "job/" + ref(i)},
+        spec.job_id = job_ref(i);
+        rows.emplace_back(Value::Map{{"k", "job/" + job_ref(i)},
                                      {"value", wrenusher::records::write_job(spec, {}, 100)},
                                      {"stamp", std::uint64_t{5}}});
       }
     } else if (target.starts_with("/store?")) {
-      i = kMany;
+      i = kItemCount;
     } else {
-      return;  // never answered
+      return;  // other requests get no response
     }
-    if (!rows.empty()) ++pages;
-    c.done({true,
-            true,
-            {200,
-             encode(Value::Map{{rentals ? "hosts" : "rows", std::move(rows)},
-                               {"truncated", i < kMany},
-                               {"ledger_rev", std::uint64_t{9}}}),
-             0}});
+    if (!rows.empty()) ++page_count;
+    call.done({true,
+               true,
+               {200,
+                encode(Value::Map{{rentals ? "hosts" : "rows", std::move(rows)},
+                                  {"truncated", i < kItemCount},
+                                  {"ledger_rev", std::uint64_t{9}}}),
+                0}});
   }
 };
 
 }  // namespace
 
-TEST(Capacity, AStandbyCopiesManyRecordsPageByPage) {
-  ManyRecords m;
-  wrenusher::replica::RecordReplica copy(m.rt, m.settings, m.store);
-  copy.start();
-  m.answer_for(from_seconds(20));
-  EXPECT_EQ(copy.job_count(), std::size_t{kMany});
-  EXPECT_EQ(m.pages, kMany / 100);
+TEST(CapacityTest, StandbyReplicatesManyRecordsPageByPage) {
+  LargeServices services;
+  wrenusher::replica::RecordReplica record_replica(services.runtime, services.settings, services.store);
+  record_replica.start();
+  services.run_for(from_seconds(20));
+  EXPECT_EQ(record_replica.job_count(), std::size_t{kItemCount});
+  EXPECT_EQ(services.page_count, kItemCount / 100);
 }
 
-TEST(Capacity, ANewLeaderReadsManyRecordsPageByPage) {
-  ManyRecords m;
+TEST(CapacityTest, NewLeaderReadsManyRecordsPageByPage) {
+  LargeServices services;
   wrenusher::estimates::Estimator estimator;
-  wrenusher::machine_inventory::MachineInventory machines{m.rt, estimator};
-  wrenusher::job_table::JobTable book{m.rt, machines};
-  wrenusher::commit_batcher::CommitBatcher writer{m.rt, m.settings, m.store, book};
-  wrenusher::leader::Failover takeover{m.rt, m.store, book, writer};
-  book.reset(7);
+  wrenusher::machine_inventory::MachineInventory machines{services.runtime, estimator};
+  wrenusher::job_table::JobTable jobs{services.runtime, machines};
+  wrenusher::commit_batcher::CommitBatcher batcher{services.runtime, services.settings, services.store, jobs};
+  wrenusher::leader::Failover failover{services.runtime, services.store, jobs, batcher};
+  jobs.reset(7);
   std::uint64_t revision = 0;
-  takeover.start_reading([&](std::uint64_t r) { revision = r; });
-  m.answer_for(from_seconds(2));
+  failover.start_reading([&](std::uint64_t read_revision) { revision = read_revision; });
+  services.run_for(from_seconds(2));
   EXPECT_EQ(revision, 9U);
-  EXPECT_EQ(book.jobs().size(), std::size_t{kMany});
-  EXPECT_EQ(m.pages, 12);
+  EXPECT_EQ(jobs.jobs().size(), std::size_t{kItemCount});
+  EXPECT_EQ(services.page_count, 12);
 }
 
-TEST(Capacity, ManyRentalsAreListedPageByPage) {
-  ManyRecords m;
-  wrenusher::provisioner::Provisioner p(m.rt, m.settings, m.store);
+TEST(CapacityTest, ListsManyRentalsPageByPage) {
+  LargeServices services;
+  wrenusher::provisioner::Provisioner provisioner(services.runtime, services.settings, services.store);
   std::set<std::string> listed;
-  p.machine_listed.connect(m.rt, [&](const events::MachineListed& l) { listed.insert(l.host); });
-  p.on_term({true, 3, 7, "c0", {}, {}});
-  p.on_lease_validity({m.rt.at + from_seconds(30)});
-  p.start();
-  m.answer_for(from_seconds(6));
-  EXPECT_EQ(listed.size(), std::size_t{kMany});
-  EXPECT_GE(m.pages, kMany / 500);
+  provisioner.machine_listed.connect(services.runtime,
+                                     [&](const events::MachineListed& event) { listed.insert(event.host); });
+  provisioner.on_term({true, 3, 7, "c0", {}, {}});
+  provisioner.on_lease_validity({services.runtime.at + from_seconds(30)});
+  provisioner.start();
+  services.run_for(from_seconds(6));
+  EXPECT_EQ(listed.size(), std::size_t{kItemCount});
+  EXPECT_GE(services.page_count, kItemCount / 500);
 }
 
 namespace {
 
-/// Sets this process's limit of open files for a test's time.
-class OpenFiles {
+/// Saves this process's limit of open files, and restores it at the end of a test.
+class OpenFileLimitGuard {
  public:
-  OpenFiles() { getrlimit(RLIMIT_NOFILE, &before_); }
-  ~OpenFiles() { setrlimit(RLIMIT_NOFILE, &before_); }
-  void soft(rlim_t n) {
-    rlimit l = before_;
-    l.rlim_cur = n;
-    ASSERT_EQ(setrlimit(RLIMIT_NOFILE, &l), 0);
+  OpenFileLimitGuard() { getrlimit(RLIMIT_NOFILE, &before_); }
+  ~OpenFileLimitGuard() { setrlimit(RLIMIT_NOFILE, &before_); }
+  void set_soft_limit(rlim_t soft) {
+    rlimit limit = before_;
+    limit.rlim_cur = soft;
+    ASSERT_EQ(setrlimit(RLIMIT_NOFILE, &limit), 0);
   }
-  rlim_t now() const {
-    rlimit l{};
-    getrlimit(RLIMIT_NOFILE, &l);
-    return l.rlim_cur;
+  rlim_t soft_limit() const {
+    rlimit limit{};
+    getrlimit(RLIMIT_NOFILE, &limit);
+    return limit.rlim_cur;
   }
-  rlim_t hard() const { return before_.rlim_max; }
+  rlim_t hard_limit() const { return before_.rlim_max; }
 
  private:
   rlimit before_{};
@@ -567,96 +574,98 @@
 
 }  // namespace
 
-TEST(OpenFileLimit, IsRaisedToWhatTheSocketsNeedAndNeverLowered) {
-  OpenFiles files;
-  ASSERT_GT(files.hard(), rlim_t{kMany + 500}) << "the hard limit of open files is too low for this test";
-  files.soft(256);
-  const auto limit = wrenusher::net::raise_open_file_limit(kMany);
+TEST(OpenFileLimitTest, RaisesSoftLimitForSocketsAndNeverLowersIt) {
+  OpenFileLimitGuard open_files;
+  ASSERT_GT(open_files.hard_limit(), rlim_t{kItemCount + 500})
+      << "the hard limit of open files is too low for this test";
+  open_files.set_soft_limit(256);
+  const auto limit = wrenusher::net::raise_open_file_limit(kItemCount);
   EXPECT_TRUE(limit.sufficient());
-  EXPECT_GT(files.now(), rlim_t{kMany});
-  EXPECT_EQ(files.now(), limit.soft);
+  EXPECT_GT(open_files.soft_limit(), rlim_t{kItemCount});
+  EXPECT_EQ(open_files.soft_limit(), limit.soft);
   wrenusher::net::raise_open_file_limit(10);
-  EXPECT_EQ(files.now(), limit.soft);
+  EXPECT_EQ(open_files.soft_limit(), limit.soft);
 }
 
 namespace {
 
-/// In a process of its own: a hard limit that was lowered stays so.
-void raise_with_a_low_hard_limit() {
-  const rlimit low{200, 1000};
-  setrlimit(RLIMIT_NOFILE, &low);
+/// Must run in a separate process, since a lowered hard limit cannot be raised again.
+void raise_with_low_hard_limit() {
+  const rlimit low_limit{200, 1000};
+  setrlimit(RLIMIT_NOFILE, &low_limit);
   wrenusher::log::set_up("wrenusher", wrenusher::log::Format::text);
-  const auto limit = wrenusher::net::raise_open_file_limit(kMany);
+  const auto limit = wrenusher::net::raise_open_file_limit(kItemCount);
   wrenusher::net::report_open_file_limit(limit);
   std::exit(!limit.sufficient() && limit.soft == 1000 && limit.hard == 1000 ? 0 : 1);
 }
 
 }  // namespace
 
-TEST(OpenFileLimit, ThatIsTooLowIsRaisedAsFarAsItGoesAndSaidWithWhatToDo) {
-  EXPECT_EXIT(raise_with_a_low_hard_limit(), testing::ExitedWithCode(0),
+TEST(OpenFileLimitTest, RaisesSoftLimitToLowHardLimitAndLogsRemedy) {
+  EXPECT_EXIT(raise_with_low_hard_limit(), testing::ExitedWithCode(0),
               "only 1000 files may be open.*Raise the hard limit.*now 1000, to 4564");
 }
 
-// Machines report all at once, as after a leader's end: all are accepted, none waits for another's
-// connection, and the lab refuses none.
-TEST(Capacity, ManyConnectionsAtOnceAreTaken) {
-  OpenFiles files;
-  const auto limit = wrenusher::net::raise_open_file_limit(2 * kMany + 100);
+// All machines report at the same time, as after the failure of a leader. All connections must be accepted,
+// none may wait for another one to close, and the testbed must refuse none.
+TEST(CapacityTest, AcceptsManySimultaneousConnections) {
+  OpenFileLimitGuard open_files;
+  const auto limit = wrenusher::net::raise_open_file_limit(2 * kItemCount + 100);
   ASSERT_TRUE(limit.sufficient()) << "the hard limit of open files is too low for this test";
   wrenusher::net::UvRuntime runtime(kTestbedSockets, kTestbedPool);
   LiveTransport transport(runtime, 28000);
   std::vector<Responder> waiting;
-  const auto at = transport.serve("c0", [&](const std::string&, const Request&, const Responder& a) {
-    // Nobody is answered until all have come.
-    waiting.push_back(a);
-    if (waiting.size() < std::size_t{kMany}) return;
-    for (const Responder& answer : waiting) answer({200, {}, 0});
-  });
-  ASSERT_TRUE(at);
-  int good = 0;
-  int over = 0;
-  for (int i = 0; i < kMany; ++i) {
-    transport.send("m-" + std::to_string(i), *at, {"GET", "/submissions/" + ref(i), {}}, from_seconds(20),
-                   [&](const CallResult& o) {
-                     good += o.answered && o.response.status == 200 ? 1 : 0;
-                     if (++over == kMany) runtime.stop();
+  const auto address =
+      transport.serve("c0", [&](const std::string&, const Request&, const Responder& responder) {
+        // No request is answered until all have arrived.
+        waiting.push_back(responder);
+        if (waiting.size() < std::size_t{kItemCount}) return;
+        for (const Responder& answer : waiting) answer({200, {}, 0});
+      });
+  ASSERT_TRUE(address);
+  int succeeded = 0;
+  int finished = 0;
+  for (int i = 0; i < kItemCount; ++i) {
+    transport.send("m-" + std::to_string(i), *address, {"GET", "/submissions/" + job_ref(i), {}},
+                   from_seconds(20), [&](const CallResult& result) {
+                     succeeded += result.answered && result.response.status == 200 ? 1 : 0;
+                     if (++finished == kItemCount) runtime.stop();
                    });
   }
   runtime.run();
-  EXPECT_EQ(good, kMany);
+  EXPECT_EQ(succeeded, kItemCount);
 }
 
-// The kernel keeps no more than net.core.somaxconn, whatever is asked for.
-TEST(Capacity, ManyConnectionsWaitToBeAcceptedAsFarAsTheKernelAllows) {
-  OpenFiles files;
-  ASSERT_TRUE(wrenusher::net::raise_open_file_limit(2 * kMany + 100).sufficient())
+// The kernel limits the backlog of unaccepted connections to net.core.somaxconn.
+TEST(CapacityTest, ListenBacklogIsAsLargeAsTheKernelAllows) {
+  OpenFileLimitGuard open_files;
+  ASSERT_TRUE(wrenusher::net::raise_open_file_limit(2 * kItemCount + 100).sufficient())
       << "the hard limit of open files is too low for this test";
-  int kernel = 0;
-  std::ifstream("/proc/sys/net/core/somaxconn") >> kernel;
-  ASSERT_GT(kernel, 256) << "net.core.somaxconn is too low for this test";
-  const int many = std::min(kMany, kernel);
+  int kernel_limit = 0;
+  std::ifstream("/proc/sys/net/core/somaxconn") >> kernel_limit;
+  ASSERT_GT(kernel_limit, 256) << "net.core.somaxconn is too low for this test";
+  const int connection_count = std::min(kItemCount, kernel_limit);
   wrenusher::net::UvRuntime runtime(kTestbedSockets, kTestbedPool);
   LiveTransport transport(runtime, 28300);
-  const auto at = transport.serve("c0", [](const std::string&, const Request&, const Responder&) {});
-  ASSERT_TRUE(at);
-  sockaddr_in to{};
-  uv_ip4_addr("127.0.0.1", std::atoi(at->c_str() + at->rfind(':') + 1), &to);
+  const auto address = transport.serve("c0", [](const std::string&, const Request&, const Responder&) {});
+  ASSERT_TRUE(address);
+  sockaddr_in server{};
+  uv_ip4_addr("127.0.0.1", std::atoi(address->c_str() + address->rfind(':') + 1), &server);
   std::vector<int> sockets;
   int connected = 0;
-  // Nothing is accepted meanwhile: the loop does not run. A connection that finds no place is not made at
-  // once.
-  for (int i = 0; i < many; ++i) {
-    const int s = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0);
-    ASSERT_GE(s, 0);
-    sockets.push_back(s);
-    connect(s, reinterpret_cast<const sockaddr*>(&to), sizeof to);
+  // The server accepts nothing meanwhile, since its loop does not run. A connection beyond the backlog is not
+  // established immediately.
+  for (int i = 0; i < connection_count; ++i) {
+    const int client = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0);
+    ASSERT_GE(client, 0);
+    sockets.push_back(client);
+    connect(client, reinterpret_cast<const sockaddr*>(&server), sizeof server);
   }
-  for (const int s : sockets) {
+  for (const int client : sockets) {
     sockaddr_in peer{};
     socklen_t size = sizeof peer;
-    connected += getpeername(s, reinterpret_cast<sockaddr*>(&peer), &size) == 0 ? 1 : 0;
+    connected += getpeername(client, reinterpret_cast<sockaddr*>(&peer), &size) == 0 ? 1 : 0;
   }
-  for (const int s : sockets) close(s);
-  EXPECT_EQ(connected, many);
+  for (const int client : sockets) close(client);
+  EXPECT_EQ(connected, connection_count);
 }
