--- a/src/commit_batcher/commit_batcher.cpp
+++ b/src/commit_batcher/commit_batcher.cpp
@@ -23,8 +23,9 @@
 /// Blocks without new assignments get a value of their own only while at least this fraction of a second's
 /// writes is available.
 constexpr double kProgressWriteShare = 0.25;
-/// Nothing is written while this many shards are uncertain. This bounds the number of shards that a leader
-/// may have written without others having a record of them, so that a standby can read these shards by name.
+/// Nothing is written while this many shards are uncertain (see `Shard::uncertain`). This bounds the number
+/// of shards that a leader may have created and that are in no standby's replica, so that a new leader can
+/// check them all by their keys (see package replica, ReplicaVerifier).
 constexpr std::uint32_t kMaxUncertainShards = 8;
 constexpr time::Micros kCommitRetryDelay = time::from_millis(250);
 constexpr time::Micros kReadRetryDelay = time::from_millis(250);
@@ -126,8 +127,9 @@
   return packing;
 }
 
-/// Packs the unwritten blocks into values until one does not fit. Returns whether blocks are left for a later
-/// commit because they have no room in this one or are not due yet.
+/// Packs the unwritten blocks, in write order, into the new values of free shards, until a block does not
+/// fit. Returns true if that happens, or if only progress (blocks without new assignments) is left and it is
+/// not due yet, see `Packing::progress_due`. Returns false otherwise, also at the limit on conditions.
 bool CommitBatcher::pack_blocks(Batch& batch, Packing& packing) {
   for (const auto& [order, job] : jobs_.unwritten_blocks()) {
     const bool has_new_assignments = order.rank < job_table::kProgressRank;
@@ -149,7 +151,8 @@
   return false;
 }
 
-/// Adds a value in a free shard with room for the block. Returns false if the batch has no room for it.
+/// Adds the value of a free shard, with room for the block. Returns false if the batch has no room for it or
+/// `may_open` is false.
 bool CommitBatcher::open_value(Batch& batch, Packing& packing, std::size_t block_bytes, bool may_open) {
   const auto value_limit = static_cast<std::size_t>(settings_.value_kb * 1024) - 2;
   // The two extra conditions are those of the shard and, for an assignment, of its job. The subtractions are
--- a/src/commit_batcher/include/wrenusher/commit_batcher/commit_batcher.hpp
+++ b/src/commit_batcher/include/wrenusher/commit_batcher/commit_batcher.hpp
@@ -1,11 +1,14 @@
 #pragma once
 /// @file
-/// Package commit_batcher: packs the unwritten blocks of the job table into shards, orders the writes and
-/// commits them on the condition that this node still leads. It owns the shards (values in the state service
-/// that hold blocks of many jobs), the mapping from blocks to shards, and the one transaction in progress.
+/// Package commit_batcher: writes the changed blocks of the job table to the state service (the key-value
+/// store of the controllers), on the condition that this node still leads. A block is a range of a job's
+/// tasks; a shard is a value in the state service that holds the blocks of many jobs.
 ///
-/// Invariant: a shard's count is the number of blocks whose last committed state is stored in it, and only a
-/// shard with a count of 0 is written (`disagreement` verifies both).
+/// The package owns the shards, the mapping from blocks to shards, and the one transaction in progress.
+///
+/// Invariant: a shard's count (`live_blocks`) is the number of blocks whose last committed state is stored in
+/// it, and only a shard with a count of 0 is written. `disagreement` verifies the counts, and that exactly
+/// the blocks with a committed state are in a shard.
 ///
 /// It may depend on time, value, runtime, settings, kv_client, records and job_table.
 
@@ -49,13 +52,14 @@
   void restore_block(const Job& job, std::uint32_t block_number, std::uint32_t shard_number);
   /// Removes a job that is over from the job table, and its blocks from their shards.
   void remove(const std::string& job_id);
-  /// Writes the unwritten changes, if the rate limit allows and no transaction is in progress: final states
-  /// first, then blocks in their write order, several to a value.
+  /// Writes the unwritten changes, if the rate limit allows and no transaction is in progress: first the
+  /// final states of jobs, then the blocks in their write order, several in one shard.
   void flush();
 
   /// Called after a transaction has been committed.
   std::function<void()> on_committed;
-  /// Called after an uncertain shard has been read again, so that more can be written.
+  /// Called after an uncertain shard (see `Shard::uncertain`) has been read again, so that more can be
+  /// written.
   std::function<void()> on_shard_refreshed;
   /// Called when the job's root record must be read again before more of the job is written.
   std::function<void(const std::string& job_id)> on_job_refresh_needed;
@@ -73,7 +77,8 @@
   struct Shard {
     std::uint64_t mod_revision = 0;
     std::uint32_t live_blocks = 0;  ///< blocks whose last committed state is stored here
-    bool uncertain = false;         ///< its revision is being read again
+    /// A commit of the shard had a conflict or an unknown outcome, so its revision is being read again.
+    bool uncertain = false;
   };
   /// One transaction, and the changes to apply to the table and the shards once it is committed.
   struct Batch {
@@ -90,10 +95,12 @@
     std::vector<kv_client::Condition> conditions;
     std::vector<kv_client::Mutation> mutations;
   };
-  /// The values of a batch while blocks are packed into them.
+  /// The new values of the shards that a batch writes, while blocks are packed into them.
   struct Packing {
     std::size_t max_values = 0;  ///< maximum number of values in the batch
-    bool progress_due = false;   ///< blocks without new assignments may open a value of their own
+    /// Blocks without new assignments may add a value to the batch: they have waited long enough, and
+    /// enough writes are available. Otherwise they only fill the room that new assignments leave.
+    bool progress_due = false;
     std::vector<Value::List> values;
     std::size_t room_bytes = 0;   ///< left in the last of the values
     std::size_t batch_bytes = 0;  ///< size of the batch without its conditions
--- a/src/estimates/include/wrenusher/estimates/estimator.hpp
+++ b/src/estimates/include/wrenusher/estimates/estimator.hpp
@@ -1,6 +1,7 @@
 #pragma once
-// Package estimates corrects the run times that job owners expect. It keeps the observed run times by job and
-// job class, and the observed speed by machine. It may depend on time, value, runtime and protocol.
+// Package estimates: corrects the run times that job owners expect, based on the run times of finished tasks.
+// It keeps the observed run times by job and job class, and the observed speed by machine. It may depend on
+// time, value, runtime and protocol.
 
 #include <deque>
 #include <map>
@@ -44,7 +45,7 @@
   /// Returns the number of tasks that measured the machine's speed, and the median of their logarithms of
   /// (observed / typical) run time.
   std::pair<int, double> slowness(const std::string& host) const;
-  /// Replace the local samples of a job class or a machine by those of another controller.
+  // These replace the samples of a job class or a machine by those of the previous leader, from its hints.
   void adopt_class(const std::string& job_class, std::deque<JobSample> jobs);
   void adopt_host(const std::string& host, int tasks, double slowness);
 
--- a/src/events/include/wrenusher/events/capacity.hpp
+++ b/src/events/include/wrenusher/events/capacity.hpp
@@ -15,7 +15,7 @@
 
 namespace wrenusher::events {
 
-/// The machine types as last listed by the cloud or read from the key-value store. Sent by the provisioner.
+/// The machine types as last listed by the cloud or read from the state service. Sent by the provisioner.
 struct CatalogUpdated {
   std::shared_ptr<const protocol::Catalog> catalog;  ///< never null
 };
--- a/src/events/include/wrenusher/events/failover.hpp
+++ b/src/events/include/wrenusher/events/failover.hpp
@@ -9,7 +9,7 @@
 
 namespace wrenusher::events {
 
-/// This node's replica of the records, verified against the key-value store after this node won the term.
+/// This node's replica of the records, verified against the state service after this node won the term.
 /// Sent by the standby replica.
 struct ReplicaVerified {
   std::uint64_t term = 0;                                   ///< the fencing token of the term
--- a/src/events/include/wrenusher/events/hints.hpp
+++ b/src/events/include/wrenusher/events/hints.hpp
@@ -1,7 +1,7 @@
 #pragma once
-// Hints: the state about machines, jobs and rentals that the leader sends to the standbys because no record
-// contains it. Hints may change the order of work and improve estimates; no decision may rely on them as
-// proof.
+// Hints: the state of machines, job classes, jobs and rentals that the leader sends to the standbys (the
+// nodes that do not lead) because no record in the state service contains it. Hints may change the order of
+// work and improve estimates; no decision may rely on them as proof.
 
 #include <cstdint>
 #include <map>
@@ -102,7 +102,8 @@
 /// The hints that this node had received from the previous leader when its own term began.
 struct InheritedHints {
   std::uint64_t term = 0;  ///< the fencing token of this node's term
-  bool complete = false;   ///< whether they cover the previous leader's full state of about one heartbeat ago
+  /// Whether this node had all hints of the previous leader, as of about the last heartbeat before the term.
+  bool complete = false;
   std::map<std::string, MachineHint> machines;  ///< by host
   std::vector<JobClassHint> job_classes;
   std::vector<JobHint> jobs;
--- a/src/events/include/wrenusher/events/jobs.hpp
+++ b/src/events/include/wrenusher/events/jobs.hpp
@@ -12,7 +12,7 @@
 
 namespace wrenusher::events {
 
-/// The job is cancelled: a node is about to confirm the cancellation to a user, or the key-value store has
+/// The job is cancelled: a node is about to confirm the cancellation to a user, or the state service has
 /// recorded it. Sent before the response to the user.
 struct JobCancelled {
   std::string job_id;
@@ -52,8 +52,7 @@
   }
 };
 
-/// This node has read every cancellation of a live job that the key-value store had when the request was
-/// sent.
+/// This node has read every cancellation of a live job that the state service had when the request was sent.
 struct CancellationsRead {
   time::Instant request_sent_at{};
   std::vector<std::string> job_ids;  ///< cancelled jobs that the reader had not seen before
@@ -63,7 +62,7 @@
 /// membership::Peer.
 struct CancellationsKnown {
   time::Instant through = time::Instant::min();
-  std::string slowest_peer;  ///< the peer with the oldest last exchange; empty: none
+  std::string slowest_peer;  ///< the peer whose cancellations are known up to the earliest time; empty: none
 };
 
 /// Task counts of the live jobs as last published by the leader. For display only.
--- a/src/events/include/wrenusher/events/membership.hpp
+++ b/src/events/include/wrenusher/events/membership.hpp
@@ -1,5 +1,6 @@
 #pragma once
-// Events about leadership, and about the heartbeats that the controllers exchange.
+// Events about leadership, and about the heartbeats that the controllers exchange (workers send reports, see
+// workers.hpp). A term is the time for which one node leads; its number is the fencing token.
 
 #include <cstdint>
 #include <optional>
@@ -43,11 +44,11 @@
   std::uint64_t fencing_token = 0;
   std::string leader;
   bool leading = false;
-  bool kv_reachable = false;                  ///< whether the peer reaches the key-value store
+  bool kv_reachable = false;                  ///< whether the peer reaches the state service
   bool receives_reports = false;              ///< whether workers reach the peer
   std::vector<std::string> cancelled;         ///< cancelled jobs in its cancellation log
   topology::TopologyVersion topology;         ///< version of its topology file
-  topology::TopologyVersion active_topology;  ///< version in force, while it leads
+  topology::TopologyVersion active_topology;  ///< topology version in force, if the peer leads
   Readiness readiness = Readiness::cold;
   bool abstains = false;  ///< whether it has stepped down and does not stand for election yet
   /// When this node sent the heartbeat to which this is the response: the peer was alive after that time.
@@ -58,8 +59,8 @@
   bool announcements_complete = true;
 };
 
-/// A worker or a peer sent a higher fencing token than this node's, or a write failed its condition on the
-/// `leader` key.
+/// A newer term has begun, or this node's term has ended: a worker or a peer sent a higher fencing token than
+/// this node's, or the condition of a write on the `leader` key failed.
 struct LeadershipLost {
   std::uint64_t fencing_token = 0;  ///< the higher token; 0: unknown
 };
--- a/src/events/include/wrenusher/events/topology.hpp
+++ b/src/events/include/wrenusher/events/topology.hpp
@@ -14,8 +14,8 @@
   std::shared_ptr<const topology::Topology> topology;  ///< null: the settings name no file
 };
 
-/// The topology to use from now on. It is always this node's own; on a node that does not lead, only if it
-/// has the same version as the leader's. Sent by leadership.
+/// The topology to use from now on. It is always the one that this node has loaded. A node that does not lead
+/// uses it only if it has the same version as the leader's. Sent by leadership.
 struct TopologyActivated {
   std::shared_ptr<const topology::Topology> topology;  ///< null: none
   topology::TopologyVersion version;  ///< the version in force; a leader may not have loaded it
--- a/src/events/include/wrenusher/events/workers.hpp
+++ b/src/events/include/wrenusher/events/workers.hpp
@@ -1,5 +1,6 @@
 #pragma once
-// Events about workers and their machines: reports, missing reports, departures and commands.
+// Events about workers and their machines: reports, missing reports, departures and commands. A report is a
+// worker's list of its tasks and its state; heartbeats are exchanged between controllers only.
 
 #include <functional>
 #include <memory>
--- a/src/job_table/include/wrenusher/job_table/job_table.hpp
+++ b/src/job_table/include/wrenusher/job_table/job_table.hpp
@@ -1,12 +1,15 @@
 #pragma once
 /// @file
-/// Package job_table: the live jobs and the assignments of their tasks. It owns the state of every task
-/// (waiting, assigned or done), the resource usage of each team, and the list of blocks that differ from the
-/// state service, in the order in which they are to be written. Every change of an assignment goes through
-/// here, so that the counts of machines and teams always match the assignments.
+/// Package job_table: the live jobs and the assignments of their tasks. A block is a range of a job's tasks
+/// that is written to the state service (the key-value store of the controllers) as a unit.
 ///
-/// Invariant: a task of a job that is not cancelled is either waiting, assigned or done, and a block is due
-/// for writing exactly when its version is above the committed one (`disagreement` verifies both).
+/// The package owns the state of every task (waiting, assigned or done), the resource usage of each team, and
+/// the list of the blocks that have changes which the state service does not have yet, in write order. Every
+/// change of an assignment goes through this package, so that the counts of machines and teams always match
+/// the assignments.
+///
+/// Invariants, verified by `disagreement`: a task of a job that is not cancelled is either waiting, assigned
+/// or done; a block is due for writing exactly when its version is above its committed version.
 ///
 /// It may depend on time, value, runtime, protocol, records and machine_inventory.
 
@@ -44,7 +47,7 @@
 /// The state of an assigned task according to the reports of its machine.
 enum class TaskState {
   assigned,          ///< assigned in this term, not listed in a report yet
-  recovered,         ///< read from the records at failover, not listed in a report yet
+  recovered,         ///< read from the state service at failover, not listed in a report yet
   fetching_image,    ///< its machine is fetching the image
   waiting_for_gang,  ///< ready to run, waits for the other tasks of its gang
   running,
@@ -55,13 +58,14 @@
 struct TaskAssignment {
   Machine* machine = nullptr;  ///< never null; owned by the machine inventory
   std::uint64_t attempt = 0;
-  std::uint64_t version = 0;  ///< of the change that made it; 0: read from the state service
+  std::uint64_t version = 0;  ///< version of the change that made it; 0: read from the state service
   TaskState state = TaskState::assigned;
   Instant assigned_at{};
   Instant fetching_since{};   ///< time of the first report in which it was fetching its image
   Instant gang_wait_since{};  ///< time of the first report in which it was waiting for its gang
   Instant running_since{};    ///< time of the first report in which it was running
-  /// Read from the records, but written in this term: the command to start the task may still be in flight.
+  /// The assignment was read from the state service but had been written in this term (the records were read
+  /// again within the term): the command to start the task may still be in flight.
   bool start_in_flight = false;
   bool stopping = false;                 ///< a stop has been requested
   Micros grace_period{};                 ///< time that a stopping task has to save its progress
@@ -69,10 +73,10 @@
   bool counted_as_fetching = false;      ///< counted among the tasks that wait for their image
 };
 
-/// A range of a job's tasks that is written as a unit.
+/// A range of a job's tasks that is written as a unit. Versions number the changes of the job table.
 struct Block {
-  std::uint64_t version = 0;            ///< of the last change in memory
-  std::uint64_t assigned_version = 0;   ///< of the last new assignment
+  std::uint64_t version = 0;            ///< version of the last change in memory
+  std::uint64_t assigned_version = 0;   ///< version of the last new assignment
   std::uint64_t committed_version = 0;  ///< changes up to this one are in the state service
   std::uint64_t dirty_since = 0;        ///< version of the first unwritten change; 0: nothing to write
   int write_rank = 0;                   ///< see `WriteOrder::rank`
@@ -81,21 +85,22 @@
 /// A live job. Owned by the job table, which keeps its assignments, blocks, `done` and `waiting` consistent;
 /// the retry fields at the end are written by the reconciler and the scheduling cycle.
 struct Job {
-  /// Number of the job, in the order of addition. Containers are ordered by it, so that runs are
-  /// reproducible.
+  /// Number of the job in this table, in the order of addition; not the job id that users see
+  /// (`spec().job_id`). Containers are ordered by it, so that runs are reproducible.
   std::uint64_t id = 0;
   records::JobRecord record;
-  std::uint64_t mod_revision = 0;  ///< of the root record; a condition of the writes that assign its tasks
-  std::vector<Block> blocks;       ///< by block number
-  RangeSet done;                   ///< tasks that have completed
-  RangeSet waiting;                ///< tasks that are neither assigned nor done
+  /// Revision of the job's root record (`job/<id>`); a condition of the writes that assign its tasks.
+  std::uint64_t mod_revision = 0;
+  std::vector<Block> blocks;                                ///< by block number
+  RangeSet done;                                            ///< tasks that have completed
+  RangeSet waiting;                                         ///< tasks that are neither assigned nor done
   std::map<std::uint32_t, TaskAssignment> assignments;      ///< by task
   std::map<std::uint32_t, std::uint64_t> uncommitted_done;  ///< done but not committed: task -> version
   std::uint64_t last_attempt = 0;                           ///< the highest attempt of any of its tasks
   bool needs_refresh = false;   ///< the root record must be read before the next write
   bool attempt_failed = false;  ///< gang: the attempt has failed, its tasks are being stopped
   bool gang_started = false;    ///< gang: a report has listed a task of the attempt as running
-  Instant incomplete_since{};   ///< gang: when a task to be replaced was lost before the start; 0: none
+  Instant incomplete_since{};   ///< gang: when a task was lost before the gang started; 0: none is missing
   std::map<std::string, Instant> avoided_machines;  ///< host -> time before which it gets no task of this job
   std::set<std::string> failed_hosts;               ///< hosts where a task failed since the last retry pause
   Instant not_before{};                             ///< no task is assigned before this time
@@ -114,20 +119,20 @@
 };
 
 /// Write rank of blocks without new assignments (progress). Blocks with new assignments have their job's
-/// priority as their rank, which is lower and therefore written earlier.
+/// priority as their rank, which is a lower number, so they are written earlier.
 inline constexpr int kProgressRank = 4;
 /// Sort key of the unwritten blocks, compared field by field in this order.
 struct WriteOrder {
   int rank = 0;                   ///< the job's priority, or `kProgressRank` without new assignments
   std::uint64_t dirty_since = 0;  ///< version of the first unwritten change
-  std::uint64_t job_number = 0;   ///< `Job::id`
+  std::uint64_t job_number = 0;   ///< `Job::id`, not `JobSpec::job_id`
   std::uint32_t block = 0;
   // NOLINTNEXTLINE(modernize-use-nullptr): false report on a defaulted comparison
   auto operator<=>(const WriteOrder&) const = default;
 };
-/// Identifies an assignment among those of a machine.
+/// The task that an assignment is for; the key of the map of one machine's assignments.
 struct AssignmentKey {
-  std::uint64_t job_number = 0;  ///< `Job::id`
+  std::uint64_t job_number = 0;  ///< `Job::id`, not `JobSpec::job_id`
   std::uint32_t task = 0;
   // NOLINTNEXTLINE(modernize-use-nullptr): false report on a defaulted comparison
   auto operator<=>(const AssignmentKey&) const = default;
@@ -162,15 +167,16 @@
   /// Returns a counter that rises whenever capacity is freed or work arrives, that is, when a new plan may
   /// place more tasks.
   std::uint64_t change_count() const { return change_count_; }
-  /// Returns the number of assignments read from the records that no report has confirmed or ended yet.
+  /// Returns the number of assignments that were read from the state service and that no worker's report has
+  /// confirmed or ended yet.
   std::size_t unconfirmed_count() const { return unconfirmed_count_; }
   /// Jobs that were added and removed.
   struct JobChanges {
     std::vector<std::string> added;      ///< job ids; some of the jobs may have been removed again
-    std::vector<std::uint64_t> removed;  ///< numbers (`Job::id`)
+    std::vector<std::uint64_t> removed;  ///< job numbers (`Job::id`)
   };
-  /// Returns the changes since the last call and clears them. A caller that rebuilds its state from `jobs`
-  /// ignores the result.
+  /// Returns the changes since the last call and clears them. A caller that has just rebuilt its state from
+  /// `jobs` calls this too, and ignores the result.
   JobChanges take_job_changes() { return std::exchange(job_changes_, {}); }
 
   /// Adds a job, or replaces the one with the same id. All of its tasks are waiting unless it is cancelled.
@@ -187,7 +193,7 @@
   /// `reason` is logged.
   void release(Job& job, std::uint32_t task, const char* reason, bool lost = false);
   /// Returns whether lost tasks of the gang can be replaced: the gang has not started, and its other tasks
-  /// still wait. The replacements start under the same attempt.
+  /// still wait for it. The replacements start under the same attempt.
   [[nodiscard]] static bool can_replace_lost_tasks(const Job& job);
   /// Ends the gang's attempt: stops its remaining tasks, since all tasks of a gang share one attempt and the
   /// next attempt can begin only after them.
@@ -197,9 +203,9 @@
   /// Marks the job as cancelled, so that no more of its tasks start. The caller stops the assigned ones with
   /// `stop_job`.
   void cancel(Job& job);
-  /// Marks all tasks of a job as stopping, and returns the commands for the machines that may have them. The
-  /// commands are sent at once and not with the replies to reports: a gang's progress is saved only if all
-  /// its tasks get the command within a few seconds.
+  /// Marks all tasks of a job as stopping, and returns the stop commands for the machines on which the tasks
+  /// may be. The caller sends them at once instead of with the replies to the next reports: a gang's progress
+  /// is saved only if all its tasks get the command within a few seconds.
   [[nodiscard]] CommandsByMachine stop_job(Job& job, Micros grace_period);
   /// Marks the task as stopping, with `grace_period` to save its progress.
   void stop_task(TaskAssignment& assignment, Micros grace_period);
@@ -216,7 +222,8 @@
   const std::set<std::string>& finished_jobs() const { return finished_jobs_; }
   /// Records that the state service has the block's changes up to this version.
   void mark_written(Job& job, std::uint32_t block_number, std::uint64_t version);
-  /// Returns the block as a row of a shard's value.
+  /// Returns the block as a row of a shard. A shard is a value in the state service that holds the blocks of
+  /// many jobs, one row each.
   Value block_row(const Job& job, std::uint32_t block_number) const;
 
   /// Recomputes the incrementally updated state from the jobs, and returns the first difference found, as a
--- a/src/kv_client/include/wrenusher/kv_client/kv_client.hpp
+++ b/src/kv_client/include/wrenusher/kv_client/kv_client.hpp
@@ -1,7 +1,10 @@
 #pragma once
-// Package kv_client: the client of the state service, a consensus-backed key-value store. It owns this node's
-// share of the service's rate limits and the queues of waiting calls, and distinguishes "not executed" from
-// "may have been executed". It may depend on time, value, runtime, settings, protocol and log.
+// Package kv_client: the client of the state service, a consensus-backed key-value store. Each change in the
+// service gets a revision, a number that rises; a key has the revision of its last change.
+//
+// The package owns this node's share of the service's rate limits and the queues of waiting calls. Its
+// replies distinguish calls that were not executed from calls that may have been executed. It may depend on
+// time, value, runtime, settings, protocol and log.
 
 #include <cstdint>
 #include <functional>
@@ -27,8 +30,8 @@
   using WatchHandler = std::function<void(WatchReply)>;
 
   /// Maximum age of a reply, counted from the sending of its request; for a watch, the requested waiting time
-  /// is added. Later replies are discarded, also when this node itself was paused meanwhile. ReadConsistency
-  /// relies on this limit.
+  /// is added. Older replies are discarded, even if they are late only because this process was paused.
+  /// job_api::ReadConsistency relies on this limit.
   static constexpr Micros kMaxReplyAge = time::from_seconds(1.5);
 
   /// Both arguments must outlive this object.
@@ -44,7 +47,8 @@
               RequestClass request_class, const CommitHandler& done);
   void grant_lease(Micros duration, const LeaseHandler& done);
   void renew_lease(std::uint64_t lease_id, const LeaseHandler& done);
-  /// Revokes the lease without a retry; if the call fails, the lease still expires at its end.
+  /// Revokes the lease, without a retry: if the call fails, the lease still ends when its duration has
+  /// passed.
   void revoke_lease(std::uint64_t lease_id);
   /// Reads the changes of the keys with the prefix after the revision `from`. If there are none, the service
   /// waits for one for up to `max_wait`.
--- a/src/kv_client/include/wrenusher/kv_client/kv_messages.hpp
+++ b/src/kv_client/include/wrenusher/kv_client/kv_messages.hpp
@@ -31,7 +31,7 @@
   bool truncated = false;      ///< set by a list if there are more rows after the last one
   std::uint64_t revision = 0;  ///< revision at which the rows were read
   Instant sent_at{};           ///< send time of a get; the rows are as of this time or later
-  bool queue_full = false;     ///< failed without being sent, since too many calls were queued
+  bool queue_full = false;     ///< the call failed without being sent, since too many calls were queued
 };
 
 /// Condition of a commit: the key must have this revision.
@@ -60,7 +60,7 @@
   std::uint64_t revision = 0;            ///< revision of the changes if committed
   std::vector<std::string> failed_keys;  ///< keys whose condition failed; the service may omit some
   Instant sent_at{};                     ///< send time of the request
-  bool queue_full = false;               ///< refused without being sent, since too many calls were queued
+  bool queue_full = false;               ///< the call was not sent, since too many calls were queued
 };
 
 /// Result of a call that grants or renews a lease.
@@ -92,7 +92,7 @@
   std::uint64_t revision = 0;  ///< all changes up to this revision are in the reply
   std::vector<KeyValue> puts;
   std::vector<Deletion> deletes;
-  Instant sent_at{};  ///< send time; if the service did not wait, the reply is as of then or later
+  Instant sent_at{};  ///< send time; if the service did not wait, the reply is as of this time or later
 };
 
 /// Whether the state service has replied to this node recently.
--- a/src/leader/include/wrenusher/leader/failover.hpp
+++ b/src/leader/include/wrenusher/leader/failover.hpp
@@ -36,9 +36,9 @@
   Failover(Runtime& runtime, KvClient& store, JobTable& jobs, CommitBatcher& batcher)
       : runtime_(runtime), store_(store), jobs_(jobs), batcher_(batcher) {}
 
-  /// Reads all jobs and shards from the state service page by page, and then calls `done` with the revision
-  /// from which the caller must watch for changes. Retries failed pages without limit until `stop` or the
-  /// next call.
+  /// Reads all jobs and shards (values with the blocks of many jobs) from the state service page by page, and
+  /// then calls `done` with the revision from which the caller must watch for changes. Retries failed pages
+  /// without limit until `stop` or the next call.
   void start_reading(std::function<void(std::uint64_t revision)> done);
   /// Loads a verified replica of the records and cancels a read in progress.
   void load_replica(const records::RecordSnapshot& snapshot);
@@ -46,7 +46,7 @@
   void stop() { ++generation_; }
 
  private:
-  /// Identifies a block of a job.
+  /// Identifies a block, which is a range of a job's tasks that is written as a unit.
   struct BlockKey {
     std::string job_id;
     std::uint32_t block = 0;
@@ -64,7 +64,7 @@
   /// The state of one read, shared by the callbacks of its pages.
   struct ReadState {
     std::uint64_t generation = 0;
-    std::uint64_t revision = 0;   ///< of the first page; later changes are picked up by the watch
+    std::uint64_t revision = 0;   ///< revision of the first page; the watch picks up later changes
     bool reading_shards = false;  ///< the jobs are read first, then the shards
     std::string next_key;         ///< the last key read so far; the next page begins after it
     NewestBlocks blocks;
--- a/src/leader/include/wrenusher/leader/failover_timer.hpp
+++ b/src/leader/include/wrenusher/leader/failover_timer.hpp
@@ -50,7 +50,7 @@
   Instant term_began_{};
   events::FailoverTimes times_so_far_;
   std::set<std::string> expected_machines_;  ///< those that have not reported yet
-  std::vector<Micros> report_times_;  ///< of the expected machines, measured from when the term was won
+  std::vector<Micros> report_times_;  ///< first reports of expected machines, measured from the term's start
 };
 
 }  // namespace wrenusher::leader
--- a/src/leader/include/wrenusher/leader/hint_adopter.hpp
+++ b/src/leader/include/wrenusher/leader/hint_adopter.hpp
@@ -1,6 +1,8 @@
 #pragma once
 /// @file
-/// Applies the hints that this node had received from the previous leader when its own term began.
+/// Applies the previous leader's hints after this node has won a term. A hint is state of a machine, a job
+/// class or a job that no record contains; the leader sends hints to the other nodes while it leads. They are
+/// applied to the estimator, the machine inventory and the job table.
 
 #include <cstdint>
 #include <map>
@@ -20,7 +22,7 @@
 using machine_inventory::MachineInventory;
 using runtime::Runtime;
 
-/// Keeps the previous leader's hints until each can be applied: a machine's hint when the machine first
+/// Keeps the previous leader's hints until each can be applied: a machine's hint when its worker first
 /// reports in this term, a job's hint when the records are loaded. Owns the hints that are not applied yet.
 /// Single-threaded: called from the runtime's loop only. The referenced objects must outlive it.
 class HintAdopter {
@@ -32,9 +34,9 @@
   void begin();
   /// Applies the run time estimates immediately and keeps the other hints.
   void adopt(const events::InheritedHints& hints);
-  /// Applies the hint of a machine that reports for the first time in this term; the hinted state is valid
-  /// until a report contradicts it. Returns false if there is no hint, or if the host now has another address
-  /// or machine type. The hint is dropped in either case.
+  /// Applies the hint of a machine whose worker reports for the first time in this term, and drops the hint.
+  /// The state from the hint is valid until a report contradicts it. Returns false, without applying
+  /// anything, if there is no hint or if the host now has another address or machine type than in the hint.
   bool adopt_machine(const protocol::WorkerReport& report);
   /// Drops the hint of a machine that has departed.
   void remove_machine(const std::string& host);
@@ -44,8 +46,8 @@
 
   /// Returns the hints of machines that have not reported in this term yet, by host.
   const std::map<std::string, events::MachineHint>& machines() const { return machine_hints_; }
-  /// Returns, for each image, how many of these machines have it cached and have free capacity. The reference
-  /// is valid for the lifetime of the adopter.
+  /// Returns, for each image, how many machines in `machines` have it cached, have free capacity and were not
+  /// silent. The reference is valid for the lifetime of this object.
   const std::map<std::string, std::uint32_t>& expected_images() const { return expected_images_; }
 
  private:
--- a/src/leader/include/wrenusher/leader/hint_collector.hpp
+++ b/src/leader/include/wrenusher/leader/hint_collector.hpp
@@ -1,6 +1,7 @@
 #pragma once
 /// @file
-/// Collects the hints that the leader sends to the standbys.
+/// Collects the hints that the leader sends to the standbys: state of machines, job classes and jobs that no
+/// record contains (see events/hints.hpp).
 
 #include <cstdint>
 #include <map>
--- a/src/leader/include/wrenusher/leader/leader_actor.hpp
+++ b/src/leader/include/wrenusher/leader/leader_actor.hpp
@@ -1,9 +1,12 @@
 #pragma once
 /// @file
-/// Package leader: the leader's actor. It owns the term and the order of the steps within it (failover,
-/// record changes, reports, scheduling cycles, commits, replies), and one instance of each component: job
-/// table, machine inventory, commit batcher, pending replies, reconciler and scheduling cycle. Each component
-/// keeps its own state; the actor passes events to it and forwards its results.
+/// Package leader: the actor that schedules the cluster while this node leads. A term is the time for which
+/// one node leads; its number is the fencing token, which rises with each term.
+///
+/// The actor owns the order of the steps in a term: failover, record changes, workers' reports, scheduling
+/// cycles, commits, replies. It also owns one instance of each component: job table, machine inventory,
+/// commit batcher, pending replies, reconciler and scheduling cycle. Each component keeps its own state; the
+/// actor passes events to it and forwards its results.
 ///
 /// The package may depend on every component, on kv_client, on events and on their dependencies.
 
@@ -67,8 +70,8 @@
   /// Handles the hints received from the previous leader; called after `on_term` and before the records are
   /// loaded.
   void on_hints_inherited(const std::shared_ptr<const events::InheritedHints>& inherited);
-  /// Loads this node's replica of the records, or reads them from the state service if the event contains no
-  /// verified snapshot.
+  /// Loads the verified replica of the records from the event; if the event has none, reads the records from
+  /// the state service.
   void on_replica_verified(const events::ReplicaVerified& event);
   void on_capacity(const events::CapacityChanged& event) { scheduler_.on_capacity(event); }
 
@@ -102,8 +105,8 @@
   void on_records_loaded(std::uint64_t revision, bool from_replica);
   void log_records_loaded(std::size_t assignments, bool from_replica) const;
   void report_inherited_cancellations();
-  /// Lists the jobs once more at a low rate, since a job that is missing from the replica and has no
-  /// assignments would never be run.
+  /// Lists the jobs in the state service once more, at a low rate, and adds those that the replica lacked: a
+  /// job that is missing from the replica and has no assignments would otherwise never run.
   void find_missed_jobs(const std::string& after_key, std::uint64_t fencing_token);
   void watch_records(std::uint64_t from_revision, std::uint64_t fencing_token);
   void on_watch_reply(const kv_client::WatchReply& reply, Instant requested_at);
--- a/src/machine_inventory/include/wrenusher/machine_inventory/machine.hpp
+++ b/src/machine_inventory/include/wrenusher/machine_inventory/machine.hpp
@@ -52,7 +52,7 @@
   bool evicting = false;               ///< whether its worker has reported an eviction notice
   bool suspected = false;              ///< whether its failure domain is lost or recovered only recently
   std::uint64_t incarnation = 0;  ///< incarnation of its worker; rises when the worker restarts without tasks
-  Instant full_until{};           ///< no new tasks before this, since it refused a start for lack of room
+  Instant full_until{};  ///< it gets no new tasks before this time, since it refused a start for lack of room
   ResourceUse use;
   std::map<std::string, ImageFetch> fetches;    ///< fetches in progress, by image
   Instant fetches_estimated_at{};               ///< when `remaining_gb` of its fetches was estimated
@@ -61,7 +61,7 @@
   std::map<std::string, double>
       inherited_fetches;                         ///< image -> remaining GB, from the previous leader's hints
   std::map<std::string, Instant> task_failures;  ///< job -> time of the last failure of one of its tasks here
-  std::uint32_t slot = kNoSlot;                  ///< its slot in the placement index
+  std::uint32_t slot = kNoSlot;                  ///< its number in the placement index
   bool changed = false;                          ///< whether marked since the last take_changed
   bool hint_pending = false;                     ///< whether marked since its last hint to the standbys
 
--- a/src/machine_inventory/include/wrenusher/machine_inventory/machine_inventory.hpp
+++ b/src/machine_inventory/include/wrenusher/machine_inventory/machine_inventory.hpp
@@ -1,10 +1,12 @@
 #pragma once
-// Package machine_inventory: the leader's state of all machines whose workers report or that have
-// assignments. It keeps no jobs.
+// Package machine_inventory: the leader's state of all machines that have assignments or whose workers report
+// to the leader. It keeps no jobs.
 //
 // It owns the machine types, the locations of the machines in the active topology, their reserved and used
-// resources, their cached images and fetches, and the list of machines changed since the last plan. It may
-// depend on time, value, runtime, protocol, topology, placement and estimates.
+// resources, their cached images and fetches, and the lists of machines changed since the last plan and since
+// the last hints to the standbys (see events/hints.hpp).
+//
+// It may depend on time, value, runtime, protocol, topology, placement and estimates.
 
 #include <cstddef>
 #include <cstdint>
@@ -61,7 +63,7 @@
 
   /// Replaces the machine types, unless the new ones are equal to the current ones.
   void set_catalog(std::shared_ptr<const Catalog> catalog);
-  /// Returns the machine types, or null until they were received from the cloud or the key-value store.
+  /// Returns the machine types, or null until they were received from the cloud or the state service.
   const Catalog* catalog() const { return catalog_.get(); }
   /// Returns the type of the machine, or null while it is unknown.
   const MachineType* type_of(const Machine& machine) const { return find_type(machine.machine_type); }
@@ -75,18 +77,19 @@
   /// jobs.
   void set_wanted_devices(std::set<std::string> names);
 
-  // Changes since the last plan and the last hint.
+  // Changes since the last plan and the last hint to the standbys.
 
   /// Marks the machine as changed for the next plan and for the next hint.
   void mark_changed(Machine& machine);
   /// Returns the machines marked since the last call, in the order of their first mark.
   [[nodiscard]] std::vector<Machine*> take_changed();
-  /// Returns at most `max_count` of the machines that were marked since a call last returned them. The others
-  /// stay pending.
+  /// Returns at most `max_count` of the machines that were marked and have not been returned by this function
+  /// since then. The next calls return the others.
   [[nodiscard]] std::vector<Machine*> take_pending_hints(std::size_t max_count);
-  /// Returns the placement index slots of the machines erased since the last call.
+  /// Returns the slots (numbers of machines in the placement index) of the machines erased since the last
+  /// call.
   std::vector<std::uint32_t> take_freed_slots() { return std::exchange(freed_slots_, {}); }
-  /// Returns a number that rises whenever the whole placement index is invalidated: by a new term, other
+  /// Returns a number that rises whenever the whole placement index becomes invalid: with a new term, other
   /// machine types or another topology.
   std::uint64_t generation() const { return generation_; }
 
@@ -154,8 +157,8 @@
   std::shared_ptr<const Catalog> catalog_;
   std::shared_ptr<const topology::Topology> topology_;
   std::map<std::string, Machine> machines_;
-  /// Hash index of the machines, since thousands of reports a second look one up. Keys point into
-  /// `machines_`.
+  /// Hash index of the machines, since each of thousands of reports a second looks up a machine. The keys
+  /// point into `machines_`.
   std::unordered_map<std::string_view, Machine*> by_name_;
   std::vector<Machine*> changed_;
   std::vector<Machine*> pending_hints_;
--- a/src/membership/include/wrenusher/membership/cancellation_log.hpp
+++ b/src/membership/include/wrenusher/membership/cancellation_log.hpp
@@ -1,7 +1,7 @@
 #pragma once
-// Log of the cancellations that this node confirmed to users, replicated to every peer. It also tracks up to
-// which time this node has received every cancellation that any controller confirmed. It does no I/O: Peer
-// carries its fields in the heartbeats.
+// Log of the cancellations that this node confirmed to users (told a user that the job is cancelled),
+// replicated to every peer. It also tracks up to which time this node has received every cancellation that
+// any controller confirmed to a user. It does no I/O: Peer carries its fields in the heartbeats.
 
 #include <cstdint>
 #include <map>
@@ -55,7 +55,8 @@
   [[nodiscard]] Instant complete_through() const;
   /// Returns the peer with the earliest `complete_through`; empty: there are no peers.
   [[nodiscard]] std::string slowest_peer() const;
-  /// Returns the number of rows that some peer has not confirmed.
+  /// Returns the number of rows in the log. A row is kept until all peers have confirmed that they received
+  /// it, or until it is dropped because the log is full.
   [[nodiscard]] std::size_t size() const { return log_.size(); }
 
  private:
@@ -64,7 +65,8 @@
     /// this time are complete only once the state service has been read since.
     Instant gap_found_at = kNever;
     bool awaits_store_read = false;  ///< the state service has not been read since `gap_found_at`
-    Instant caught_up_at = kNever;  ///< send time of the newest request whose reply completed the peer's rows
+    /// Send time of the newest request whose reply left no row of the peer missing here.
+    Instant caught_up_at = kNever;
     Instant complete_through = kNever;
   };
 
--- a/src/membership/include/wrenusher/membership/election.hpp
+++ b/src/membership/include/wrenusher/membership/election.hpp
@@ -1,6 +1,7 @@
 #pragma once
-// Election of a leader: watches the `leader` record, notices when it is vacant, waits for candidates with
-// precedence, and begins a term by a compare-and-swap on the `leader` and `epoch` records.
+// Election of a leader: watches the `leader` record in the state service and notices when it is absent (a
+// vacancy). It then waits until the candidates with precedence have had time to win, and campaigns: it begins
+// a term by a compare-and-swap on the `leader` and `epoch` records.
 
 #include <cstdint>
 #include <functional>
@@ -28,7 +29,7 @@
     std::uint64_t fencing_token = 0;
     std::uint64_t mod_revision = 0;  ///< revision of the `leader` and `epoch` records
     Instant sent_at{};               ///< send time of the request for the lease
-    Instant vacancy_noticed{};       ///< when the vacancy was noticed; 0: there was none
+    Instant vacancy_noticed{};       ///< when the vacancy was noticed; 0: there was no vacancy
   };
 
   /// All arguments must outlive this object.
@@ -47,10 +48,12 @@
   std::function<void(std::uint64_t fencing_token, const std::string& leader)> leader_seen;
 
   void start() { started_at_ = runtime_.now(); }
-  /// Checks who leads, when a check is due.
+  /// Reads the `leader` record if a check is due and no check or campaign is in progress. The reply starts a
+  /// campaign if the record is absent and it is this node's turn, or if the record is left from an earlier
+  /// incarnation of this node and no warm peer should lead instead.
   void tick();
   void on_readiness(events::Readiness readiness) { readiness_ = readiness; }
-  /// Ends this node's term: it does not campaign for the duration `abstention`.
+  /// Called when this node's term has ended: this node does not campaign for the duration `abstention`.
   void on_stepped_down(Micros abstention);
 
  private:
--- a/src/membership/include/wrenusher/membership/leader_lease.hpp
+++ b/src/membership/include/wrenusher/membership/leader_lease.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// Maintains the lease on the `leader` record in the state service and the time until which it is certainly
-// valid.
+// Maintains the lease on the `leader` record in the state service, and the time until which the lease is
+// certainly valid. The service deletes the record when the lease expires.
 
 #include <cstdint>
 #include <functional>
@@ -29,7 +29,8 @@
   void end();
   /// Revokes the lease at once, so that another node can win.
   void revoke();
-  /// Renews the lease four times within its duration.
+  /// Requests one renewal of the lease if a quarter of its duration has passed since the last request, or
+  /// since the term began.
   void renew_if_due();
 
   /// Returns the time before which no other node can have won a term; 0: not guaranteed.
--- a/src/membership/include/wrenusher/membership/leadership.hpp
+++ b/src/membership/include/wrenusher/membership/leadership.hpp
@@ -1,6 +1,12 @@
 #pragma once
 // Package membership: elects the leading controller (Leadership) and exchanges heartbeats between controllers
-// (Peer). It may depend on time, value, containers, runtime, settings, protocol, kv_client, topology, events
+// (Peer). Heartbeats are not to be confused with the reports that workers send.
+//
+// A term is the time for which one node leads. It begins when a node replaces the `leader` record in the
+// state service (the key-value store of the controllers). Its number is the fencing token, which rises with
+// each term; a worker that has accepted a token rejects starts from leaders of earlier terms.
+//
+// The package may depend on time, value, containers, runtime, settings, protocol, kv_client, topology, events
 // and log.
 
 #include <functional>
@@ -20,9 +26,11 @@
 namespace wrenusher::membership {
 
 /// Decides whether this node leads: begins the terms that its Election wins, renews the lease, and steps down
-/// when another node leads or is better placed to lead. Owns the lease in the state service, the fencing
-/// token of each term, the period in which this node is certainly the only leader, and the active topology
-/// version. Single-threaded: called from the runtime's loop only.
+/// when another node leads or is better placed to lead.
+///
+/// Owns the lease in the state service, the fencing token of each term, the period in which this node is
+/// certainly the only leader, and the active topology version. Single-threaded: called from the runtime's
+/// loop only.
 class Leadership {
  public:
   /// All arguments must outlive this object.
@@ -53,7 +61,9 @@
   struct HandOverPlan {
     const char* reason;
     PeerTable::Predicate is_eligible;  ///< selects the peers that are better placed to lead
-    bool rate_limited;  ///< whether `kHandOverInterval` applies, since the same problem may affect the peer
+    /// Whether `kHandOverInterval` must pass between two such hand-overs. It must where the problem of this
+    /// node may affect the peer as well.
+    bool rate_limited;
   };
   void tick();
   /// Does the periodic work of a leader.
@@ -76,7 +86,7 @@
   LeaderLease lease_;
   Election election_;
 
-  Instant last_leader_heartbeat_{};        ///< from a leader of the newest term known then; 0: none
+  Instant last_leader_heartbeat_{};  ///< from the leader of the newest term known at its arrival; 0: none
   Instant last_rate_limited_hand_over_{};  ///< time of the last rate-limited hand-over; 0: none
   events::WorkerReachability workers_;
   Instant no_reports_since_{};  ///< when `workers_.receives_nothing` became true
--- a/src/membership/include/wrenusher/membership/peer.hpp
+++ b/src/membership/include/wrenusher/membership/peer.hpp
@@ -1,7 +1,7 @@
 #pragma once
-// Heartbeats between controllers. They carry the term and the leader, what the sender can reach, the
-// cancellations that it confirmed to users, announcements of job stages that it is about to return to users,
-// and data that other actors attach.
+// Heartbeats between controllers. They carry the fencing token of the newest term that the sender knows and
+// that term's leader, what the sender can reach, the cancellations that it confirmed to users, announcements
+// of job stages that it is about to return to users, and data that other actors attach.
 
 #include <cstdint>
 #include <map>
--- a/src/membership/include/wrenusher/membership/progress_pager.hpp
+++ b/src/membership/include/wrenusher/membership/progress_pager.hpp
@@ -15,8 +15,8 @@
 /// the runtime's loop only.
 class ProgressPager {
  public:
-  /// Replaces the counts. A peer that has not been sent all of the previous ones continues from its last job,
-  /// so that no job is starved.
+  /// Replaces the counts. A peer that has not been sent all of the previous counts is sent the new ones from
+  /// the job after the last one that it was sent, so that no job is starved.
   void update(std::shared_ptr<const events::Progress> counts);
 
   /// Adds all counts to a heartbeat for the peer, or the next page of them in the order of the job names, as
--- a/src/membership/include/wrenusher/membership/replicated_log.hpp
+++ b/src/membership/include/wrenusher/membership/replicated_log.hpp
@@ -1,7 +1,10 @@
 #pragma once
-// Log of rows that this node replicates to its peers. Rows are numbered within this incarnation and kept
-// until every peer has confirmed them. The log also tracks which of each peer's rows this node has received.
-// It does no I/O: its fields travel in the heartbeats.
+// Log of rows (short texts) that this node replicates to its peers. Rows are numbered within this
+// incarnation, that is, this run of the process. A row is kept until every peer has confirmed that it
+// received the row, or until it is dropped (see `Options::max_rows`).
+//
+// The log also tracks which rows of each peer's log this node has received. It does no I/O: its fields
+// travel in the heartbeats between controllers.
 
 #include <cstdint>
 #include <deque>
@@ -57,7 +60,7 @@
     std::vector<std::string> rows;  ///< may include rows that were received before
     bool numbered = false;          ///< false: the sender does not number its rows, so some may be missing
     bool continuous = true;         ///< false: the peer has restarted, or this node missed some of its rows
-    bool complete = false;          ///< all rows of that incarnation were received, except those missed
+    bool complete = false;  ///< all rows of the sender's incarnation were received, except missed ones
     std::string error;  ///< the refused field and the reason, in which case nothing was merged; else empty
   };
   /// Merges the fields of a peer's heartbeat, which must be its newest so far.
--- a/src/membership/include/wrenusher/membership/topology_agreement.hpp
+++ b/src/membership/include/wrenusher/membership/topology_agreement.hpp
@@ -39,7 +39,8 @@
   /// Logs an error if this node's topology is not the active one, once for each pair of versions.
   void warn_on_mismatch();
 
-  /// Records that this node has won a term and thereby activated `version`. Takes effect with `begin_term`.
+  /// Records that this node has won a term and thereby activated `version`. The topology is published with
+  /// `begin_term`.
   void on_term_won(const topology::TopologyVersion& version);
   /// Begins a term. `mod_revision`: revision of the `leader` and `epoch` records that began it.
   void begin_term(std::uint64_t mod_revision);
--- a/src/placement/include/wrenusher/placement/deadlines.hpp
+++ b/src/placement/include/wrenusher/placement/deadlines.hpp
@@ -23,7 +23,7 @@
 struct Slack {
   DeadlineStatus status = DeadlineStatus::on_track;
   Micros time_to_latest_start{};  ///< set while at risk; negative within the grace period
-  Micros remaining{};             ///< in any state, at least 0; `Micros::max()` without a target
+  Micros remaining{};             ///< set in any state, at least 0; `Micros::max()` without a target
 };
 
 /// The latest start time at which a job meets one of its targets.
@@ -44,8 +44,8 @@
 /// Whether the job has waited for its first start longer than the maximum. An overdue job is no longer
 /// postponed by load shedding, a missed target or another team's guarantee.
 ///
-/// The first task of an overdue array is served before all jobs but those of priority `prod`, and a place is
-/// reserved for it. The array's other tasks are not placed in the same plan.
+/// The first task of an overdue array is served before all jobs except those of priority `prod`, and a place
+/// is reserved for it. The array's other tasks are not placed in the same plan.
 bool is_overdue(const PlanJob& job, WallTime now);
 
 /// Returns the rank of equation (2) of the paper. The protocol has no successors, so each job is a graph of
--- a/src/placement/include/wrenusher/placement/machine_fit.hpp
+++ b/src/placement/include/wrenusher/placement/machine_fit.hpp
@@ -23,8 +23,8 @@
 /// Returns how many more tasks the job may place in the zone, given its tasks by zone.
 std::uint32_t zone_allowance(const JobSpec& spec, const std::map<std::string, std::uint32_t>& zones,
                              const std::string& zone);
-/// Returns how many more of `task_count` tasks the layout allows on the machine. Without `preferences`, only
-/// the requirements of the layout apply.
+/// Returns how many more of `task_count` tasks the layout allows on the machine. `preferences`: whether the
+/// preferences of the layout apply as well as its requirements.
 std::uint32_t layout_allowance(const PlanLayout& layout, const PlanMachine& machine, std::uint32_t task_count,
                                bool preferences);
 /// Adds `tasks` tasks on the machine to the layout's counts.
--- a/src/placement/include/wrenusher/placement/placement_index.hpp
+++ b/src/placement/include/wrenusher/placement/placement_index.hpp
@@ -2,6 +2,9 @@
 // Incremental index for placement planning. It holds the machines, the tasks that will end and the waiting
 // jobs, and is updated with each change, so that a plan examines only relevant entries. The plan is
 // identical, ties included, to the one that an exhaustive planner would make.
+//
+// A slot is the number of a machine or of a job in the index. A future place is room on a machine that
+// becomes free when one of the tasks there ends.
 
 #include <compare>
 #include <functional>
@@ -25,14 +28,14 @@
 inline constexpr Micros kFinishTimeBucket = from_seconds(5);
 /// Machines are reserved for a gang only if it can start within this time.
 inline constexpr Micros kGangReservationHorizon = from_seconds(20);
-/// The same limit for the first task of an overdue job. It is longer because a large task needs several other
-/// tasks to end.
+/// The same limit for the first task of an overdue job. It is longer because room for a large task becomes
+/// free only when several other tasks have ended.
 inline constexpr Micros kOverdueReservationHorizon = from_seconds(60);
 
 /// A number of tasks of one job to start on one machine.
 struct Placement {
-  std::uint32_t job = 0;      ///< slot
-  std::uint32_t machine = 0;  ///< slot
+  std::uint32_t job = 0;      ///< slot of the job
+  std::uint32_t machine = 0;  ///< slot of the machine
   std::uint32_t tasks = 0;
   bool operator==(const Placement&) const = default;
 };
@@ -53,9 +56,9 @@
   std::vector<std::pair<const MachineType*, Amount>> starting_cores;
 };
 
-/// Keeps machines and waiting jobs, and plans placements. Machines and jobs are identified by slots, which
-/// `new_machine` and `new_job` allocate and which are reused after a drop. Not thread-safe: called from the
-/// runtime's loop only.
+/// Keeps machines and waiting jobs, and plans placements. Slots are allocated by `new_machine` and `new_job`,
+/// separately for machines and jobs, and are reused after `drop_machine` and `drop_job`. Not thread-safe:
+/// called from the runtime's loop only.
 class PlacementIndex {
  public:
   using Slot = std::uint32_t;
@@ -90,9 +93,11 @@
   const PlanJob& job(Slot slot) const { return jobs_[slot].job; }
 
   /// Places tasks job by job, in service order, on the machines with room where they finish first. A task of
-  /// an array waits instead if a place on a machine with its image is estimated to become free before the
-  /// fetch elsewhere would complete. The machines and jobs in the index are not changed: the caller makes the
-  /// assignments and sets the machines again.
+  /// an array waits instead if a place on a machine with its image is estimated to become free before a fetch
+  /// on another machine would complete.
+  ///
+  /// The plan does not change the machines and jobs in the index: the caller makes the assignments and sets
+  /// the machines again.
   [[nodiscard]] Plan plan(const PlanningContext& context);
   /// Returns the waiting jobs in the order in which they are served.
   [[nodiscard]] std::vector<Slot> service_order(const PlanningContext& context);
@@ -102,8 +107,8 @@
   /// Number of entries that the last plan examined.
   struct PlanStatistics {
     std::uint64_t jobs = 0;
-    std::uint64_t machines = 0;       ///< counted once per job that examined it
-    std::uint64_t future_places = 0;  ///< examined future places, counted alike
+    std::uint64_t machines = 0;       ///< each machine counts once for each job for which it was examined
+    std::uint64_t future_places = 0;  ///< future places, see `FuturePlace`, counted in the same way
   };
   const PlanStatistics& statistics() const { return statistics_; }
   /// Removes all machines and jobs and releases all slots.
--- a/src/placement/include/wrenusher/placement/plan_types.hpp
+++ b/src/placement/include/wrenusher/placement/plan_types.hpp
@@ -65,8 +65,8 @@
   /// Machines that get no task of the job before the given time; null: none.
   const std::map<std::string, Instant>* avoided_machines = nullptr;
   std::set<std::string> excluded_types;  ///< types reserved for jobs that fit no other type
-  /// Types that are not rented for the job for the same reason. The job may still use existing machines of
-  /// these types.
+  /// Types of which no machine is rented for the job, since they are reserved for jobs that fit no other
+  /// type. The job may still use existing machines of these types.
   std::set<std::string> unrentable_types;
   std::optional<PlanLayout> layout;
   bool operator==(const PlanJob&) const = default;
@@ -97,7 +97,7 @@
   std::string zone;
   const MachineType* machine_type = nullptr;
   bool spot = false;
-  bool runs_services = false;  ///< so it is kept, and paid for, in any case
+  bool runs_services = false;  ///< it runs tasks of services, for which it is kept and paid for in any case
   FreeCapacity free;
   double speed = 1.0;                 ///< relative to a typical machine of its type
   std::vector<PlannedFetch> fetches;  ///< in progress; they share the machine's fetch rate
@@ -111,7 +111,8 @@
   }
 };
 
-/// A task that will free its place. It ends at `ends_at`, but no earlier than `min_remaining` from now.
+/// A task on a machine that will end and free its place. It ends at `ends_at`, but no earlier than
+/// `min_remaining` from now.
 struct EndingTask {
   Resources resources;
   std::optional<Instant> ends_at;  ///< not set: it ends `min_remaining` from now
@@ -125,7 +126,7 @@
 struct Shortage {
   std::size_t job = 0;
   std::uint32_t tasks = 0;
-  std::uint32_t expected_soon = 0;  ///< those with a future place on a machine that has their image
+  std::uint32_t expected_soon = 0;  ///< those with a future place, see PlacementIndex
   bool operator==(const Shortage&) const = default;
 };
 
--- a/src/placement/include/wrenusher/placement/quotas.hpp
+++ b/src/placement/include/wrenusher/placement/quotas.hpp
@@ -9,8 +9,8 @@
 namespace wrenusher::placement {
 
 /// Determines which jobs fit into their team's guarantee together with the team's earlier jobs. Such jobs do
-/// not wait for other teams. A job that does not fit as a whole gets no precedence. Jobs must be passed in
-/// the order of their acceptance; `settings` must outlive the object.
+/// not wait for other teams. A job that does not fit as a whole has no precedence over jobs of other teams.
+/// Jobs must be passed in the order of their acceptance; `settings` must outlive the object.
 class GuaranteeTracker {
  public:
   explicit GuaranteeTracker(const Settings& settings) : settings_(settings) {}
--- a/src/reconciler/commands.cpp
+++ b/src/reconciler/commands.cpp
@@ -13,13 +13,14 @@
   return {verb, task.job_id, task.task, task.attempt, grace_period};
 }
 
-/// Returns whether the task is done but its end is not committed to the state service yet.
+/// Returns whether the task is done but the state service does not have this change yet.
 bool awaits_done_commit(const Job* job, const TaskReport& task) {
   return job != nullptr && job->uncommitted_done.contains(task.task);
 }
 
-/// Adds the command to delete a task that exited. None is added while the task is assigned or its end is not
-/// committed, since the worker must keep reporting it until then.
+/// Adds the command to delete a task that exited. The command is added once the job table has ended the
+/// task's assignment to this machine and, if the task is done, the state service has committed that it is
+/// done. Until then the worker must keep reporting the task.
 void add_command_for_exited(const Job* job, const Machine& machine, const TaskReport& task,
                             std::vector<WorkerCommand>& commands) {
   if (awaits_done_commit(job, task)) return;
--- a/src/reconciler/include/wrenusher/reconciler/reconciler.hpp
+++ b/src/reconciler/include/wrenusher/reconciler/reconciler.hpp
@@ -1,7 +1,11 @@
 #pragma once
-// Package reconciler: applies a worker's heartbeat to the job table and the machine inventory, and derives
-// the commands for that worker. Assignments end here: only a newer heartbeat, or the cloud's confirmation
-// that the machine no longer exists, proves that a task is off its machine.
+// Package reconciler: applies a worker's report to the job table and the machine inventory, and derives the
+// commands for that worker. It also ends assignments: only a newer report, or the cloud's confirmation that
+// the machine no longer exists, proves that a task no longer runs on its machine.
+//
+// A report lists the tasks on the worker's machine. A worker sends reports by itself, periodically, and also
+// in reply to the leader's calls (/orders). The parameter `is_heartbeat` marks a report that the worker sent
+// by itself; it does not refer to the heartbeats between controllers.
 //
 // It may depend on time, value, runtime, protocol, events, job_table, machine_inventory, estimates,
 // usage_metrics and log.
@@ -35,8 +39,8 @@
 using runtime::Runtime;
 using time::Micros;
 
-/// Applies heartbeats to the leader's state. Single-threaded: called from the runtime's loop only. It owns
-/// two counters; everything passed to the constructor belongs to the leader and must outlive it.
+/// Applies reports to the leader's state. Owns two counters; everything passed to the constructor belongs to
+/// the leader and must outlive it. Single-threaded: called from the runtime's loop only.
 class Reconciler {
  public:
   Reconciler(Runtime& runtime, JobTable& jobs, MachineInventory& machines, estimates::Estimator& estimator,
@@ -56,16 +60,16 @@
   };
   /// Updates the job table and the inventory from a report.
   /// @param token_accepted the worker has accepted this term's fencing token
-  /// @param is_heartbeat the report is a heartbeat, not the reply to /orders; every start sent before a
-  ///        heartbeat is either listed in it or will never take effect
+  /// @param is_heartbeat the worker sent the report by itself, not as the reply to /orders. A task whose
+  ///        start was sent before such a report is either listed in it or will never start.
   Result apply(const WorkerReport& report, bool token_accepted, bool is_heartbeat);
   /// Returns the commands for the worker, given its newest report.
   [[nodiscard]] std::vector<WorkerCommand> commands_for(const Machine& machine,
                                                         const WorkerReport& report) const;
-  /// Returns whether a commit that is in progress or due would add commands to the reply.
+  /// Returns whether the reply would contain more commands after a commit that is in progress or due.
   [[nodiscard]] bool awaits_commit(const Machine& machine, const WorkerReport& report) const;
-  /// Returns how many tasks assigned in this term have been reported by their machines, since this object was
-  /// constructed.
+  /// Returns how many of the assignments that were made in a term have been listed in a report in the same
+  /// term, since this object was constructed.
   std::uint64_t confirmed_start_count() const { return confirmed_start_count_; }
 
  private:
--- a/src/reconciler/reconciler.cpp
+++ b/src/reconciler/reconciler.cpp
@@ -1,4 +1,4 @@
-// How a heartbeat changes the job table: tasks that it lists as present, tasks that it lists as exited,
+// How a worker's report changes the job table: tasks that it lists as present, tasks that it lists as exited,
 // assignments that it does not list, and the eviction notice. Commands are derived in commands.cpp.
 #include "wrenusher/reconciler/reconciler.hpp"
 
@@ -39,9 +39,9 @@
 /// The effect of a worker's exit reason on the assignment.
 enum class ExitOutcome {
   done,           ///< the task has finished; a service never finishes
-  failed,         ///< the task itself failed
+  failed,         ///< the task exited with an error, which counts as a failure of its job on the machine
   start_refused,  ///< the machine has no room, or is running the task already
-  interrupted     ///< any other reason: the task is to be started again
+  interrupted     ///< any other reason, not counted as a failure: the task is to be started again
 };
 
 ExitOutcome classify_exit(const std::string& reason) {
@@ -268,8 +268,9 @@
   const TaskAssignment& assignment = it->second;
   switch (assignment.state) {
     case TaskState::assigned:
-      // Starts are sent only in replies to heartbeats. Every start sent before a heartbeat is either listed
-      // in it or will never take effect; the reply to /orders does not prove this.
+      // Starts are sent only in replies to reports that the worker sent by itself. A task whose start was
+      // sent before such a report is either listed in it or will never start; a report in a reply to /orders
+      // does not prove this.
       if (update.is_heartbeat && (assignment.stopping || !update.machine.usable()))
         jobs_.release(job, task, "not started", true);
       break;
--- a/src/records/include/wrenusher/records/job_record.hpp
+++ b/src/records/include/wrenusher/records/job_record.hpp
@@ -18,7 +18,9 @@
 struct JobRecord {
   JobSpec spec;
   WallTime accepted_at{};
-  std::uint32_t tasks_per_block = 1;  ///< 1 to kMaxTasksPerJob; constant for the lifetime of the job
+  /// Number of tasks in a block, the unit in which assignments are written; 1 to kMaxTasksPerJob, constant
+  /// for the lifetime of the job.
+  std::uint32_t tasks_per_block = 1;
   bool cancelled = false;
 };
 
--- a/src/records/include/wrenusher/records/record_snapshot.hpp
+++ b/src/records/include/wrenusher/records/record_snapshot.hpp
@@ -23,7 +23,7 @@
   };
   std::map<std::string, StoredJob> jobs;  ///< by job ID
   std::map<std::uint32_t, Shard> shards;  ///< by shard number
-  std::uint64_t revision = 0;             ///< includes all changes of jobs up to this revision
+  std::uint64_t revision = 0;             ///< all changes of jobs up to this revision are included
 };
 
 }  // namespace wrenusher::records
--- a/src/records/include/wrenusher/records/shard_record.hpp
+++ b/src/records/include/wrenusher/records/shard_record.hpp
@@ -29,7 +29,7 @@
   std::vector<AssignmentRow> assignments;
 };
 
-/// Identifies the block in a row of a shard and its version.
+/// Identifies a block in a shard, and its version. Each block is one row of the shard.
 struct BlockId {
   std::string job_id;
   std::uint32_t block = 0;    ///< index of the block in the job, from 0
@@ -49,7 +49,7 @@
 [[nodiscard]] Value write_block(const BlockId& id, std::uint64_t last_attempt, const RangeSet& done,
                                 const std::vector<AssignmentRow>& assignments, std::uint32_t first,
                                 std::uint32_t last);
-/// Decodes the block ID of a row. Returns nothing if the row is malformed.
+/// Decodes the block ID in a row. Returns nothing if the row is malformed.
 [[nodiscard]] std::optional<BlockId> read_block_id(const Value& row);
 /// Decodes the block in a row. Returns nothing if the row is malformed or contains a task number of
 /// `task_count` or above.
--- a/src/replica/include/wrenusher/replica/hint_publisher.hpp
+++ b/src/replica/include/wrenusher/replica/hint_publisher.hpp
@@ -1,7 +1,10 @@
 #pragma once
-// Publishes the leader's hints to its peers and tracks which rows each peer has confirmed. Each heartbeat
-// carries one message of bounded size with rows that changed since the peer's last confirmation. A peer that
-// has just started is sent all rows once.
+// Publishes the leader's hints (state that no record contains) to its peers. A row is one hint in its wire
+// format; a tombstone is a row that marks a hint as deleted.
+//
+// Each heartbeat to a peer carries at most one message, of bounded size, with rows that the peer has not
+// confirmed yet. The peer confirms the messages that it has received. A peer that has just started is sent
+// all rows once.
 
 #include <cstdint>
 #include <map>
@@ -17,8 +20,8 @@
 class HintPublisher {
  public:
   /// Starts publishing in a new term of this node, from the hints that this node has. `synchronized`: the
-  /// incarnations of the peers that have the same hints; hints that this node received only recently are sent
-  /// to them again.
+  /// peers that have the same hints, with their incarnations. They are sent only the hints that this node
+  /// received so recently that they may lack them.
   void begin(std::uint64_t term, std::uint64_t incarnation, const HintTable& hints,
              const std::map<std::string, std::uint64_t>& synchronized, Instant now);
   /// Stops publishing at the end of the term.
@@ -33,7 +36,8 @@
 
   /// Returns the next message for the peer, or null if there is none to send.
   [[nodiscard]] value::Value next_message(const std::string& peer, Instant now);
-  /// Marks the messages as received by the peer in this incarnation.
+  /// Handles the peer's confirmation of these messages. If the peer's incarnation is new, all rows are sent
+  /// to it.
   void on_confirmed(const std::string& peer, std::uint64_t incarnation,
                     const std::vector<std::uint64_t>& messages, Instant now);
   /// Returns whether the peer, in this incarnation, has confirmed all rows.
@@ -41,7 +45,7 @@
   /// Returns the number of rows that the peer has not confirmed.
   [[nodiscard]] std::size_t unconfirmed_row_count(const std::string& peer) const;
 
-  /// Returns all rows that this leader has published or has pending.
+  /// Returns all rows of this leader, whether the peers have been sent them or not.
   [[nodiscard]] const HintTable& table() const { return table_; }
 
  private:
@@ -57,11 +61,11 @@
     /// messages are valid.
     std::uint64_t first_valid_message = 0;
     bool needs_first_message = false;  ///< no message has been sent since `first_valid_message` was set
-    std::set<std::string> pending;     ///< keys of rows to send
+    std::set<std::string> pending;     ///< keys of rows to be sent to the peer
     std::map<std::uint64_t, Message> in_flight;  ///< sent and not confirmed, by number
   };
   void mark_pending(const std::string& key);
-  /// Makes the rows of messages pending again that were not confirmed in time.
+  /// Makes the rows of each message that was not confirmed in time pending again.
   static void requeue_lost(Subscriber& subscriber, Instant now);
   /// Removes as many pending rows as fit into a message, returns them and adds their keys to the message.
   value::Value::List take_rows(Subscriber& subscriber, Message& message) const;
--- a/src/replica/include/wrenusher/replica/hint_row.hpp
+++ b/src/replica/include/wrenusher/replica/hint_row.hpp
@@ -1,5 +1,6 @@
 #pragma once
-// The wire format of hints: one row for each machine, job class, job, rental or rental request.
+// The wire format of hints, which are state that the leader sends to the standbys because no record contains
+// it: one row for each machine, job class, job, rental or rental request.
 
 #include <cstdint>
 #include <optional>
@@ -21,7 +22,7 @@
 struct HintRow {
   std::string key;
   value::Value value;        ///< null: the object no longer exists (a tombstone)
-  std::uint64_t digest = 0;  ///< of the fields whose changes cause the row to be published
+  std::uint64_t digest = 0;  ///< digest of the fields whose changes cause the row to be published again
 
   [[nodiscard]] bool is_tombstone() const { return value.is_null(); }
 };
--- a/src/replica/include/wrenusher/replica/hint_table.hpp
+++ b/src/replica/include/wrenusher/replica/hint_table.hpp
@@ -1,5 +1,6 @@
 #pragma once
-// A table of the newest hint for each object, kept by the leader and by each standby.
+// A table of the newest hint for each machine, job class, job, rental and rental request, kept by the leader
+// and by each standby.
 
 #include <compare>
 #include <cstdint>
--- a/src/replica/include/wrenusher/replica/record_replica.hpp
+++ b/src/replica/include/wrenusher/replica/record_replica.hpp
@@ -1,13 +1,16 @@
 #pragma once
-// The replica of the records: live jobs and shards, kept current by watching the state service while another
-// node leads, and verified against the service after this node has won a term (ReplicaVerifier).
+// The replica of the records in the state service: live jobs and shards (values that hold the blocks of many
+// jobs). While another node leads, the replica is kept current by watching the state service. After this node
+// has won a term, ReplicaVerifier compares the replica with the service.
 //
 // The replica is read page by page and then watched, with low-priority background requests. The reply to each
 // watch contains the revision up to which no change is missing.
 //
 // The replica is discarded on any inconsistency: a change older than requested, a revision that went back, a
-// value under the wrong key, or changes that the service no longer has. So the replica is either complete or
-// cold, and contains no error that is detectable here. The verifier detects other errors.
+// value under the wrong key, or changes that the service no longer has.
+//
+// So the replica is either complete or cold (not complete yet, or discarded and about to be read again), and
+// it contains no error that is detectable here. The verifier detects other errors.
 
 #include <array>
 #include <cstdint>
--- a/src/replica/include/wrenusher/replica/replica_verifier.hpp
+++ b/src/replica/include/wrenusher/replica/replica_verifier.hpp
@@ -4,8 +4,8 @@
 // The verifier compares revisions, many in one request (4 x txn_ops conditions). These must match:
 // - The records of all live jobs and all shards.
 // - The absence of the shards that a leader would have created next.
-// - The absence of the record of every job that is in a shard but not in the replica. If such a job is still
-//   live, its assignments are missing from the replica, and their tasks could be assigned a second time.
+// - The absence of the record of every job that has a block in a shard but no record in the replica. If such
+//   a job were still live, its assignments would be missing, and its tasks could be assigned a second time.
 // Keys that differ are read again and compared again. docs/design.md has the proof.
 
 #include <cstdint>
--- a/src/replica/include/wrenusher/replica/row_reader.hpp
+++ b/src/replica/include/wrenusher/replica/row_reader.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Reads the columns of rows that a peer sent.
+// Reads the columns of a hint's row that a peer sent.
 
 #include <cstdint>
 #include <limits>
--- a/src/replica/include/wrenusher/replica/standby_replica.hpp
+++ b/src/replica/include/wrenusher/replica/standby_replica.hpp
@@ -1,11 +1,13 @@
 #pragma once
-// Package replica: the warm standby. A node that does not lead keeps the state from which its own term can
-// start: a replica of the records, which is verified against the state service after this node has won a
-// term, and hints about state that is not in any record.
+// Package replica: the warm standby. A node that does not lead keeps what it needs to start a term of its
+// own: a replica of the records in the state service (the key-value store), and the leader's hints. After
+// this node has won a term, it verifies the replica against the state service.
 //
-// The leader publishes hints in messages of bounded size, which are part of the heartbeats between
-// controllers. A hint may affect the order of work and estimates, but is never proof of anything. The package
-// may depend on time, value, runtime, settings, protocol, kv_client, records, events and log.
+// A hint is state of a machine, job class, job or rental that no record contains. It may affect the order of
+// work and estimates, but is never proof of anything. The leader publishes hints in messages of bounded size,
+// which are part of the heartbeats between controllers, and each standby confirms the messages that it got.
+//
+// It may depend on time, value, runtime, settings, protocol, kv_client, records, events and log.
 
 #include <cstdint>
 #include <map>
@@ -59,9 +61,9 @@
   struct PeerState {
     std::uint64_t incarnation = 0;
     std::uint64_t first_valid_message = 0;  ///< hints in its earlier messages are invalid
-    /// The leader incarnation whose hints the peer has completely; 0: none.
+    /// The incarnation of a leader of which the peer has all hints; 0: none.
     std::uint64_t synced_leader_incarnation = 0;
-    std::vector<std::uint64_t> messages_to_confirm;  ///< messages received from it, not confirmed yet
+    std::vector<std::uint64_t> messages_to_confirm;  ///< received from the peer, to be confirmed to it
   };
   void tick();
   void publish_readiness(events::Readiness readiness);
@@ -91,9 +93,10 @@
   HintPublisher publisher_;  ///< while this node leads
   HintTable hints_;          ///< while another node leads
   std::map<std::string, PeerState> peers_;
-  /// The leader incarnation whose hints `hints_` contains completely; 0: none.
+  /// The incarnation of the leader of which `hints_` contains all hints; 0: none.
   std::uint64_t synced_leader_incarnation_ = 0;
-  Instant last_synced_at_{};  ///< when `hints_` was last confirmed to be complete
+  /// When the leader last told this node that it had no more hints to send to it.
+  Instant last_synced_at_{};
   std::optional<events::Readiness> published_readiness_;
   Instant not_warm_since_{};
   Instant next_warning_{};
--- a/src/replica/standby_replica.cpp
+++ b/src/replica/standby_replica.cpp
@@ -274,7 +274,7 @@
     if (Value message = publisher_.next_message(peer, runtime_.now()); !message.is_null()) {
       out.emplace_back("hints", std::move(message));
     } else if (publisher_.up_to_date(peer, state.incarnation)) {
-      // Confirms to the peer that the hints of this incarnation of it are still complete.
+      // Tells the peer that it, in this incarnation, still has all hints.
       out.emplace_back("even", state.incarnation);
     }
   }
--- a/src/scheduling_cycle/include/wrenusher/scheduling_cycle/index_updater.hpp
+++ b/src/scheduling_cycle/include/wrenusher/scheduling_cycle/index_updater.hpp
@@ -31,8 +31,9 @@
 using time::Micros;
 using time::WallTime;
 
-/// Owns the placement index and applies to it the changes since the last plan. It also decides which waiting
-/// jobs may be planned, and which reserved machine types each of them must not use.
+/// Owns the placement index, the input of a plan, and applies the changes since the last plan to it. Decides
+/// which waiting jobs may be planned, and which reserved machine types each of them must not use. A slot is
+/// the number of a job or of a machine in the index.
 ///
 /// Invariant: the index equals one that is rebuilt from the job table and the inventory (`disagreement`
 /// verifies this for the machines).
@@ -51,9 +52,9 @@
   void update();
   /// Sets the machine types of which the cloud has no machines. Returns true if the set has changed.
   [[nodiscard]] bool set_exhausted_types(std::set<std::string> types);
-  /// Places a job that needs one of these images only on machines that have it, until `until`: more machines
-  /// that have the image and room may still report until then. `machines_by_image` is the number of these
-  /// machines by image; the caller owns it and keeps it up to date.
+  /// Until `until`, a job that needs one of these images is placed only on machines that have the image: more
+  /// machines with the image and free room may still report until then. `machines_by_image`: the number of
+  /// such machines that have not reported yet, by image; the caller owns it and keeps it up to date.
   void expect_images(const std::map<std::string, std::uint32_t>* machines_by_image, Instant until) {
     expected_images_ = machines_by_image;
     expected_until_ = until;
@@ -86,19 +87,20 @@
     /// The job is placed only on machines that have its image or have fetched most of it.
     bool near_image = false;
     bool avoids_reserved_types = false;  ///< the job's wait for other types has not run out
-    bool deadline_at_risk = false;       ///< it uses reserved types all the same, since it would be late
+    bool deadline_at_risk = false;  ///< the job uses reserved types in spite of that, to meet its deadline
     bool operator==(const EntryInputs&) const = default;
   };
   /// The state of a live job that is kept between cycles.
   struct JobState {
     Slot slot = 0;                  ///< slot in the index, valid while `in_index`
     bool in_index = false;          ///< the job has an entry in the index
-    bool location_unknown = false;  ///< it has no entry, since the location of a task is unknown
+    bool location_unknown = false;  ///< there is no entry, since the location of a task is unknown
     EntryInputs inputs;             ///< inputs of the current or last entry
     std::uint64_t estimate_version = kNoVersion;  ///< version of its class's estimates behind `estimate`
     Micros estimate{};                            ///< estimated run time of a task
     std::set<std::string> fitting_types;          ///< machine types on which its tasks could run
-    std::set<std::string> reserved_types;         ///< of those, the ones reserved for jobs that fit no other
+    /// Those of `fitting_types` that are reserved for jobs that fit no other type.
+    std::set<std::string> reserved_types;
     /// Time for which the job waits before it uses reserved types: the boot time of a new machine of a type
     /// that is not reserved (the longest of these types).
     Micros reserved_type_wait{};
--- a/src/scheduling_cycle/include/wrenusher/scheduling_cycle/layouts.hpp
+++ b/src/scheduling_cycle/include/wrenusher/scheduling_cycle/layouts.hpp
@@ -1,6 +1,7 @@
 #pragma once
-// Evaluates a job's layout in the active topology: the domains that its tasks occupy, the placements where a
-// new machine would help, and the reason why the job waits. Pure functions.
+// Evaluates a job's layout, its rules on how its tasks are spread over failure domains or colocated in one,
+// in the active topology: the domains that the tasks occupy, the types and zones in which a new machine would
+// help, and the reason why the job waits. Pure functions.
 
 #include <optional>
 #include <string>
--- a/src/scheduling_cycle/include/wrenusher/scheduling_cycle/scheduling_cycle.hpp
+++ b/src/scheduling_cycle/include/wrenusher/scheduling_cycle/scheduling_cycle.hpp
@@ -1,8 +1,10 @@
 #pragma once
-// Package scheduling_cycle: computes a plan with the placement package and applies it to the job table. It
-// decides when to plan, keeps the placement index up to date (`IndexUpdater`), reserves scarce machine types
-// for the jobs that fit no other (`ReservedTypes`), preempts tasks (`Preemptor`) and reports unmet demand to
-// the provisioner (`make_workload`).
+// Package scheduling_cycle: computes a plan (which waiting tasks to place on which machines) with package
+// placement, and applies it to the job table.
+//
+// It decides when to plan, keeps the placement index up to date (`IndexUpdater`), reserves scarce machine
+// types for the jobs that fit no other type (`ReservedTypes`), preempts tasks (`Preemptor`) and reports unmet
+// demand to the provisioner (`make_workload`).
 //
 // It may depend on time, value, runtime, settings, protocol, topology, events, placement, estimates,
 // job_table, machine_inventory and log.
@@ -51,7 +53,7 @@
   void expect_images(const std::map<std::string, std::uint32_t>* machines_by_image, Instant until) {
     updater_.expect_images(machines_by_image, until);
   }
-  /// Returns whether a plan is due because of a change or of the time since the last plan.
+  /// Returns whether a plan is due, because of a change or because of the time since the last plan.
   bool due() const;
   /// Returns the number of plans made so far.
   std::uint64_t plan_count() const { return plan_count_; }
--- a/src/scheduling_cycle/index_updater.cpp
+++ b/src/scheduling_cycle/index_updater.cpp
@@ -1,5 +1,5 @@
-// Keeps jobs, estimates and machines of the placement index up to date; waiting_jobs.cpp does so for waiting
-// jobs.
+// Tracks the live jobs and their run time estimates, and keeps the machines in the placement index up to
+// date. waiting_jobs.cpp does so for the index's other entries, those of the jobs with waiting tasks.
 #include "wrenusher/scheduling_cycle/index_updater.hpp"
 
 #include <algorithm>
--- a/src/worker_gateway/include/wrenusher/worker_gateway/delivery_monitor.hpp
+++ b/src/worker_gateway/include/wrenusher/worker_gateway/delivery_monitor.hpp
@@ -12,7 +12,7 @@
 /// Single replies are lost now and then, but not three in a row.
 inline constexpr int kMaxUnobservedReplies = 3;
 
-/// Compares each report of one worker with the reply to the report before. A machine that sends reports but
+/// Compares each report of one worker with the reply to its previous report. A worker that sends reports but
 /// receives no replies or commands looks healthy by its reports alone: it is never silent, but it never
 /// executes its start commands, and it loses its tasks whenever its lease expires. Single-threaded.
 class DeliveryMonitor {
@@ -21,11 +21,11 @@
   void on_reply(std::uint64_t fencing_token, const std::vector<protocol::WorkerCommand>& commands);
   /// Records that the worker was called: it may have used a sequence number for a response that was lost.
   void on_polled() { ++calls_; }
-  /// Compares the worker's next report with the last reply. `on_time` is true if the report arrived about
-  /// when it was due: if the worker's lease has expired, the cause is then that replies were lost.
+  /// Compares the worker's next report with the last reply. `on_time`: whether the report arrived about when
+  /// it was due. If it did although the worker's lease has expired, replies were lost.
   void on_report(const protocol::WorkerReport& report, bool on_time);
   /// Returns how many consecutive reports showed no effect of the reply before them. An expired lease counts
-  /// as several.
+  /// as several such reports.
   [[nodiscard]] int unobserved_replies() const { return unobserved_replies_; }
 
  private:
--- a/src/worker_gateway/include/wrenusher/worker_gateway/lease_renewal_guard.hpp
+++ b/src/worker_gateway/include/wrenusher/worker_gateway/lease_renewal_guard.hpp
@@ -13,14 +13,14 @@
 
 namespace wrenusher::worker_gateway {
 
-/// Enforces that no task of a cancelled job runs later than `cancel_s` after a user received the
-/// confirmation.
+/// Enforces that no task of a cancelled job runs later than `cancel_s` after a user received the confirmation
+/// of the cancellation.
 ///
-/// A lease is renewed only if this node has every cancellation that was confirmed longer than
-/// `max_cancellation_lag` ago. The reply that renews the lease also stops the tasks of cancelled jobs.
+/// A lease is renewed only if this node has received every cancellation that was confirmed to a user longer
+/// than `max_cancellation_lag` ago. The reply that renews the lease also stops the tasks of cancelled jobs.
 ///
-/// A cancellation that is missing here may concern any task. Therefore the leases of all workers with tasks
-/// are left to expire, which takes `lease_s` from the last renewal.
+/// Otherwise a cancellation may be missing, and it may concern any task. Therefore the leases of all workers
+/// with tasks are left to expire, which takes `lease_s` from the last renewal.
 ///
 /// Owns the recently cancelled jobs; `runtime` and `settings` must outlive it. Single-threaded: called from
 /// the runtime's loop only.
@@ -34,8 +34,9 @@
 
   /// Returns whether the reply to this report may renew its worker's lease.
   [[nodiscard]] bool may_renew(const protocol::WorkerReport& report) const;
-  /// Removes start commands of cancelled jobs, and adds a stop command for each of their tasks in the report.
-  /// The leader may not have done so, since it may not have read any record yet.
+  /// Removes start commands of cancelled jobs, and adds a stop command for each task in the report that
+  /// belongs to a cancelled job. The leader may not have done this itself, since it may not have read any
+  /// record yet.
   void add_stops(const protocol::WorkerReport& report, std::vector<protocol::WorkerCommand>& commands) const;
 
   /// Records that a renewal was withheld. Logs the first one.
--- a/src/worker_gateway/include/wrenusher/worker_gateway/listener_health.hpp
+++ b/src/worker_gateway/include/wrenusher/worker_gateway/listener_health.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Detects faults of this node that make workers seem silent.
+// Detects faults of this node because of which workers seem silent.
 
 #include <cstddef>
 #include <optional>
@@ -21,9 +21,9 @@
 
   /// Records that a new report has arrived, whether this node leads or not.
   void on_report(time::Instant now);
-  /// Must be called every `tick_interval`. Returns for how long this process was stalled since the last call,
-  /// by which the caller must move the times of the latest reports forward. Returns nullopt for no stall or
-  /// one too short to matter.
+  /// Must be called every `tick_interval`. Returns for how long this process was stalled since the last call;
+  /// nullopt if it was not stalled, or so briefly that it does not matter. The caller must move the times of
+  /// the latest reports forward by the returned duration.
   [[nodiscard]] std::optional<time::Micros> on_tick(time::Instant now, time::Micros tick_interval);
   /// Updates `too_few_reporting`. Must be called once per tick.
   void on_report_counts(time::Instant now, const ReportCounts& counts);
@@ -32,9 +32,9 @@
   [[nodiscard]] bool receives_reports(time::Instant now, time::Micros limit) const {
     return any_report_ && now - last_report_ < limit;
   }
-  /// Returns whether so few workers report that a fault of this node is more likely than one of the machines,
-  /// of which most do not fail at the same time. Returns true for at most `limit`, since they may have failed
-  /// after all.
+  /// Returns whether so few workers report that a fault of this node is more likely than a fault of the
+  /// machines, since most machines do not fail at the same time. Returns true for at most `limit`, since the
+  /// machines may have failed after all.
   ///
   /// Without this check, a leader that is isolated only from its workers would return all machines before it
   /// detects the isolation.
--- a/src/worker_gateway/include/wrenusher/worker_gateway/refusals.hpp
+++ b/src/worker_gateway/include/wrenusher/worker_gateway/refusals.hpp
@@ -16,7 +16,7 @@
 /// the worker tries the next node.
 [[nodiscard]] runtime::Response redirect(const std::string& leader);
 /// 503 `cancellations_unknown`, retry after 1 s. This leader has not received the cancellations by users in
-/// time from the key-value store or from its peers, so it may not renew the worker's lease (see
+/// time from the state service or from its peers, so it may not renew the worker's lease (see
 /// LeaseRenewalGuard).
 [[nodiscard]] runtime::Response cancellations_unknown();
 
--- a/src/worker_gateway/include/wrenusher/worker_gateway/report_order.hpp
+++ b/src/worker_gateway/include/wrenusher/worker_gateway/report_order.hpp
@@ -31,8 +31,8 @@
 /// worker's newest report. Single-threaded: called from the runtime's loop only.
 class ReportOrder {
  public:
-  /// Records the report if it is newer than all earlier reports of its worker on this node. Returns whether
-  /// it is.
+  /// Returns whether the report is newer than all reports that this node has received from the worker before,
+  /// and records it if so.
   [[nodiscard]] bool record_if_newest(const protocol::WorkerReport& report, time::Instant now);
   /// Removes workers that have not reported for so long that no duplicate can still arrive. May be called
   /// often: it does the work only once per retention time.
--- a/src/worker_gateway/include/wrenusher/worker_gateway/worker_calls.hpp
+++ b/src/worker_gateway/include/wrenusher/worker_gateway/worker_calls.hpp
@@ -15,7 +15,7 @@
 /// The term and the incarnation of the worker for which a call is valid.
 struct CallTarget {
   std::uint64_t fencing_token = 0;
-  std::uint64_t incarnation = 0;  ///< in another incarnation the worker executes nothing and responds 409
+  std::uint64_t incarnation = 0;  ///< a worker in another incarnation executes nothing and responds 409
 };
 
 /// Returns a request with commands for a worker.
--- a/src/worker_gateway/include/wrenusher/worker_gateway/worker_gateway.hpp
+++ b/src/worker_gateway/include/wrenusher/worker_gateway/worker_gateway.hpp
@@ -1,12 +1,15 @@
 #pragma once
-// Package worker_gateway: the leader's connection to its workers.
+// Package worker_gateway: the leader's connection to its workers. A worker is the process on a machine that
+// runs tasks. It sends reports, which list its tasks and state; the leader's reply carries commands and
+// renews the worker's lease. A worker whose lease expires stops its tasks. The heartbeats between controllers
+// belong to package membership.
 //
 //   WorkerGateway      receives reports, replies to them, delivers commands, detects silent workers
 //   ReportOrder        distinguishes new reports from late duplicates
 //   LeaseRenewalGuard  decides which replies may renew a lease, depending on the known cancellations
 //   WorkerPoller       polls workers that have not yet reported to a new leader
 //   DeliveryMonitor    detects workers that do not receive their replies
-//   ListenerHealth     detects faults of this node that make workers seem silent
+//   ListenerHealth     detects faults of this node because of which workers seem silent
 //   DepartedMachines   keeps the removed machines, whose late reports are ignored
 //   refusals           all responses that reject a report, by their code
 //
@@ -40,12 +43,12 @@
 
 namespace wrenusher::worker_gateway {
 
-/// Receives the workers' reports. On the leader it sends each new report as an event, replies with the
-/// commands that the event's receiver returns, and detects workers that are silent or receive no replies.
-/// Other nodes redirect workers to the leader.
+/// Receives the workers' reports. On the leader, it sends each new report as an event, replies with the
+/// commands that the event's receiver returns, and detects workers that are silent or receive no replies. On
+/// another node, it redirects workers to the leader.
 ///
-/// Owns the position and time of each machine's newest report. `runtime` and `settings` must outlive it.
-/// Single-threaded: called from the runtime's loop only.
+/// Owns the position (see ReportPosition) and time of each machine's newest report. `runtime` and `settings`
+/// must outlive it. Single-threaded: called from the runtime's loop only.
 class WorkerGateway {
  public:
   WorkerGateway(runtime::Runtime& runtime, const settings::Settings& settings);
@@ -65,12 +68,13 @@
   void on_direct_commands(const events::DirectCommands& event);
   /// Polls the workers of the previous leader.
   void on_hints_inherited(const std::shared_ptr<const events::InheritedHints>& hints);
-  /// Polls the machine's worker if it has not reported and was in no hint.
+  /// Polls the machine's worker if the worker has not reported and no hint has named the machine.
   void on_machine_listed(const events::MachineListed& event);
 
   runtime::EventSink<events::WorkerReported> worker_reported;
   runtime::EventSink<events::WorkerSilent> worker_silent;
-  /// Sent when a machine must be returned, since it receives no replies or has restarted under the same name.
+  /// Sent when a machine must be returned to the cloud, since it receives no replies or has restarted under
+  /// the same name.
   runtime::EventSink<events::MachineCordoned> machine_unreachable;
   runtime::EventSink<events::MachinesSuspected> machines_suspected;
   /// Sent every 250 ms, whether this node leads or not.
--- a/src/worker_gateway/include/wrenusher/worker_gateway/worker_poller.hpp
+++ b/src/worker_gateway/include/wrenusher/worker_gateway/worker_poller.hpp
@@ -1,5 +1,6 @@
 #pragma once
-// Polls workers that have not yet reported to a new leader.
+// Polls workers that have not yet reported to a new leader. A poll is a call without commands to a worker,
+// which responds with a report.
 
 #include <cstddef>
 #include <cstdint>
@@ -16,11 +17,12 @@
 
 namespace wrenusher::worker_gateway {
 
-/// Polls the workers of the previous leader after a failover, with a bounded number of concurrent polls. A
-/// poll raises the worker's fencing token, so that the worker reports to this leader at once.
+/// Polls the workers of the previous leader after a failover, with a bounded number of concurrent polls. It
+/// knows them from the previous leader's hints (see events/hints.hpp). A poll raises the worker's fencing
+/// token (the number of the term), so that the worker reports to this leader at once.
 ///
-/// Also reports workers as silent that neither respond nor report. The WorkerGateway detects silence only of
-/// workers that have reported in this term.
+/// If a worker neither responds to polls nor reports, the poller calls `on_silent` for it: WorkerGateway
+/// detects silence only of workers that have reported in this term.
 ///
 /// Owns the queued and unanswered polls. `runtime` and `term`, which always refers to the newest term, must
 /// outlive it. Single-threaded: called from the runtime's loop only.
@@ -48,7 +50,7 @@
   void reset();
   /// Polls the workers of the previous leader.
   void poll_inherited(const events::InheritedHints& hints);
-  /// Polls the worker at this address, which was in no hint.
+  /// Polls the worker at this address, whose machine no hint has named.
   void poll_listed(const std::string& host, const std::string& address);
   /// Records that the machine has reported or departed.
   void remove_missing(const std::string& host) { missing_.erase(host); }
