--- a/src/job_api/include/wrenusher/job_api/bounded_cache.hpp
+++ b/src/job_api/include/wrenusher/job_api/bounded_cache.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// A cache of bounded size whose entries can be read again from the key-value store at any time.
+// Provides a bounded cache for data that can be read again from the key-value store at any time.
 
 #include <cstddef>
 #include <deque>
@@ -9,14 +9,14 @@
 
 namespace wrenusher::job_api {
 
-/// Values by job identifier, at most `capacity` of them: one more drops the entry that was inserted first.
-/// Reading or changing an entry doesn't make it younger. Single-threaded: used from the runtime's loop only.
+/// Caches up to `capacity` values by job identifier and evicts the entry that was inserted first. Reading or
+/// changing an entry doesn't affect the eviction order. Single-threaded: used from the runtime's loop only.
 template <typename Value>
 class BoundedCache {
  public:
   explicit BoundedCache(std::size_t capacity) : capacity_(capacity) {}
 
-  /// The entry, or null. Valid until the next `insert`.
+  /// Returns the entry, or null if there is none. The pointer is valid until the next `insert`.
   [[nodiscard]] Value* find(const std::string& key) {
     const auto it = entries_.find(key);
     return it == entries_.end() ? nullptr : &it->second;
@@ -27,7 +27,7 @@
   }
   [[nodiscard]] bool contains(const std::string& key) const { return entries_.contains(key); }
 
-  /// Adds an entry; one that is there already stays as it is.
+  /// Adds an entry. An existing entry stays unchanged.
   void insert(const std::string& key, Value value) {
     if (!entries_.try_emplace(key, std::move(value)).second) return;
     insertion_order_.push_back(key);
--- a/src/job_api/include/wrenusher/job_api/cancellation_handler.hpp
+++ b/src/job_api/include/wrenusher/job_api/cancellation_handler.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Cancellations of jobs by users.
+// Handles users' requests to cancel jobs.
 
 #include <cstdint>
 #include <string>
@@ -11,24 +11,24 @@
 
 namespace wrenusher::job_api {
 
-/// Marks the record of a live job as cancelled, by a compare-and-swap on the revision that was read; the read
-/// and the swap are repeated a few times where somebody else changed the record meanwhile.
+/// Marks the record of a live job as cancelled, by a compare-and-swap on the revision that was read. If
+/// another writer changed the record in between, the read and the compare-and-swap are retried a few times.
 ///
-/// Idempotent: a job that is cancelled already or has ended is answered by its state. All that its
-/// constructor takes must outlive it. Single-threaded: called from the runtime's loop only.
+/// Idempotent: a job that is already cancelled or has ended is answered with its state. All constructor
+/// arguments must outlive the handler. Single-threaded: called from the runtime's loop only.
 class CancellationHandler {
  public:
   CancellationHandler(kv_client::KvClient& store, JobLookup& lookup, ConsistentResponder& responder)
       : store_(store), lookup_(lookup), responder_(responder) {}
 
-  /// Answers once: 200 with the job's status, otherwise one of `refusals`.
+  /// Calls `answer` once: with status code 200 and the job's status, or with one of `refusals`.
   void cancel(const std::string& job_id, const runtime::Responder& answer);
 
  private:
-  void cancel_with_tries(const std::string& job_id, int tries, const runtime::Responder& answer);
-  void on_record(const std::string& job_id, int tries, const kv_client::KeyValue& record,
-                 time::Instant asked_at, const runtime::Responder& answer);
-  void answer_cancelled(const std::string& job_id, std::uint64_t mod_revision, time::Instant asked_at,
+  void cancel_with_attempts(const std::string& job_id, int attempts_left, const runtime::Responder& answer);
+  void on_record(const std::string& job_id, int attempts_left, const kv_client::KeyValue& record,
+                 time::Instant request_sent_at, const runtime::Responder& answer);
+  void answer_cancelled(const std::string& job_id, std::uint64_t mod_revision, time::Instant request_sent_at,
                         const runtime::Responder& answer);
 
   kv_client::KvClient& store_;
--- a/src/job_api/include/wrenusher/job_api/consistent_responder.hpp
+++ b/src/job_api/include/wrenusher/job_api/consistent_responder.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Gives users the state of jobs in the order that ReadConsistency demands over all nodes.
+// Sends job states to users in the order that ReadConsistency requires across all nodes.
 
 #include <functional>
 #include <map>
@@ -14,17 +14,17 @@
 
 namespace wrenusher::job_api {
 
-/// The only way by which a user is told that a job is known. It announces to the peers what this node is
-/// about to tell, withholds the answer until no other node gives an older one, and looks the job up again
-/// where the answer has been overtaken meanwhile.
+/// Sends every response that reports an existing job. Before it sends one, it announces the job's stage to
+/// the peers and holds the response back until no other node can report an older stage. If the state has
+/// become outdated in the meantime, the job is looked up again.
 ///
-/// Owns the answers that wait. All that its constructor takes must outlive it. Single-threaded: called from
-/// the runtime's loop only.
+/// Owns the pending answers. All constructor arguments must outlive the responder. Single-threaded: called
+/// from the runtime's loop only.
 class ConsistentResponder {
  public:
-  /// Makes the response to a user from the job's state at the time it is given.
-  using ResponseFor = std::function<runtime::Response(const JobState&)>;
-  /// Where this node's news for others goes.
+  /// Builds the response to a user from the job's state at the time the response is sent.
+  using ResponseBuilder = std::function<runtime::Response(const JobState&)>;
+  /// Sinks of the events that the responder emits.
   struct Events {
     const runtime::EventSink<events::JobCancelled>& job_cancelled;
     const runtime::EventSink<events::StageAnnouncement>& stage_announcement;
@@ -34,30 +34,31 @@
                       Events events)
       : runtime_(runtime), lookup_(lookup), consistency_(consistency), events_(events) {}
 
-  /// Tells a user of a job that exists: `state`, as the key-value store had it when asked at `asked_at`.
-  void answer_found(const std::string& job_id, const JobState& state, time::Instant asked_at,
-                    const ResponseFor& response_for, const runtime::Responder& answer);
-  /// Looks the job up: where it exists, its state is told; otherwise `absent` is the response.
-  void answer_state_or(const std::string& job_id, runtime::Response absent, const ResponseFor& response_for,
-                       const runtime::Responder& answer);
-  /// The same, with the short response {ref, status} and status code 200. For requests that find the job
-  /// accepted already: repeated submissions and cancellations are idempotent.
-  void answer_status_or(const std::string& job_id, runtime::Response absent,
+  /// Answers a request about a job that exists. `state` is the state that the key-value store returned for
+  /// the request sent at `request_sent_at`.
+  void answer_found(const std::string& job_id, const JobState& state, time::Instant request_sent_at,
+                    const ResponseBuilder& build_response, const runtime::Responder& answer);
+  /// Looks up the job and answers with its state, or with `response_if_absent` if the job does not exist.
+  void answer_state_or(const std::string& job_id, runtime::Response response_if_absent,
+                       const ResponseBuilder& build_response, const runtime::Responder& answer);
+  /// Does the same as `answer_state_or`, with the short response {ref, status} and status code 200. Used for
+  /// requests whose job was accepted earlier: repeated submissions and cancellations are idempotent.
+  void answer_status_or(const std::string& job_id, runtime::Response response_if_absent,
                         const runtime::Responder& answer);
 
-  /// Every peer knows that this node is about to tell that the job has got so far.
+  /// Called when every peer has confirmed the announcement that this node is about to report this stage.
   void on_stage_confirmed(const events::StageAnnouncement& event);
 
  private:
-  /// An answer under way to one user.
+  /// A pending answer to one user.
   struct PendingAnswer {
     std::string job_id;
     JobState state;
-    time::Instant asked_at{};
-    ResponseFor response_for;
+    time::Instant request_sent_at{};
+    ResponseBuilder build_response;
     runtime::Responder answer;
   };
-  /// Answers of one level about one job, which are released together.
+  /// Groups the pending answers about one job at one stage, which are released together.
   struct WaitingKey {
     std::string job_id;
     events::JobStage stage = events::JobStage::accepted;
@@ -72,10 +73,10 @@
   JobLookup& lookup_;
   ReadConsistency& consistency_;
   Events events_;
-  std::map<WaitingKey, std::vector<PendingAnswer>> waiting_;
+  std::map<WaitingKey, std::vector<PendingAnswer>> pending_answers_;
 };
 
-/// The response that names a job and its status only.
+/// Returns a response with the job's identifier and status only.
 [[nodiscard]] runtime::Response status_response(int status_code, const std::string& job_id,
                                                 const std::string& status);
 
--- a/src/job_api/include/wrenusher/job_api/job_api.hpp
+++ b/src/job_api/include/wrenusher/job_api/job_api.hpp
@@ -1,15 +1,15 @@
 #pragma once
-// Package job_api: the users' interface, which every node serves. The key-value store decides everything; a
-// node's own memory only answers for final states, which never change.
+// Package job_api: the users' interface to jobs, which every node serves. The key-value store is the only
+// source of truth. A node answers from its own memory only for final states, which never change.
 //
-//   JobApi               routes requests to the parts below, and answers health checks
-//   SubmissionHandler    checks submissions and writes the records of new jobs
+//   JobApi               routes requests to the classes below, and answers health checks
+//   SubmissionHandler    validates submissions and writes the records of new jobs
 //   CancellationHandler  marks records as cancelled
 //   JobLookup            finds a job's state, through JobIndex or record by record
-//   JobIndex             the live jobs as the key-value store has them, kept up to date by its changes
-//   ReadConsistency      which answers may be given when, so that no user sees a job go back
-//   ConsistentResponder  withholds answers until ReadConsistency lets them go
-//   refusals             every answer that refuses a request, by its code
+//   JobIndex             indexes the live jobs and follows the changes in the key-value store
+//   ReadConsistency      decides when an answer may be sent, so that no job returns to an earlier stage
+//   ConsistentResponder  holds answers back until ReadConsistency allows them
+//   refusals             defines every response that rejects a request, by its code
 //
 // It may depend on time, value, runtime, settings, protocol, topology, kv_client, records, events and log.
 
@@ -38,9 +38,9 @@
  public:
   JobApi(runtime::Runtime& runtime, const settings::Settings& settings, kv_client::KvClient& store);
 
-  /// Begins to read the live jobs, so that lookups can be answered from the index.
+  /// Starts to load the index of live jobs, which lookups are then served from.
   void start() { lookup_.start(); }
-  /// Calls `answer` once, at once or later.
+  /// Calls `answer` once, immediately or later.
   void serve(const runtime::Request& request, const runtime::Responder& answer);
 
   void on_topology_activated(const events::TopologyActivated& event) {
@@ -52,36 +52,39 @@
   }
   void on_peer_status(const events::PeerStatus& status);
   void on_records_changed(const events::RecordsChanged& event) { lookup_.on_records_changed(event); }
-  /// A peer is about to tell a user that the job has got so far.
+  /// Called when a peer is about to report to a user that the job has reached this stage.
   void on_stage_announced(const events::StageAnnouncement& event) {
     consistency_.on_peer_announcement(event.job_id, event.stage, runtime_.now());
   }
-  /// Every peer knows that this node is about to tell so.
+  /// Called when every peer has confirmed this node's announcement of this stage.
   void on_stage_confirmed(const events::StageAnnouncement& event) { responder_.on_stage_confirmed(event); }
 
-  /// A user is about to be told that a job is cancelled. Sent before the answer.
+  /// Emitted before a response reports a job as cancelled.
   runtime::EventSink<events::JobCancelled> job_cancelled;
-  /// A user is about to be told that a job has got so far; the peers are to know first.
+  /// Emitted before a response reports that a job has reached this stage, so that the peers receive the
+  /// announcement first.
   runtime::EventSink<events::StageAnnouncement> stage_announcement;
 
  private:
-  /// What is known of a peer from its heartbeats.
+  /// State of a peer, from its heartbeats.
   struct PeerState {
-    time::Instant asked_at{};  ///< when the newest question went out that it has answered
+    /// When this node sent the latest heartbeat that the peer has answered.
+    time::Instant heartbeat_sent_at{};
     bool kv_reachable = false;
-    /// What it had announced by then is known here.
-    time::Instant announcements_through = time::Instant::min();
+    /// All announcements that the peer made up to this time have been received.
+    time::Instant announcements_received_through = time::Instant::min();
   };
   void serve_ready(const runtime::Request& request, const runtime::Responder& answer) const;
   void serve_submissions(const runtime::Request& request, const runtime::Responder& answer);
   void serve_job(const runtime::Request& request, const std::string& path, const runtime::Responder& answer);
   void poll(const std::string& job_id, const runtime::Responder& answer);
-  bool ready() const;
+  bool is_ready() const;
 
   runtime::Runtime& runtime_;
   const settings::Settings& settings_;
   kv_client::KvClient& store_;
-  std::map<std::string, PeerState> peers_;  ///< by node, those that have answered a question of this node's
+  /// By node; only peers that have answered a heartbeat of this node.
+  std::map<std::string, PeerState> peers_;
   ReadConsistency consistency_;
   JobLookup lookup_;
   ConsistentResponder responder_;
--- a/src/job_api/include/wrenusher/job_api/job_index.hpp
+++ b/src/job_api/include/wrenusher/job_api/job_index.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// An index of the live jobs as the key-value store has them, at one revision.
+// Keeps an in-memory index of the live jobs in the key-value store, as of one revision.
 
 #include <cstddef>
 #include <cstdint>
@@ -16,52 +16,57 @@
 
 namespace wrenusher::job_api {
 
-/// Whoever asks about a job waits for the index to be refreshed once more, by one request for all that wait:
-/// what an answer costs follows from what has changed, not from how many jobs are live or how many users ask.
-/// The index is a cache: it can be dropped at any time, and until it is complete again the records have to be
-/// read one by one.
+/// Answers queries about live jobs in batches: one request to the key-value store refreshes the index for all
+/// queued queries. The cost of a refresh therefore depends on the number of changed records, not on the
+/// number of live jobs or of users.
 ///
-/// Owns the index and the queries that wait; `runtime` and `store` must outlive it. Single-threaded: called
-/// from the runtime's loop only.
+/// The index is a cache and can be dropped at any time. Until it has been loaded again, callers have to read
+/// the records one by one.
+///
+/// Owns the index and the queued queries; `runtime` and `store` must outlive it. Single-threaded: called from
+/// the runtime's loop only.
 class JobIndex {
  public:
-  /// What the index says of a job.
+  /// State of a job according to the index.
   enum class Presence {
     live,
-    cancelled,  ///< live, with its cancellation recorded
-    absent,  ///< ended or never accepted; where it ended while the index was complete, `on_ended` was called
-    failed   ///< the key-value store gave no answer, or the index is not complete any more
+    cancelled,  ///< live, and its record is marked as cancelled
+    /// Ended or never accepted. `on_ended` was called for a job that ended while the index was complete.
+    absent,
+    failed  ///< the key-value store did not reply, or the index is no longer complete
   };
   struct Lookup {
     Presence presence = Presence::failed;
-    time::Instant asked_at{};  ///< when the key-value store was asked: it was so then or later
+    /// Time of the request to the key-value store. The result was valid then or later.
+    time::Instant request_sent_at{};
   };
   using LookupHandler = std::function<void(const Lookup&)>;
   using EndedHandler =
       std::function<void(const std::string& job_id, const std::string& state, std::uint64_t done_tasks)>;
 
-  /// Queries that may wait at the same time; one more is to be refused by the caller.
+  /// Maximum number of queued queries. The caller has to reject further ones.
   static constexpr std::size_t kMaxQueries = 12000;
 
   JobIndex(runtime::Runtime& runtime, kv_client::KvClient& store) : runtime_(runtime), store_(store) {}
 
-  /// Reads all live jobs, page by page, and keeps the index up to date from then on. Retries until it
-  /// succeeds.
+  /// Reads all live jobs page by page, and retries until this succeeds. After that, each refresh applies the
+  /// changes since the previous one.
   void load();
-  /// Whether queries can be answered from it.
+  /// Returns whether the index is loaded and can answer queries.
   [[nodiscard]] bool complete() const { return complete_; }
-  /// Whether one more query may wait.
-  [[nodiscard]] bool has_room() const { return waiting_.size() < kMaxQueries; }
-  /// Calls `done` once the index has been refreshed by a request that goes out from now on.
+  /// Returns whether the queue has room for one more query.
+  [[nodiscard]] bool has_room() const { return queued_.size() < kMaxQueries; }
+  /// Queues a query. Calls `done` after a refresh whose request is sent after this call.
   void query(const std::string& job_id, LookupHandler done);
 
-  /// Live jobs in the index.
+  /// Returns the number of live jobs in the index.
   [[nodiscard]] std::size_t size() const { return jobs_.size(); }
 
-  /// A job's final record was read: its state and how many of its tasks succeeded. Called before any query
-  /// about it is answered with `absent`. Must be set before `load`.
+  /// Called when a job's final record has been read, with the job's final state and the number of its tasks
+  /// that succeeded. It runs before any query about this job is answered with `absent`. Must be set before
+  /// `load`.
   EndedHandler on_ended;
-  /// Which records each refresh found changed.
+  /// Called after each refresh, with the records that have changed.
   std::function<void(const events::RecordsChanged&)> on_records_changed;
 
  private:
@@ -81,25 +86,28 @@
   void refresh();
   void on_refreshed(const kv_client::WatchReply& reply);
   void answer_queries(std::vector<Query> queries, const kv_client::WatchReply& reply,
-                      bool final_states_known);
+                      bool final_states_complete);
   bool is_contiguous(const kv_client::WatchReply& reply) const;
   void apply(const kv_client::WatchReply& reply);
-  void read_final_states(std::vector<Query> queries, time::Instant asked_at);
+  void read_final_states(std::vector<Query> queries, time::Instant request_sent_at);
   void on_final_states(const kv_client::WatchReply& reply);
   void put(const kv_client::KeyValue& row);
   Presence presence_of(const std::string& job_id) const;
-  static void fail(const std::vector<Query>& queries);
+  static void fail_queries(const std::vector<Query>& queries);
 
   runtime::Runtime& runtime_;
   kv_client::KvClient& store_;
   std::unordered_map<std::string, Job> jobs_;
   bool complete_ = false;
-  std::string next_page_key_;                         ///< while loading: the last key that was read
-  std::optional<std::uint64_t> first_page_revision_;  ///< while loading: from there changes are watched
-  std::uint64_t revision_ = 0;                        ///< the revision that the index shows
-  std::uint64_t final_states_revision_ = 0;  ///< final records up to this revision went to `on_ended`
-  std::vector<Query> waiting_;               ///< to be answered by the next refresh
-  std::vector<Query> in_flight_;             ///< to be answered by the refresh under way
+  /// While loading: the last key that has been read.
+  std::string next_page_key_;
+  /// While loading: the revision of the first page. Changes are watched from it.
+  std::optional<std::uint64_t> first_page_revision_;
+  std::uint64_t revision_ = 0;  ///< the revision that the index reflects
+  /// Final records up to this revision have been passed to `on_ended`.
+  std::uint64_t final_states_revision_ = 0;
+  std::vector<Query> queued_;     ///< answered by the next refresh
+  std::vector<Query> in_flight_;  ///< answered by the refresh in progress
   bool refresh_scheduled_ = false;
   bool refreshing_ = false;
   time::Instant last_refresh_{};
--- a/src/job_api/include/wrenusher/job_api/job_state.hpp
+++ b/src/job_api/include/wrenusher/job_api/job_state.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// The state of one job as users see it, and how it is read from the job's records.
+// Defines the state of one job as users see it, and reads it from the job's records.
 
 #include <cstdint>
 #include <string>
@@ -9,26 +9,27 @@
 
 namespace wrenusher::job_api {
 
-/// Values of `status` in answers to users. A final record may hold others, which are passed on as they are.
+/// Values of `status` in responses. A final record may hold other values, which are passed on unchanged.
 inline constexpr const char* kStatusPending = "pending";
 inline constexpr const char* kStatusRunning = "running";
 inline constexpr const char* kStatusDone = "done";
 inline constexpr const char* kStatusCancelled = "withdrawn";
 
-/// What a poll tells its user.
+/// State of a job as a poll returns it.
 struct JobState {
-  std::string status;         ///< one of `kStatus...`, as on the wire
-  std::uint64_t done = 0;     ///< tasks that have succeeded
-  std::uint64_t running = 0;  ///< tasks that run now, as the leader last published
+  std::string status;         ///< one of the `kStatus` constants, or another value from a final record
+  std::uint64_t done = 0;     ///< number of tasks that have succeeded
+  std::uint64_t running = 0;  ///< number of running tasks, as last published by the leader
 };
 
-/// How far a job in this state has got, for the order of answers. A cancelled job counts as finished.
+/// Returns the stage of a job in this state, which ReadConsistency uses to order answers. A cancelled job
+/// counts as finished.
 [[nodiscard]] events::JobStage stage_of(const JobState& state);
 
-/// Whether the record of a live job carries its cancellation.
+/// Returns whether the record of a live job is marked as cancelled.
 [[nodiscard]] bool is_cancelled(const value::Value& live_record);
 
-/// The state that a final record holds.
+/// Returns the state stored in a final record.
 [[nodiscard]] JobState read_final_state(const value::Value& final_record);
 
 }  // namespace wrenusher::job_api
--- a/src/job_api/include/wrenusher/job_api/read_consistency.hpp
+++ b/src/job_api/include/wrenusher/job_api/read_consistency.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Read consistency of the answers that users get from all nodes together.
+// Provides read consistency for users across all nodes.
 
 #include <algorithm>
 #include <array>
@@ -18,77 +18,86 @@
 using time::Instant;
 using time::Micros;
 
-/// Decides when a node may give an answer, so that users never see a job go back, whichever nodes they ask:
-/// once any node has told that a job is accepted, none says that it is unknown; once any has told that it is
-/// done or cancelled, none says that it is live. What counts is when an answer is given, not when it was
-/// asked for. docs/design.md, "The order of answers", has the proof.
+/// Decides when a node may send an answer, so that users never see a job return to an earlier stage,
+/// whichever nodes they send requests to.
 ///
-/// Every stage is meant as "at least": what is finished has been accepted. A pure state machine that sends
-/// nothing itself; owns what is known of each job's latest changes. Single-threaded.
+/// After any node has reported a job as accepted, no node reports it as unknown. After any node has reported
+/// it as done or cancelled, no node reports it as live. The order is by the time at which an answer is sent,
+/// not by the time of its request. docs/design.md, "The order of answers", has the proof.
+///
+/// A stage always means "at least this stage": a finished job has also been accepted. The class is a pure
+/// state machine that does no I/O. It owns the tracked stage changes of each job. Single-threaded.
 class ReadConsistency {
  public:
-  /// The answer that a job is unknown is given this long at most after the key-value store was asked.
+  /// Maximum time between the request to the key-value store and the answer that a job is unknown.
   static constexpr Micros kMaxAbsentAge = time::from_millis(150);
-  /// The answer that a job is live is given this long at most after the key-value store was asked, or while
-  /// every peer has been in touch for so long that it would have announced anything newer: heartbeats come
-  /// twice a second.
+  /// Maximum time between the request to the key-value store and the answer that a job is live. An older read
+  /// may still be used if all announcements that peers made up to this long ago have been received;
+  /// heartbeats, which carry them, are sent twice per second.
   static constexpr Micros kMaxLiveAge = time::from_millis(550);
-  /// A reply of the key-value store that takes longer counts as none, see KvClient.
+  /// Replies of the key-value store that take longer are discarded, see KvClient.
   static constexpr Micros kMaxReplyAge = kv_client::KvClient::kMaxReplyAge;
-  /// What the clocks of two nodes may differ by over each of these times.
+  /// Maximum drift between the clocks of two nodes over each of these periods.
   static constexpr Micros kClockMargin = time::from_millis(50);
 
-  /// `single_node`: there are no peers.
+  /// `single_node`: whether the cluster has no peers.
   explicit ReadConsistency(bool single_node) : single_node_(single_node) {}
 
-  /// This node has learned that the job has got so far. Only the first time counts.
+  /// Records that the job has reached this stage. Only the first call for a stage counts.
   void observe(const std::string& job_id, JobStage stage, Instant now);
-  /// A peer is about to tell a user so: what the key-value store was asked before now may be outdated.
+  /// Records that a peer is about to report this stage to a user. Reads that this node sent to the key-value
+  /// store before `now` may be outdated.
   void on_peer_announcement(const std::string& job_id, JobStage stage, Instant now);
-  /// This node is about to tell a user so, and says it to its peers now.
+  /// Records that this node is about to report this stage to a user and is announcing it to its peers now.
   void announce(const std::string& job_id, JobStage stage, Instant now);
-  /// Every peer has received that announcement.
-  void on_confirmed(const std::string& job_id, JobStage stage);
+  /// Records that every peer has received the announcement of this stage.
+  void on_announcement_confirmed(const std::string& job_id, JobStage stage);
 
-  /// Every announcement that any peer made before `through` has been received here.
-  void on_peers_in_touch(Instant through) { in_touch_through_ = std::max(in_touch_through_, through); }
+  /// Records that this node has received every announcement that any peer made before `through`.
+  void on_announcements_received(Instant through) {
+    announcements_received_through_ = std::max(announcements_received_through_, through);
+  }
 
-  /// From when on this node may tell that the job has got so far, if it announces that now at the latest: no
-  /// other node gives an older answer after that. `now` where that is so already.
-  [[nodiscard]] Instant may_answer_from(const std::string& job_id, JobStage stage, Instant now) const;
-  /// Whether an answer of this stage, by what the key-value store was asked at `asked_at` or later, may be
-  /// given now. Otherwise the store has to be asked again.
-  [[nodiscard]] bool may_answer(const std::string& job_id, JobStage stage, Instant asked_at,
+  /// Returns the earliest time at which this node may report this stage, provided that it announces the stage
+  /// now or has announced it before. From that time on, no other node reports an earlier stage. Returns `now`
+  /// if the stage may be reported at once.
+  [[nodiscard]] Instant earliest_answer_at(const std::string& job_id, JobStage stage, Instant now) const;
+  /// Returns whether this stage may be reported now, based on a request that was sent to the key-value store
+  /// at `request_sent_at`. If not, the key-value store has to be read again.
+  [[nodiscard]] bool may_answer(const std::string& job_id, JobStage stage, Instant request_sent_at,
                                 Instant now) const;
 
-  /// Jobs that are tracked.
+  /// Returns the number of tracked jobs.
   [[nodiscard]] std::size_t size() const { return jobs_.size(); }
 
  private:
-  /// Stages above `absent`; the arrays below have one entry for each.
-  static constexpr std::size_t kStages = 2;
-  static constexpr std::size_t kAccepted = 0;
-  static constexpr std::size_t kFinished = 1;
-  static std::size_t index_of(JobStage stage) { return stage == JobStage::finished ? kFinished : kAccepted; }
+  /// Number of stages above `absent`. The arrays in `Job` have one entry for each of them.
+  static constexpr std::size_t kStageCount = 2;
+  static constexpr std::size_t kAcceptedIndex = 0;
+  static constexpr std::size_t kFinishedIndex = 1;
+  static std::size_t index_of(JobStage stage) {
+    return stage == JobStage::finished ? kFinishedIndex : kAcceptedIndex;
+  }
   struct Job {
-    std::array<Instant, kStages> known_since{Instant::max(), Instant::max()};  ///< here; max: not known
-    std::array<Instant, kStages> announced_at{Instant::max(), Instant::max()};
-    std::array<bool, kStages> confirmed{};
-    /// Answers of a lower stage are outdated unless the key-value store was asked after this.
-    std::array<Instant, kStages> newer_since{Instant::min(), Instant::min()};
-    Instant touched_at{};
+    /// When this node first observed the stage; `Instant::max()`: not yet.
+    std::array<Instant, kStageCount> observed_at{Instant::max(), Instant::max()};
+    std::array<Instant, kStageCount> announced_at{Instant::max(), Instant::max()};
+    std::array<bool, kStageCount> confirmed{};
+    /// Reads that were sent at or before this time are outdated for answers of a lower stage.
+    std::array<Instant, kStageCount> reads_outdated_through{Instant::min(), Instant::min()};
+    Instant last_updated_at{};
   };
   struct AgeEntry {
-    Instant touched_at;
+    Instant last_updated_at;
     std::string job_id;
   };
-  Job& touch(const std::string& job_id, Instant now);
-  void forget_old(Instant now);
+  Job& track(const std::string& job_id, Instant now);
+  void evict_old_jobs(Instant now);
 
   bool single_node_;
-  Instant in_touch_through_ = Instant::min();
+  Instant announcements_received_through_ = Instant::min();
   std::unordered_map<std::string, Job> jobs_;
-  std::deque<AgeEntry> by_age_;  ///< each tracked job once, roughly by when it was last touched
+  std::deque<AgeEntry> by_age_;  ///< each tracked job once, roughly ordered by its last update
 };
 
 }  // namespace wrenusher::job_api
--- a/src/job_api/include/wrenusher/job_api/refusals.hpp
+++ b/src/job_api/include/wrenusher/job_api/refusals.hpp
@@ -1,6 +1,7 @@
 #pragma once
-// Every answer by which the users' interface refuses a request. A function is named by the `code` in the
-// answer's body, so that the code leads to it and its callers are the causes; docs/operations.md lists them.
+// Defines every response by which the job API rejects a request. Each function has the name of the `code` in
+// the response body, so that a search for the code finds the function and its callers, which are the causes.
+// docs/operations.md lists them.
 
 #include <string>
 
@@ -9,46 +10,47 @@
 
 namespace wrenusher::job_api::refusals {
 
-// 400, 422: the request itself is at fault; sending it again doesn't help.
+// 400, 422: the request itself is invalid; a retry doesn't help.
 
 /// 400 `not_a_map`: the body of a submission doesn't decode to a CBOR map.
 [[nodiscard]] runtime::Response not_a_map();
-/// 400 `bad_field`: a field of the submission is missing, of the wrong type or out of its range.
+/// 400 `bad_field`: a field of the submission is missing, has the wrong type or is out of range.
 [[nodiscard]] runtime::Response bad_field(const protocol::InvalidField& fault);
 /// 400 `too_large`: the job's record would exceed the setting `value_kb`.
 [[nodiscard]] runtime::Response too_large();
 /// 400 `not_kept`: the key-value store rejects the job's record as malformed.
 [[nodiscard]] runtime::Response not_kept();
-/// 422 `never_runs`: no machine type, quota or failure domain can ever run the job; `fault` says which.
+/// 422 `never_runs`: no machine type, quota or failure domain allows the job to ever run; `fault` names the
+/// field and the reason.
 [[nodiscard]] runtime::Response never_runs(const protocol::InvalidField& fault);
 
-// 404, 405: nothing is to be found there.
+// 404, 405: the path, the job or the method does not exist.
 
 /// 404 `unknown_job`: no record of this job exists, or the identifier is malformed.
 [[nodiscard]] runtime::Response unknown_job(const std::string& job_id);
-/// 404 `no_such_path`: the path is none of this interface.
+/// 404 `no_such_path`: the job API has no such path.
 [[nodiscard]] runtime::Response no_such_path();
-/// 405 `wrong_method`: the path exists, but takes `right_method`.
-[[nodiscard]] runtime::Response wrong_method(const char* right_method);
+/// 405 `wrong_method`: the path exists, but accepts only `allowed_method`.
+[[nodiscard]] runtime::Response wrong_method(const char* allowed_method);
 
-// 503: the same request may succeed later; the answer says in how many seconds to retry.
+// 503: the same request may succeed later; the response states after how many seconds to retry.
 
-/// 503 `state_unreachable`, retry after 1 s. Causes: the key-value store doesn't answer; it can't tell
-/// whether a submission was committed and the job isn't found; what it answered kept being overtaken by what
-/// peers announced (ReadConsistency); the index of live jobs failed to refresh.
+/// 503 `state_unreachable`, retry after 1 s. Causes: the key-value store doesn't reply; the outcome of a
+/// submission's commit is unknown and the job isn't found; every read was outdated by an announcement of a
+/// peer (ReadConsistency); the index of live jobs failed to refresh.
 [[nodiscard]] runtime::Response state_unreachable();
 /// 503 `busy`, retry after 1 s. Causes: the queue of the key-value store's client is full (KvClient); the
-/// queue of lookups is full (JobLookup, JobIndex); a cancellation lost every compare-and-swap to other
-/// writers (CancellationHandler).
+/// queue of lookups is full (JobLookup, JobIndex); every compare-and-swap of a cancellation failed because
+/// another writer changed the record (CancellationHandler).
 [[nodiscard]] runtime::Response busy();
-/// 503 `not_ready`, retry after 1 s. Cause: a peer reaches the key-value store and this node doesn't; a load
-/// balancer then takes this node out.
+/// 503 `not_ready`, retry after 1 s. Cause: a peer reaches the key-value store and this node doesn't. A load
+/// balancer then removes this node.
 [[nodiscard]] runtime::Response not_ready();
 /// 503 `types_unknown`, retry after 2 s. Cause: this node has not received the cloud's machine types yet, so
-/// it can't judge whether a submission can ever run.
+/// it can't check whether a submission can ever run.
 [[nodiscard]] runtime::Response types_unknown();
-/// 503 `topology_unknown`, retry after 2 s. Cause: the submission has a layout, and the topology that this
-/// node loaded is not the one in force at the leader.
+/// 503 `topology_unknown`, retry after 2 s. Cause: the submission has a layout, and this node's topology is
+/// not the one that the leader uses.
 [[nodiscard]] runtime::Response topology_unknown();
 
 }  // namespace wrenusher::job_api::refusals
--- a/src/job_api/include/wrenusher/job_api/submission_handler.hpp
+++ b/src/job_api/include/wrenusher/job_api/submission_handler.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Submissions of jobs: checks what was submitted and writes the job's record.
+// Validates job submissions and writes the records of accepted jobs.
 
 #include <memory>
 #include <optional>
@@ -17,20 +17,20 @@
 
 namespace wrenusher::job_api {
 
-/// Accepts jobs, idempotently: a job that was accepted before is answered by its state, whatever the repeated
-/// request says besides the identifier. The record is put by a compare-and-swap that demands that no record
-/// of this identifier exists.
+/// Accepts jobs. Idempotent: a repeated submission of an accepted job is answered with the job's state,
+/// whatever the request contains besides the job's identifier. The record is written by a compare-and-swap
+/// that requires that no record with this identifier exists.
 ///
-/// Owns the newest machine types and topology, by which submissions are judged; whatever else its constructor
-/// takes must outlive it. Single-threaded: called from the runtime's loop only.
+/// Owns the latest machine types and topology, against which submissions are checked. All other constructor
+/// arguments must outlive the handler. Single-threaded: called from the runtime's loop only.
 class SubmissionHandler {
  public:
   SubmissionHandler(runtime::Runtime& runtime, const settings::Settings& settings, kv_client::KvClient& store,
                     JobLookup& lookup, ConsistentResponder& responder)
       : runtime_(runtime), settings_(settings), store_(store), lookup_(lookup), responder_(responder) {}
 
-  /// Answers once: 201 where the job is accepted by this request, 200 where it was accepted before, otherwise
-  /// one of `refusals`.
+  /// Calls `answer` once: with 201 if this request accepts the job, with 200 if the job was accepted earlier,
+  /// otherwise with one of `refusals`.
   void submit(const runtime::Request& request, const runtime::Responder& answer);
 
   void on_topology_activated(const events::TopologyActivated& event) { topology_ = event; }
@@ -38,8 +38,8 @@
 
  private:
   std::optional<runtime::Response> refusal_of(const protocol::JobSpec& spec) const;
-  std::optional<protocol::InvalidField> why_never_runs(const protocol::JobSpec& spec,
-                                                       const settings::Team* team) const;
+  std::optional<protocol::InvalidField> never_runs_fault(const protocol::JobSpec& spec,
+                                                         const settings::Team* team) const;
   void commit(const std::string& job_id, const value::Value& record, const runtime::Responder& answer);
   void on_committed(const std::string& job_id, const kv_client::CommitReply& reply,
                     const runtime::Responder& answer);
--- a/src/job_api/job_api.cpp
+++ b/src/job_api/job_api.cpp
@@ -19,8 +19,8 @@
 
 namespace {
 
-/// A peer that answered within this time counts as present.
-constexpr Micros kPeerFreshness = from_seconds(2);
+/// A peer counts as alive if it has answered a heartbeat that was sent less than this time ago.
+constexpr Micros kPeerTimeout = from_seconds(2);
 
 constexpr std::string_view kReadyPath = "/ready";
 constexpr std::string_view kSubmissionsPath = "/submissions";
@@ -48,24 +48,26 @@
 void JobApi::on_peer_status(const events::PeerStatus& status) {
   if (!status.request_sent_at) return;
   PeerState& peer = peers_[status.node];
-  peer.asked_at = std::max(peer.asked_at, *status.request_sent_at);
+  peer.heartbeat_sent_at = std::max(peer.heartbeat_sent_at, *status.request_sent_at);
   peer.kv_reachable = status.kv_reachable;
   if (status.announcements_complete)
-    peer.announcements_through = std::max(peer.announcements_through, *status.request_sent_at);
+    peer.announcements_received_through =
+        std::max(peer.announcements_received_through, *status.request_sent_at);
   if (peers_.size() < settings_.peers.size()) return;
-  // The peers' announcements arrived as events before this one.
+  // The peers' announcements were delivered as events before this one.
   Instant through = Instant::max();
-  for (const auto& [node, state] : peers_) through = std::min(through, state.announcements_through);
-  consistency_.on_peers_in_touch(through);
+  for (const auto& [node, state] : peers_) through = std::min(through, state.announcements_received_through);
+  consistency_.on_announcements_received(through);
 }
 
-/// In an outage of the key-value store that all nodes share, leaving the load balancer would only lengthen
-/// the outage for users.
-bool JobApi::ready() const {
+/// Returns whether the load balancer should send requests to this node. The node also stays ready if no live
+/// peer reaches the key-value store: in an outage that all nodes share, removing the nodes from the load
+/// balancer would only prolong the outage for users.
+bool JobApi::is_ready() const {
   if (store_.reachable()) return true;
   return std::none_of(peers_.begin(), peers_.end(), [this](const auto& entry) {
     const PeerState& peer = entry.second;
-    return peer.kv_reachable && runtime_.now() - peer.asked_at < kPeerFreshness;
+    return peer.kv_reachable && runtime_.now() - peer.heartbeat_sent_at < kPeerTimeout;
   });
 }
 
@@ -84,7 +86,7 @@
   if (request.method != "GET") {
     answer(refusals::wrong_method("GET"));
   } else {
-    answer(ready() ? Response{200, {}, 0} : refusals::not_ready());
+    answer(is_ready() ? Response{200, {}, 0} : refusals::not_ready());
   }
 }
 
@@ -96,7 +98,7 @@
   }
 }
 
-/// `/submissions/<job>` and `/submissions/<job>/withdraw`.
+/// Handles `/submissions/<job>` and `/submissions/<job>/withdraw`.
 void JobApi::serve_job(const Request& request, const std::string& path, const Responder& answer) {
   if (!path.starts_with(std::string(kSubmissionsPath) + "/")) {
     answer(refusals::no_such_path());
@@ -112,11 +114,11 @@
     cancel = true;
     job_id.resize(slash);
   }
-  const char* right_method = cancel ? "POST" : "GET";
+  const char* allowed_method = cancel ? "POST" : "GET";
   if (!protocol::valid_job_id(job_id)) {
     answer(refusals::unknown_job(job_id));
-  } else if (request.method != right_method) {
-    answer(refusals::wrong_method(right_method));
+  } else if (request.method != allowed_method) {
+    answer(refusals::wrong_method(allowed_method));
   } else if (cancel) {
     cancellations_.cancel(job_id, answer);
   } else {
--- a/src/job_api/job_index.cpp
+++ b/src/job_api/job_index.cpp
@@ -19,21 +19,21 @@
 
 namespace {
 
-/// Rows of a page. A page is decoded in one go, while users' requests wait; further pages follow.
+/// Rows per page. Decoding a page blocks users' requests, so pages are kept small.
 constexpr int kIndexPageSize = 200;
 constexpr Micros kLoadRetryInterval = from_millis(700);
-/// Queries that come this close together share a refresh.
-constexpr Micros kGatherInterval = from_millis(10);
-/// While the node is near its request rate limit, refreshes take this part of it at most.
-constexpr double kScarceRateShare = 0.25;
+/// Queries that arrive within this time share a refresh.
+constexpr Micros kBatchInterval = from_millis(10);
+/// Maximum share of the request rate limit that refreshes use while the node is close to that limit.
+constexpr double kRefreshRateShare = 0.25;
 
-/// Why a watch's reply can't be applied to the index.
+/// Returns why the reply of a watch can't be applied to the index.
 const char* gap_reason(WatchReply::Result result) {
   switch (result) {
     case WatchReply::Result::ok:
-      return "the key-value store sent revisions outside of the requested range";
+      return "the key-value store returned revisions outside the requested range";
     case WatchReply::Result::too_large:
-      return "too much has changed since the last refresh";
+      return "too many records have changed since the last refresh";
     default:
       return "the key-value store has compacted the changes since the last refresh";
   }
@@ -61,7 +61,7 @@
 }
 
 void JobIndex::on_page(const ReadReply& page) {
-  // What changes while the pages are read is watched from the first one's revision.
+  // Changes made while the pages are read are watched from the first page's revision.
   if (!first_page_revision_) first_page_revision_ = page.revision;
   for (const KeyValue& row : page.rows) {
     put(row);
@@ -83,28 +83,29 @@
     job = {row.mod_revision, records::cancelled_job(row.key, row.value).has_value()};
 }
 
-/// No index is better than a wrong one: the records are read one by one until it is complete again.
+/// Discards the index and loads it again. Until it is complete, records are read one by one, because an
+/// incorrect index would give wrong answers.
 void JobIndex::drop(const char* reason) {
-  log::info("job_index_dropped", "the index of live jobs is being rebuilt: {reason}",
-            log::with("reason", reason));
+  log::info("job_index_dropped", "rebuilding the index of live jobs: {reason}", log::with("reason", reason));
   load();
 }
 
 void JobIndex::query(const std::string& job_id, LookupHandler done) {
-  waiting_.push_back({job_id, std::move(done)});
+  queued_.push_back({job_id, std::move(done)});
   schedule_refresh();
 }
 
-/// Short while the node is below its request rate limit. Otherwise long enough that other requests still get
-/// their turn; more queries gather until then.
+/// Returns the delay before the next refresh: short while the node is below its request rate limit, otherwise
+/// long enough to leave most of the limit to other requests. Queries that arrive during the delay share the
+/// refresh.
 Micros JobIndex::refresh_delay() const {
-  if (store_.has_spare_requests()) return kGatherInterval;
-  const Micros interval = from_seconds(1 / (store_.request_rate() * kScarceRateShare));
-  return std::max(kGatherInterval, last_refresh_ + interval - runtime_.now());
+  if (store_.has_spare_requests()) return kBatchInterval;
+  const Micros interval = from_seconds(1 / (store_.request_rate() * kRefreshRateShare));
+  return std::max(kBatchInterval, last_refresh_ + interval - runtime_.now());
 }
 
 void JobIndex::schedule_refresh() {
-  if (refresh_scheduled_ || refreshing_ || waiting_.empty()) return;
+  if (refresh_scheduled_ || refreshing_ || queued_.empty()) return;
   refresh_scheduled_ = true;
   runtime_.after(refresh_delay(), [this] {
     refresh_scheduled_ = false;
@@ -113,9 +114,9 @@
 }
 
 void JobIndex::refresh() {
-  in_flight_ = std::exchange(waiting_, {});
+  in_flight_ = std::exchange(queued_, {});
   if (!complete_) {
-    fail(std::exchange(in_flight_, {}));
+    fail_queries(std::exchange(in_flight_, {}));
     return;
   }
   refreshing_ = true;
@@ -129,21 +130,23 @@
   std::vector<Query> queries = std::exchange(in_flight_, {});
   schedule_refresh();
   if (reply.result == WatchReply::Result::failed) {
-    fail(queries);
+    fail_queries(queries);
     return;
   }
   if (!is_contiguous(reply)) {
     drop(gap_reason(reply.result));
-    fail(queries);
+    fail_queries(queries);
     return;
   }
-  const bool final_states_known = final_states_revision_ >= revision_;
+  const bool final_states_complete = final_states_revision_ >= revision_;
   apply(reply);
-  answer_queries(std::move(queries), reply, final_states_known);
+  answer_queries(std::move(queries), reply, final_states_complete);
 }
 
-/// `final_states_known`: before this reply, all final records of jobs that had left the index were known.
-void JobIndex::answer_queries(std::vector<Query> queries, const WatchReply& reply, bool final_states_known) {
+/// `final_states_complete`: before this reply, the final records of all jobs that had left the index had been
+/// read.
+void JobIndex::answer_queries(std::vector<Query> queries, const WatchReply& reply,
+                              bool final_states_complete) {
   std::vector<Query> absent;
   for (Query& query : queries) {
     const Presence presence = presence_of(query.job_id);
@@ -153,26 +156,26 @@
       query.done({presence, reply.sent_at});
     }
   }
-  // A job's live record is deleted in the transaction that puts its final record.
+  // A job's live record is deleted in the transaction that writes its final record.
   if (!reply.deletes.empty()) {
     read_final_states(std::move(absent), reply.sent_at);
     return;
   }
-  if (final_states_known) final_states_revision_ = revision_;
+  if (final_states_complete) final_states_revision_ = revision_;
   for (const Query& query : absent) query.done({Presence::absent, reply.sent_at});
 }
 
-/// A store that was restored from an older state counts from an earlier revision, or sends changes that were
-/// not asked for.
+/// Returns false if the reply doesn't continue the index's revision. A key-value store that was restored from
+/// an older state has a lower revision, or sends changes that were not requested.
 bool JobIndex::is_contiguous(const WatchReply& reply) const {
   if (reply.result != WatchReply::Result::ok || reply.revision < revision_) return false;
-  const auto within = [&](std::uint64_t mod_revision) {
+  const auto in_requested_range = [&](std::uint64_t mod_revision) {
     return mod_revision > revision_ && mod_revision <= reply.revision;
   };
   return std::all_of(reply.puts.begin(), reply.puts.end(),
-                     [&](const KeyValue& row) { return within(row.mod_revision); }) &&
+                     [&](const KeyValue& row) { return in_requested_range(row.mod_revision); }) &&
          std::all_of(reply.deletes.begin(), reply.deletes.end(),
-                     [&](const auto& deletion) { return within(deletion.mod_revision); });
+                     [&](const auto& deletion) { return in_requested_range(deletion.mod_revision); });
 }
 
 void JobIndex::apply(const WatchReply& reply) {
@@ -191,13 +194,13 @@
   if (on_records_changed) on_records_changed(changed);
 }
 
-/// One request for the final records of all jobs that have ended since the last one. Where it fails, the
-/// queries are answered all the same: their records are read one by one then.
-void JobIndex::read_final_states(std::vector<Query> queries, Instant asked_at) {
+/// Reads the final records of all jobs that have ended since the last such read, in one request. If this
+/// fails, the queries are answered nevertheless, and the records are then read one by one.
+void JobIndex::read_final_states(std::vector<Query> queries, Instant request_sent_at) {
   store_.watch(records::kFinalStatePrefix, final_states_revision_, Micros{0}, KvClient::RequestClass::user,
-               [this, queries = std::move(queries), asked_at](const WatchReply& reply) {
+               [this, queries = std::move(queries), request_sent_at](const WatchReply& reply) {
                  on_final_states(reply);
-                 for (const Query& query : queries) query.done({Presence::absent, asked_at});
+                 for (const Query& query : queries) query.done({Presence::absent, request_sent_at});
                });
 }
 
@@ -210,7 +213,7 @@
   if (reply.result == WatchReply::Result::ok) {
     final_states_revision_ = std::max(final_states_revision_, reply.revision);
   } else if (reply.result != WatchReply::Result::failed) {
-    final_states_revision_ = revision_;  // what was missed is read when somebody asks
+    final_states_revision_ = revision_;  // missed final records are read on demand
   }
 }
 
@@ -220,7 +223,7 @@
   return it->second.cancelled ? Presence::cancelled : Presence::live;
 }
 
-void JobIndex::fail(const std::vector<Query>& queries) {
+void JobIndex::fail_queries(const std::vector<Query>& queries) {
   for (const Query& query : queries) query.done({});
 }
 
--- a/src/job_api/submission_handler.cpp
+++ b/src/job_api/submission_handler.cpp
@@ -38,7 +38,7 @@
     answer(refusals::bad_field(fault));
     return;
   }
-  // From here on a job that was accepted before is answered by its state, not refused.
+  // From here on, a job that was accepted earlier is answered with its state instead of a rejection.
   if (!spec) {
     responder_.answer_status_or(*job_id, refusals::bad_field(fault), answer);
     return;
@@ -56,26 +56,27 @@
   commit(*job_id, record, answer);
 }
 
-/// Why this job can't be accepted, or not now; nothing: it can.
+/// Returns the response that rejects this job, permanently or for now; nullopt if the job can be accepted.
 std::optional<Response> SubmissionHandler::refusal_of(const JobSpec& spec) const {
   const Team* team = settings_.team(spec.team);
   if (!catalog_ && team != nullptr) return refusals::types_unknown();
   if (spec.layout && !topology_.agreed) return refusals::topology_unknown();
-  const auto why = why_never_runs(spec, team);
-  if (!why) return std::nullopt;
-  log::info("submission_refused", "submission {job} refused, it can never run: {reason}",
-            log::with("job", spec.job_id), log::with("reason", why->what), log::with("field", why->field));
-  return refusals::never_runs(*why);
+  const auto fault = never_runs_fault(spec, team);
+  if (!fault) return std::nullopt;
+  log::info("submission_refused", "submission {job} rejected because it can never run: {reason}",
+            log::with("job", spec.job_id), log::with("reason", fault->what),
+            log::with("field", fault->field));
+  return refusals::never_runs(*fault);
 }
 
-/// Judged by the machine types, teams and failure domains that exist.
-std::optional<InvalidField> SubmissionHandler::why_never_runs(const JobSpec& spec, const Team* team) const {
-  static const Catalog no_types;
-  const Catalog& catalog = catalog_ ? *catalog_ : no_types;
-  if (auto why = protocol::never_runs(spec, catalog, team)) return why;
+/// Returns why the job can never run with the machine types, teams and failure domains that exist.
+std::optional<InvalidField> SubmissionHandler::never_runs_fault(const JobSpec& spec, const Team* team) const {
+  static const Catalog empty_catalog;
+  const Catalog& catalog = catalog_ ? *catalog_ : empty_catalog;
+  if (auto fault = protocol::never_runs(spec, catalog, team)) return fault;
   if (!spec.layout) return std::nullopt;
   if (!topology_.topology)
-    return InvalidField{"layout", "no topology is set up here, so there are no domains"};
+    return InvalidField{"layout", "its layout requires failure domains, but no topology is configured"};
   return topology_.topology->never_holds(spec, catalog);
 }
 
@@ -89,7 +90,7 @@
                                      const Responder& answer) {
   switch (reply.result) {
     case CommitReply::Result::committed:
-      lookup_.remember_record(job_id, reply.revision, false);
+      lookup_.cache_record(job_id, reply.revision, false);
       responder_.answer_found(
           job_id, {kStatusPending, 0, 0}, reply.sent_at,
           [job_id](const JobState& state) {
--- a/tests/answers_test.cpp
+++ b/tests/answers_test.cpp
@@ -1,6 +1,6 @@
-// The order that answers to users keep over all nodes, by when each is given: docs/design.md, "The order of
-// answers". A meeting of close looks: users ask at all nodes, within milliseconds and again, right after a
-// job was accepted, has ended or was cancelled.
+// Tests that users never see a job return to an earlier stage, whichever nodes answer them: docs/design.md,
+// "The order of answers". Users poll all nodes, repeatedly and within milliseconds, right after a job is
+// accepted, ends or is cancelled.
 
 #include <gtest/gtest.h>
 
@@ -17,423 +17,447 @@
 
 namespace {
 
-/// Three nodes by their ReadConsistency alone, one job, and a state service and peers that answer whenever
-/// they like: reads take up to their full life, announcements are late or lost, links are cut for a while.
-class Nodes {
+/// Simulates the ReadConsistency of three nodes, with one job and with random delays of the state service and
+/// the peers. Reads take up to their maximum age, announcements are late or lost, and in some runs one node
+/// is isolated from its peers.
+class NodeSimulation {
  public:
-  explicit Nodes(std::uint64_t seed) : random_(seed) {
+  explicit NodeSimulation(std::uint64_t seed) : random_(seed) {
     accepted_ = at(uniform(100, 1500));
-    over_ = accepted_ + from_millis(uniform(0, 3000));
-    slow_ = pick(3) == 0 ? 1450 : pick(2) == 0 ? 300 : 20;
+    finished_ = accepted_ + from_millis(uniform(0, 3000));
+    max_round_trip_ms_ = pick(3) == 0 ? 1450 : pick(2) == 0 ? 300 : 20;
     for (int i = 0; i < 3; ++i) nodes_.emplace_back();
-    cut_ = pick(3) == 0 ? pick(3) : -1;
-    for (int n = 0; n < 3; ++n) post(at(-1000 + uniform(0, 500)), [this, n] { beat(n); });
+    isolated_node_ = pick(3) == 0 ? pick(3) : -1;
+    for (int node_index = 0; node_index < 3; ++node_index)
+      post(at(-1000 + uniform(0, 500)), [this, node_index] { send_heartbeats(node_index); });
     for (int i = 0; i < 150; ++i) {
-      // Mostly around the two changes.
+      // Most reads are close to the two stage changes.
       const auto when = pick(3) == 0   ? at(uniform(0, 6000))
                         : pick(2) == 0 ? accepted_ + from_millis(uniform(-100, 300))
-                                       : over_ + from_millis(uniform(-100, 1700));
-      post(when, [this, n = pick(3)] { ask(n, 3); });
+                                       : finished_ + from_millis(uniform(-100, 1700));
+      post(when, [this, node_index = pick(3)] { start_read(node_index, 3); });
     }
   }
-  /// The first answer that was older than one given before; empty: none.
-  std::string play() {
-    while (!events_.empty() && broken_.empty()) {
-      const Event e = events_.top();
+  /// Runs all events. Returns a description of the first answer that was older than an earlier one; empty:
+  /// none.
+  std::string run() {
+    while (!events_.empty() && violation_.empty()) {
+      const Event event = events_.top();
       events_.pop();
-      now_ = e.at;
-      (*e.f)();
+      now_ = event.at;
+      (*event.callback)();
     }
-    return broken_;
+    return violation_;
   }
-  int given = 0;
-  int held = 0;
+  int answers_sent = 0;
+  int answers_delayed = 0;
 
  private:
   static Instant at(int ms) { return Instant{} + from_seconds(10) + from_millis(ms); }
-  int uniform(int a, int b) { return std::uniform_int_distribution<int>(a, b)(random_); }
-  int pick(int n) { return uniform(0, n - 1); }
-  void post(Instant when, std::function<void()> f) {
-    events_.push({std::max(when, now_), ++made_, std::make_shared<std::function<void()>>(std::move(f))});
+  int uniform(int low, int high) { return std::uniform_int_distribution<int>(low, high)(random_); }
+  int pick(int count) { return uniform(0, count - 1); }
+  void post(Instant when, std::function<void()> callback) {
+    events_.push(
+        {std::max(when, now_), ++event_count_, std::make_shared<std::function<void()>>(std::move(callback))});
   }
-  void later(int ms, std::function<void()> f) { post(now_ + from_millis(ms), std::move(f)); }
-  JobStage stored() const {
-    return now_ >= over_ ? JobStage::finished : now_ >= accepted_ ? JobStage::accepted : JobStage::absent;
+  void post_after(int ms, std::function<void()> callback) {
+    post(now_ + from_millis(ms), std::move(callback));
+  }
+  JobStage stored_stage() const {
+    return now_ >= finished_ ? JobStage::finished : now_ >= accepted_ ? JobStage::accepted : JobStage::absent;
   }
 
-  void ask(int n, int tries) {
-    if (tries == 0) return;
-    const int there = uniform(1, slow_ / 2);
-    const int back = uniform(1, pick(5) == 0 ? 1490 - there : slow_ / 2);
-    later(there, [this, n, tries, back, sent = now_] {
-      const JobStage level = stored();
-      later(back, [this, n, tries, sent, level] {
-        if (!nodes_[n].order.may_answer("j", level, sent, now_)) {
-          ask(n, tries - 1);
+  void start_read(int node_index, int attempts_left) {
+    if (attempts_left == 0) return;
+    const int request_ms = uniform(1, max_round_trip_ms_ / 2);
+    const int reply_ms = uniform(1, pick(5) == 0 ? 1490 - request_ms : max_round_trip_ms_ / 2);
+    post_after(request_ms, [this, node_index, attempts_left, reply_ms, sent = now_] {
+      const JobStage stage = stored_stage();
+      post_after(reply_ms, [this, node_index, attempts_left, sent, stage] {
+        if (!nodes_[node_index].consistency.may_answer("j", stage, sent, now_)) {
+          start_read(node_index, attempts_left - 1);
         } else {
-          tell(n, level, sent);
+          report(node_index, stage, sent);
         }
       });
     });
   }
-  void tell(int n, JobStage level, Instant sent) {
-    Node& node = nodes_[n];
-    node.order.observe("j", level, now_);
-    const Instant when = node.order.may_answer_from("j", level, now_);
+  void report(int node_index, JobStage stage, Instant sent) {
+    Node& node = nodes_[node_index];
+    node.consistency.observe("j", stage, now_);
+    const Instant when = node.consistency.earliest_answer_at("j", stage, now_);
     if (when <= now_) {
-      give(n, level, sent);
+      send_answer(node_index, stage, sent);
       return;
     }
-    ++held;
-    node.waiting.push_back({level, sent});
-    node.order.announce("j", level, now_);
-    node.announced.insert(level);
-    post(when, [this, n, level] { release(n, level); });
+    ++answers_delayed;
+    node.waiting.push_back({stage, sent});
+    node.consistency.announce("j", stage, now_);
+    node.announced.insert(stage);
+    post(when, [this, node_index, stage] { release(node_index, stage); });
     for (int peer = 0; peer < 3; ++peer) {
-      if (peer == n) continue;
-      const bool cut = peer == cut_ || n == cut_;
-      if (cut || pick(10) == 0) continue;
-      later(uniform(1, pick(5) == 0 ? 2500 : 10), [this, n, peer, level] {
-        nodes_[peer].order.on_peer_announcement("j", level, now_);
-        later(uniform(1, 10), [this, n, peer, level] {
-          Node& teller = nodes_[n];
-          teller.knows[level == JobStage::finished ? 1 : 0].insert(peer);
-          if (teller.knows[level == JobStage::finished ? 1 : 0].size() < 2) return;
-          teller.order.on_confirmed("j", level);
-          release(n, level);
+      if (peer == node_index) continue;
+      const bool isolated = peer == isolated_node_ || node_index == isolated_node_;
+      if (isolated || pick(10) == 0) continue;
+      post_after(uniform(1, pick(5) == 0 ? 2500 : 10), [this, node_index, peer, stage] {
+        nodes_[peer].consistency.on_peer_announcement("j", stage, now_);
+        post_after(uniform(1, 10), [this, node_index, peer, stage] {
+          Node& announcer = nodes_[node_index];
+          announcer.confirmed_by[stage == JobStage::finished ? 1 : 0].insert(peer);
+          if (announcer.confirmed_by[stage == JobStage::finished ? 1 : 0].size() < 2) return;
+          announcer.consistency.on_announcement_confirmed("j", stage);
+          release(node_index, stage);
         });
       });
     }
   }
-  /// What a peer answers to a heartbeat: all that it has announced by then.
-  void beat(int n) {
+  /// Sends a heartbeat to each peer. The reply holds all stages that the peer has announced by then.
+  void send_heartbeats(int node_index) {
     for (int peer = 0; peer < 3; ++peer) {
-      if (peer == n || peer == cut_ || n == cut_ || pick(20) == 0) continue;
-      later(uniform(1, pick(10) == 0 ? 400 : 5), [this, n, peer, asked = now_] {
-        later(uniform(1, pick(10) == 0 ? 400 : 5), [this, n, peer, asked, all = nodes_[peer].announced] {
-          Node& node = nodes_[n];
-          for (const JobStage level : all) node.order.on_peer_announcement("j", level, now_);
-          node.reached[peer] = std::max(node.reached[peer], asked);
-          Instant through = Instant::max();
-          for (int other = 0; other < 3; ++other) {
-            if (other != n) through = std::min(through, node.reached[other]);
-          }
-          node.order.on_peers_in_touch(through);
-        });
+      if (peer == node_index || peer == isolated_node_ || node_index == isolated_node_ || pick(20) == 0)
+        continue;
+      post_after(uniform(1, pick(10) == 0 ? 400 : 5), [this, node_index, peer, sent = now_] {
+        post_after(uniform(1, pick(10) == 0 ? 400 : 5),
+                   [this, node_index, peer, sent, announcements = nodes_[peer].announced] {
+                     Node& node = nodes_[node_index];
+                     for (const JobStage stage : announcements)
+                       node.consistency.on_peer_announcement("j", stage, now_);
+                     node.heartbeat_sent_at[peer] = std::max(node.heartbeat_sent_at[peer], sent);
+                     Instant through = Instant::max();
+                     for (int other = 0; other < 3; ++other) {
+                       if (other != node_index) through = std::min(through, node.heartbeat_sent_at[other]);
+                     }
+                     node.consistency.on_announcements_received(through);
+                   });
       });
     }
-    if (now_ < at(8000)) later(500, [this, n] { beat(n); });
+    if (now_ < at(8000)) post_after(500, [this, node_index] { send_heartbeats(node_index); });
   }
-  void release(int n, JobStage level) {
-    std::vector<std::pair<JobStage, Instant>> out;
-    std::erase_if(nodes_[n].waiting, [&](const auto& w) {
-      if (w.first == level) out.push_back(w);
-      return w.first == level;
+  void release(int node_index, JobStage stage) {
+    std::vector<std::pair<JobStage, Instant>> released;
+    std::erase_if(nodes_[node_index].waiting, [&](const auto& answer) {
+      if (answer.first == stage) released.push_back(answer);
+      return answer.first == stage;
     });
-    for (const auto& [l, sent] : out) give(n, l, sent);
+    for (const auto& [released_stage, sent] : released) send_answer(node_index, released_stage, sent);
   }
-  void give(int n, JobStage level, Instant sent) {
-    if (!nodes_[n].order.may_answer("j", level, sent, now_)) {
-      ask(n, 3);
+  void send_answer(int node_index, JobStage stage, Instant sent) {
+    if (!nodes_[node_index].consistency.may_answer("j", stage, sent, now_)) {
+      start_read(node_index, 3);
       return;
     }
-    ++given;
-    if (level < told_ && broken_.empty())
-      broken_ = "c" + std::to_string(n) + " says " + std::to_string(static_cast<int>(level)) + " after " +
-                std::to_string(static_cast<int>(told_));
-    told_ = std::max(told_, level);
+    ++answers_sent;
+    if (stage < highest_reported_ && violation_.empty())
+      violation_ = "c" + std::to_string(node_index) + " reports " + std::to_string(static_cast<int>(stage)) +
+                   " after " + std::to_string(static_cast<int>(highest_reported_));
+    highest_reported_ = std::max(highest_reported_, stage);
   }
 
   struct Node {
-    ReadConsistency order{false};
+    ReadConsistency consistency{false};
     std::vector<std::pair<JobStage, Instant>> waiting;
-    std::array<std::set<int>, 2> knows;
+    std::array<std::set<int>, 2> confirmed_by;
     std::set<JobStage> announced;
-    std::array<Instant, 3> reached{};
+    std::array<Instant, 3> heartbeat_sent_at{};
   };
   struct Event {
     Instant at;
     std::uint64_t order;
-    std::shared_ptr<std::function<void()>> f;
-    bool operator>(const Event& o) const { return std::tie(at, order) > std::tie(o.at, o.order); }
+    std::shared_ptr<std::function<void()>> callback;
+    bool operator>(const Event& other) const { return std::tie(at, order) > std::tie(other.at, other.order); }
   };
   std::mt19937_64 random_;
   std::priority_queue<Event, std::vector<Event>, std::greater<>> events_;
-  std::uint64_t made_ = 0;
+  std::uint64_t event_count_ = 0;
   Instant now_{};
   Instant accepted_{};
-  Instant over_{};
-  int slow_ = 20;
-  int cut_ = -1;
+  Instant finished_{};
+  int max_round_trip_ms_ = 20;
+  int isolated_node_ = -1;
   std::deque<Node> nodes_;
-  JobStage told_ = JobStage::absent;
-  std::string broken_;
+  JobStage highest_reported_ = JobStage::absent;
+  std::string violation_;
 };
 
 }  // namespace
 
-TEST(ReadConsistency, NoNodeGivesAnOlderAnswerThanAnyHasGiven) {
-  int given = 0;
-  int held = 0;
+TEST(ReadConsistencyTest, NoAnswerIsOlderThanAnEarlierAnswerOfAnyNode) {
+  int answers_sent = 0;
+  int answers_delayed = 0;
   for (std::uint64_t seed = 1; seed <= 3000; ++seed) {
-    Nodes nodes(seed);
-    ASSERT_EQ(nodes.play(), "") << "seed " << seed;
-    given += nodes.given;
-    held += nodes.held;
+    NodeSimulation simulation(seed);
+    ASSERT_EQ(simulation.run(), "") << "seed " << seed;
+    answers_sent += simulation.answers_sent;
+    answers_delayed += simulation.answers_delayed;
   }
-  // Most questions are answered, and some of them have waited.
-  EXPECT_GT(given, 3000 * 100);
-  EXPECT_GT(held, 3000);
+  // Most requests are answered, and some answers were delayed.
+  EXPECT_GT(answers_sent, 3000 * 100);
+  EXPECT_GT(answers_delayed, 3000);
 }
 
-TEST(ReadConsistency, WhatHasBeenKnownForAWhileOrIsConfirmedIsToldAtOnce) {
-  const Instant t = Instant{} + from_seconds(100);
-  ReadConsistency order(false);
-  order.observe("a", JobStage::accepted, t);
-  EXPECT_GT(order.may_answer_from("a", JobStage::accepted, t), t);
-  EXPECT_EQ(order.may_answer_from("a", JobStage::accepted, t + from_millis(200)), t + from_millis(200));
-  order.on_confirmed("a", JobStage::accepted);
-  EXPECT_EQ(order.may_answer_from("a", JobStage::accepted, t), t);
-  order.observe("a", JobStage::finished, t + from_seconds(1));
-  EXPECT_GT(order.may_answer_from("a", JobStage::finished, t + from_seconds(2)), t + from_seconds(2));
-  EXPECT_EQ(order.may_answer_from("a", JobStage::finished, t + from_seconds(3)), t + from_seconds(3));
-  // Announced, it takes less.
-  order.observe("b", JobStage::finished, t);
-  order.announce("b", JobStage::finished, t);
-  EXPECT_GT(order.may_answer_from("b", JobStage::finished, t + from_millis(500)), t + from_millis(500));
-  EXPECT_EQ(order.may_answer_from("b", JobStage::finished, t + from_millis(700)), t + from_millis(700));
-  // Where there is no other node, nobody else can say anything.
-  ReadConsistency alone(true);
-  alone.observe("a", JobStage::finished, t);
-  EXPECT_EQ(alone.may_answer_from("a", JobStage::finished, t), t);
+TEST(ReadConsistencyTest, StageIsReportedImmediatelyOnceConfirmedOrOldEnough) {
+  const Instant start = Instant{} + from_seconds(100);
+  ReadConsistency consistency(false);
+  consistency.observe("a", JobStage::accepted, start);
+  EXPECT_GT(consistency.earliest_answer_at("a", JobStage::accepted, start), start);
+  EXPECT_EQ(consistency.earliest_answer_at("a", JobStage::accepted, start + from_millis(200)),
+            start + from_millis(200));
+  consistency.on_announcement_confirmed("a", JobStage::accepted);
+  EXPECT_EQ(consistency.earliest_answer_at("a", JobStage::accepted, start), start);
+  consistency.observe("a", JobStage::finished, start + from_seconds(1));
+  EXPECT_GT(consistency.earliest_answer_at("a", JobStage::finished, start + from_seconds(2)),
+            start + from_seconds(2));
+  EXPECT_EQ(consistency.earliest_answer_at("a", JobStage::finished, start + from_seconds(3)),
+            start + from_seconds(3));
+  // An announced stage may be reported earlier.
+  consistency.observe("b", JobStage::finished, start);
+  consistency.announce("b", JobStage::finished, start);
+  EXPECT_GT(consistency.earliest_answer_at("b", JobStage::finished, start + from_millis(500)),
+            start + from_millis(500));
+  EXPECT_EQ(consistency.earliest_answer_at("b", JobStage::finished, start + from_millis(700)),
+            start + from_millis(700));
+  // Without peers, no other node can report an earlier stage.
+  ReadConsistency single_node_consistency(true);
+  single_node_consistency.observe("a", JobStage::finished, start);
+  EXPECT_EQ(single_node_consistency.earliest_answer_at("a", JobStage::finished, start), start);
 }
 
-// At its bound and past it: what is forgotten is announced anew, and nothing is forgotten that an answer
-// still on its way could be older than.
-TEST(ReadConsistency, WhatIsForgottenIsAnnouncedAnew) {
-  const Instant t = Instant{} + from_seconds(100);
-  ReadConsistency order(false);
-  const auto at = [&](int i) { return t + wrenusher::time::Micros{50 * static_cast<std::int64_t>(i)}; };
-  constexpr int kAll = 20000;  // in one second
-  for (int i = 0; i < kAll; ++i) {
-    order.observe("j" + std::to_string(i), JobStage::finished, at(i));
-    const int old = std::max(0, i - 15000);
-    ASSERT_FALSE(order.may_answer("j" + std::to_string(old), JobStage::accepted, at(old - 1), at(i)));
+// Exceeds the limit on tracked jobs: an evicted job has to be announced again, and no job is evicted while a
+// pending answer could still be older than its stage.
+TEST(ReadConsistencyTest, EvictedJobHasToBeAnnouncedAgain) {
+  const Instant start = Instant{} + from_seconds(100);
+  ReadConsistency consistency(false);
+  const auto at = [&](int i) { return start + wrenusher::time::Micros{50 * static_cast<std::int64_t>(i)}; };
+  constexpr int kJobCount = 20000;  // spread over one second
+  for (int i = 0; i < kJobCount; ++i) {
+    consistency.observe("j" + std::to_string(i), JobStage::finished, at(i));
+    const int old_job = std::max(0, i - 15000);
+    ASSERT_FALSE(
+        consistency.may_answer("j" + std::to_string(old_job), JobStage::accepted, at(old_job - 1), at(i)));
   }
-  EXPECT_EQ(order.size(), static_cast<std::size_t>(kAll));
-  const Instant later = t + from_seconds(20);
-  order.observe("one more", JobStage::finished, later);
-  EXPECT_LT(order.size(), 9000U);
-  EXPECT_GT(order.may_answer_from("j0", JobStage::finished, later), later);
+  EXPECT_EQ(consistency.size(), static_cast<std::size_t>(kJobCount));
+  const Instant later = start + from_seconds(20);
+  consistency.observe("one more", JobStage::finished, later);
+  EXPECT_LT(consistency.size(), 9000U);
+  EXPECT_GT(consistency.earliest_answer_at("j0", JobStage::finished, later), later);
 }
 
-// Both records were asked for one after the other, and neither was there: meanwhile this node had told that
-// the job is accepted. With the same path behind a cancellation and behind a refused submission.
-TEST(CloseLooks, AJobThatThisNodeHasAcceptedMeanwhileIsNotCalledUnknown) {
-  for (const int how : {0, 1, 2}) {
-    DeskByHand d;
+// A lookup reads the live record and then the final record, and finds neither. Between the two reads, this
+// node reports the job as accepted. Cancellations and rejected submissions use the same lookup.
+TEST(JobApiConsistencyTest, JobAcceptedDuringLookupIsNotReportedUnknown) {
+  for (const int request_kind : {0, 1, 2}) {
+    JobApiFixture fixture;
     const auto accept = [&] {
-      d.submit();
-      DeskByHand::answer(d.sent(), 200, DeskByHand::none(7));
+      fixture.submit();
+      JobApiFixture::answer(fixture.take_call(), 200, JobApiFixture::revision_body(7));
     };
-    how == 0 ? d.poll() : how == 1 ? d.withdraw() : d.submit(1000);
-    auto read = d.sent();
-    if (how == 1) {
-      // The cancellation has read by itself first.
-      DeskByHand::answer(read, 404, DeskByHand::none(4));
-      read = d.sent();
+    request_kind == 0 ? fixture.poll() : request_kind == 1 ? fixture.cancel() : fixture.submit(1000);
+    auto live_read = fixture.take_call();
+    if (request_kind == 1) {
+      // The cancellation itself first reads the live record.
+      JobApiFixture::answer(live_read, 404, JobApiFixture::revision_body(4));
+      live_read = fixture.take_call();
     }
-    DeskByHand::answer(read, 404, DeskByHand::none(5));
-    const auto end = d.sent();
-    d.rt.pass(from_millis(1));
+    JobApiFixture::answer(live_read, 404, JobApiFixture::revision_body(5));
+    const auto final_read = fixture.take_call();
+    fixture.runtime.pass(from_millis(1));
     accept();
-    ASSERT_EQ(d.states, std::vector<std::string>{"pending"}) << how;
-    DeskByHand::answer(end, 404, DeskByHand::none(6));
-    ASSERT_EQ(d.states.size(), 1U) << how;  // asked again
-    DeskByHand::answer(d.sent(), 200, DeskByHand::none(7));
-    EXPECT_EQ(d.states.back(), "pending") << how;
+    ASSERT_EQ(fixture.statuses, std::vector<std::string>{"pending"}) << request_kind;
+    JobApiFixture::answer(final_read, 404, JobApiFixture::revision_body(6));
+    ASSERT_EQ(fixture.statuses.size(), 1U) << request_kind;  // the read is repeated
+    JobApiFixture::answer(fixture.take_call(), 200, JobApiFixture::revision_body(7));
+    EXPECT_EQ(fixture.statuses.back(), "pending") << request_kind;
   }
 }
 
-// The same where what this node had told has been forgotten for want of room before the old answer comes.
-TEST(CloseLooks, WhatIsForgottenForWantOfRoomLeavesNoOlderAnswer) {
-  DeskByHand d;
-  d.poll();
-  const auto slow = d.sent();
-  d.rt.pass(from_millis(1));
-  d.poll();
-  DeskByHand::answer(d.sent(), 404, DeskByHand::none(9));
-  DeskByHand::answer(d.sent(), 200, d.over());
-  ASSERT_EQ(d.states, std::vector<std::string>{"done"});
-  d.rt.pass(from_millis(1));
-  const std::string job_id = d.ref;
+// The final state that this node reported is evicted from the cache before a slow, older reply arrives.
+TEST(JobApiConsistencyTest, EvictedFinalStateIsNotFollowedByOlderAnswer) {
+  JobApiFixture fixture;
+  fixture.poll();
+  const auto slow_call = fixture.take_call();
+  fixture.runtime.pass(from_millis(1));
+  fixture.poll();
+  JobApiFixture::answer(fixture.take_call(), 404, JobApiFixture::revision_body(9));
+  JobApiFixture::answer(fixture.take_call(), 200, fixture.final_record_body());
+  ASSERT_EQ(fixture.statuses, std::vector<std::string>{"done"});
+  fixture.runtime.pass(from_millis(1));
+  const std::string job_id = fixture.job_id;
   for (int i = 0; i < 12100; ++i) {
-    d.ref = "req-" + std::to_string(200000 + i);
-    d.poll();
-    for (int k = 0; k < 50 && d.rt.calls.empty(); ++k) d.rt.pass(wrenusher::time::Micros{50});
-    DeskByHand::answer(d.sent(), 404, DeskByHand::none(10));
-    DeskByHand::answer(d.sent(), 200, d.over());
-    d.rt.pass(wrenusher::time::Micros{100});
+    fixture.job_id = "req-" + std::to_string(200000 + i);
+    fixture.poll();
+    for (int k = 0; k < 50 && fixture.runtime.calls.empty(); ++k)
+      fixture.runtime.pass(wrenusher::time::Micros{50});
+    JobApiFixture::answer(fixture.take_call(), 404, JobApiFixture::revision_body(10));
+    JobApiFixture::answer(fixture.take_call(), 200, fixture.final_record_body());
+    fixture.runtime.pass(wrenusher::time::Micros{100});
   }
-  d.ref = job_id;
-  d.states.clear();
-  DeskByHand::answer(slow, 200, d.live(5, false));
-  EXPECT_TRUE(d.states.empty());  // asked again
-  DeskByHand::answer(d.sent(), 409, Value::Map{{"failed", Value::List{"job/" + d.ref}}, {"ledger_rev", 11}});
-  DeskByHand::answer(d.sent(), 404, DeskByHand::none(11));
-  DeskByHand::answer(d.sent(), 200, d.over());
-  EXPECT_EQ(d.states, std::vector<std::string>{"done"});
+  fixture.job_id = job_id;
+  fixture.statuses.clear();
+  JobApiFixture::answer(slow_call, 200, fixture.live_record_body(5, false));
+  EXPECT_TRUE(fixture.statuses.empty());  // the read is repeated
+  JobApiFixture::answer(fixture.take_call(), 409,
+                        Value::Map{{"failed", Value::List{"job/" + fixture.job_id}}, {"ledger_rev", 11}});
+  JobApiFixture::answer(fixture.take_call(), 404, JobApiFixture::revision_body(11));
+  JobApiFixture::answer(fixture.take_call(), 200, fixture.final_record_body());
+  EXPECT_EQ(fixture.statuses, std::vector<std::string>{"done"});
 }
 
-// A node stood still, and finds an answer of long ago when it goes on: other nodes may have told more since.
-TEST(CloseLooks, AnAnswerOfTheStateServiceThatIsFoundLateIsNone) {
-  DeskByHand d;
-  d.poll();
-  const auto old = d.sent();
-  d.rt.pass(from_seconds(8));
-  DeskByHand::answer(old, 200, d.live(5, false));
-  EXPECT_EQ(d.states, std::vector<std::string>{"503"});
+// A node was suspended and receives a reply that is 8 s old: other nodes may have reported a newer state
+// since.
+TEST(JobApiConsistencyTest, StaleReplyOfStateServiceIsDiscarded) {
+  JobApiFixture fixture;
+  fixture.poll();
+  const auto old_call = fixture.take_call();
+  fixture.runtime.pass(from_seconds(8));
+  JobApiFixture::answer(old_call, 200, fixture.live_record_body(5, false));
+  EXPECT_EQ(fixture.statuses, std::vector<std::string>{"503"});
 }
 
-// The peers are told first, so that they ask anew where they have asked already; where one does not confirm,
-// the answer waits until nothing that it may have asked before can be answered any more.
-TEST(CloseLooks, ACancellationIsConfirmedOnceThePeersKnowOrWouldNotAnswerBefore) {
+// The cancellation is announced to the peers first, so that they repeat reads that are already in progress.
+// If a peer doesn't confirm the announcement, the answer waits until every read that the peer sent before is
+// too old to be used.
+TEST(JobApiConsistencyTest, CancellationIsAnsweredAfterPeersConfirmOrTheirReadsExpire) {
   for (const bool confirmed : {true, false}) {
-    DeskByHand d(2);
-    d.withdraw();
-    DeskByHand::answer(d.sent(), 200, d.live(5, false));
-    DeskByHand::answer(d.sent(), 200, DeskByHand::none(6));
-    EXPECT_TRUE(d.states.empty());
-    ASSERT_EQ(d.announced.size(), 1U);
-    EXPECT_EQ(d.announced[0].stage, JobStage::finished);
-    d.rt.pass(from_millis(500));
-    EXPECT_TRUE(d.states.empty());
+    JobApiFixture fixture(2);
+    fixture.cancel();
+    JobApiFixture::answer(fixture.take_call(), 200, fixture.live_record_body(5, false));
+    JobApiFixture::answer(fixture.take_call(), 200, JobApiFixture::revision_body(6));
+    EXPECT_TRUE(fixture.statuses.empty());
+    ASSERT_EQ(fixture.announcements.size(), 1U);
+    EXPECT_EQ(fixture.announcements[0].stage, JobStage::finished);
+    fixture.runtime.pass(from_millis(500));
+    EXPECT_TRUE(fixture.statuses.empty());
     if (confirmed) {
-      d.desk.on_stage_confirmed(d.announced[0]);
+      fixture.api.on_stage_confirmed(fixture.announcements[0]);
     } else {
-      d.rt.pass(from_millis(200));
+      fixture.runtime.pass(from_millis(200));
     }
-    EXPECT_EQ(d.states, std::vector<std::string>{"withdrawn"}) << confirmed;
+    EXPECT_EQ(fixture.statuses, std::vector<std::string>{"withdrawn"}) << confirmed;
   }
 }
 
-// An answer that took long is given while the peers are in touch, who would have announced what is newer.
-// Else the state service is asked again.
-TEST(CloseLooks, ASlowAnswerIsGivenOnlyWhileThePeersAreInTouch) {
+// A slow reply is used only while heartbeats from all peers arrive, since they would have announced a newer
+// state. Otherwise the state service is read again.
+TEST(JobApiConsistencyTest, SlowReplyIsUsedOnlyWithRecentHeartbeatsOfAllPeers) {
   for (const bool in_touch : {true, false}) {
-    DeskByHand d(2);
-    d.desk.on_records_changed({{d.ref}, {}});
-    d.rt.pass(from_seconds(1));
-    d.poll();
-    const auto slow = d.sent();
-    d.rt.pass(from_millis(700));
+    JobApiFixture fixture(2);
+    fixture.api.on_records_changed({{fixture.job_id}, {}});
+    fixture.runtime.pass(from_seconds(1));
+    fixture.poll();
+    const auto slow_call = fixture.take_call();
+    fixture.runtime.pass(from_millis(700));
     for (const char* peer : {"c1", "c2"}) {
-      wrenusher::events::PeerStatus news;
-      news.node = peer;
-      if (in_touch || *(peer + 1) == '1') news.request_sent_at = d.rt.at - from_millis(400);
-      d.desk.on_peer_status(news);
+      wrenusher::events::PeerStatus status;
+      status.node = peer;
+      if (in_touch || *(peer + 1) == '1') status.request_sent_at = fixture.runtime.at - from_millis(400);
+      fixture.api.on_peer_status(status);
     }
-    DeskByHand::answer(slow, 200, d.live(5, false));
-    EXPECT_EQ(d.states.size(), in_touch ? 1U : 0U);
+    JobApiFixture::answer(slow_call, 200, fixture.live_record_body(5, false));
+    EXPECT_EQ(fixture.statuses.size(), in_touch ? 1U : 0U);
   }
 }
 
-TEST(CloseLooks, WhatAPeerIsAboutToTellIsAskedForAnew) {
-  DeskByHand d(2);
-  d.poll();
-  const auto old = d.sent();
-  d.desk.on_stage_announced({d.ref, JobStage::finished});
-  d.rt.pass(from_millis(1));
-  DeskByHand::answer(old, 200, d.live(5, false));
-  EXPECT_TRUE(d.states.empty());
-  DeskByHand::answer(d.sent(), 409, Value::Map{{"failed", Value::List{"job/" + d.ref}}, {"ledger_rev", 9}});
-  DeskByHand::answer(d.sent(), 404, DeskByHand::none(9));
-  DeskByHand::answer(d.sent(), 200, d.over());
-  ASSERT_FALSE(d.announced.empty());
-  d.desk.on_stage_confirmed(d.announced.back());
-  EXPECT_EQ(d.states, std::vector<std::string>{"done"});
+TEST(JobApiConsistencyTest, AnnouncementOfPeerRepeatsReadInProgress) {
+  JobApiFixture fixture(2);
+  fixture.poll();
+  const auto old_call = fixture.take_call();
+  fixture.api.on_stage_announced({fixture.job_id, JobStage::finished});
+  fixture.runtime.pass(from_millis(1));
+  JobApiFixture::answer(old_call, 200, fixture.live_record_body(5, false));
+  EXPECT_TRUE(fixture.statuses.empty());
+  JobApiFixture::answer(fixture.take_call(), 409,
+                        Value::Map{{"failed", Value::List{"job/" + fixture.job_id}}, {"ledger_rev", 9}});
+  JobApiFixture::answer(fixture.take_call(), 404, JobApiFixture::revision_body(9));
+  JobApiFixture::answer(fixture.take_call(), 200, fixture.final_record_body());
+  ASSERT_FALSE(fixture.announcements.empty());
+  fixture.api.on_stage_confirmed(fixture.announcements.back());
+  EXPECT_EQ(fixture.statuses, std::vector<std::string>{"done"});
 }
 
-TEST(CloseLooks, TheCheckerCatchesAnAnswerOlderThanAnyNodesEarlierOne) {
+TEST(CheckerTest, DetectsAnswerOlderThanAnEarlierAnswerOfAnyNode) {
   const Settings settings = World::small_site();
   const auto body = [](const char* state) {
     return encode(Value::Map{{"ref", "req-000001"}, {"status", state}});
   };
   const Request poll{"GET", "/submissions/req-000001", {}};
-  const Instant t = Instant{} + from_seconds(10);
-  const auto broken = [&](const std::vector<Response>& given, const Request& last) {
-    Checker c(settings);
-    for (std::size_t i = 0; i < given.size(); ++i)
-      c.given(t, "c" + std::to_string(i), i + 1 == given.size() ? last : poll, given[i]);
-    return c.broken().contains("older_answer");
+  const Instant start = Instant{} + from_seconds(10);
+  const auto breaks_order = [&](const std::vector<Response>& responses, const Request& last) {
+    Checker checker(settings);
+    for (std::size_t i = 0; i < responses.size(); ++i)
+      checker.given(start, "c" + std::to_string(i), i + 1 == responses.size() ? last : poll, responses[i]);
+    return checker.broken().contains("older_answer");
   };
   const Request submit{"POST", "/submissions", encode(Value::Map{{"ref", "req-000001"}})};
   const Request withdraw{"POST", "/submissions/req-000001/withdraw", {}};
-  EXPECT_FALSE(broken({{200, body("pending"), 0}, {200, body("done"), 0}}, poll));
-  EXPECT_FALSE(broken({{200, body("done"), 0}, {503, {}, 1}}, poll));
-  EXPECT_TRUE(broken({{200, body("done"), 0}, {200, body("running"), 0}}, poll));
-  EXPECT_TRUE(broken({{200, body("pending"), 0}, {404, {}, 0}}, poll));
-  EXPECT_TRUE(broken({{200, body("pending"), 0}, {422, {}, 0}}, submit));
-  EXPECT_TRUE(broken({{200, body("pending"), 0}, {404, {}, 0}}, withdraw));
-  EXPECT_TRUE(broken({{200, body("withdrawn"), 0}, {200, body("pending"), 0}}, submit));
-  Checker c(settings);
-  c.never_submitted("req-000001");
-  c.answered_submit(t, "req-000001", 422);
-  EXPECT_TRUE(c.broken().empty());
-  c.answered_submit(t, "req-000001", 201);
-  EXPECT_TRUE(c.broken().contains("accepted_in_vain"));
+  EXPECT_FALSE(breaks_order({{200, body("pending"), 0}, {200, body("done"), 0}}, poll));
+  EXPECT_FALSE(breaks_order({{200, body("done"), 0}, {503, {}, 1}}, poll));
+  EXPECT_TRUE(breaks_order({{200, body("done"), 0}, {200, body("running"), 0}}, poll));
+  EXPECT_TRUE(breaks_order({{200, body("pending"), 0}, {404, {}, 0}}, poll));
+  EXPECT_TRUE(breaks_order({{200, body("pending"), 0}, {422, {}, 0}}, submit));
+  EXPECT_TRUE(breaks_order({{200, body("pending"), 0}, {404, {}, 0}}, withdraw));
+  EXPECT_TRUE(breaks_order({{200, body("withdrawn"), 0}, {200, body("pending"), 0}}, submit));
+  Checker checker(settings);
+  checker.never_submitted("req-000001");
+  checker.answered_submit(start, "req-000001", 422);
+  EXPECT_TRUE(checker.broken().empty());
+  checker.answered_submit(start, "req-000001", 201);
+  EXPECT_TRUE(checker.broken().contains("accepted_in_vain"));
 }
 
 namespace {
 
-struct Meeting {
-  const char* with;  ///< what the close looks meet; empty: nothing
-  double at;
-  double lasts;
-  const char* whom;
+struct FaultCase {
+  const char* fault;  ///< fault injected during the polls; empty: none
+  double start_s;
+  double duration_s;
+  const char* target;
 };
 
 }  // namespace
 
-TEST(CloseLooks, KeepTheOrderWhateverTheyMeet) {
-  const std::vector<Meeting> meetings = {{"", 0, 0, ""},
-                                         {"state_slow", 25, 30, ""},
-                                         {"controller_crash", 30, 15, "leader"},
-                                         {"controller_alone", 30, 15, ""},
-                                         {"controller_cut", 30, 15, ""},
-                                         {"controller_stalls", 30, 6, ""},
-                                         {"state_refuses", 30, 10, "leader"},
-                                         {"store_gap", 30, 12, ""},
-                                         {"late_writes", 25, 30, ""},
-                                         {"late_copies", 25, 30, ""},
-                                         {"all_crash", 30, 1, ""}};
-  for (std::size_t m = 0; m < meetings.size(); ++m) {
+TEST(JobApiConsistencyTest, FrequentPollsSeeNoOlderAnswerUnderAnyFault) {
+  const std::vector<FaultCase> fault_cases = {{"", 0, 0, ""},
+                                              {"state_slow", 25, 30, ""},
+                                              {"controller_crash", 30, 15, "leader"},
+                                              {"controller_alone", 30, 15, ""},
+                                              {"controller_cut", 30, 15, ""},
+                                              {"controller_stalls", 30, 6, ""},
+                                              {"state_refuses", 30, 10, "leader"},
+                                              {"store_gap", 30, 12, ""},
+                                              {"late_writes", 25, 30, ""},
+                                              {"late_copies", 25, 30, ""},
+                                              {"all_crash", 30, 1, ""}};
+  for (std::size_t case_index = 0; case_index < fault_cases.size(); ++case_index) {
     for (std::uint64_t seed = 1; seed <= 2; ++seed) {
-      World w(700 + 10 * m + seed);
-      w.inject_fault({"close_looks", {}, from_seconds(110), {}, "", 0});
-      w.inject_fault({"cancel_at_end", {}, from_seconds(110), {}, "", 0.3});
-      w.at(from_seconds(10), [&w] { w.inject_fault({"odd_requests", {}, from_seconds(70), {}, "", 0}); });
+      World world(700 + 10 * case_index + seed);
+      world.inject_fault({"close_looks", {}, from_seconds(110), {}, "", 0});
+      world.inject_fault({"cancel_at_end", {}, from_seconds(110), {}, "", 0.3});
+      world.at(from_seconds(10), [&world] {
+        world.inject_fault({"odd_requests", {}, from_seconds(70), {}, "", 0});
+      });
       for (int i = 0; i < 60; ++i) {
         SimulatedJob job;
-        job.spec = World::job(i, 1 + static_cast<std::uint32_t>(w.pick(2)), 1, w.uniform(1, 8));
+        job.spec = World::job(i, 1 + static_cast<std::uint32_t>(world.pick(2)), 1, world.uniform(1, 8));
         job.run_time = job.spec.expected_runtime;
-        w.at(from_seconds(8 + i * 1.0), [&w, job] { w.submit(job); });
+        world.at(from_seconds(8 + i * 1.0), [&world, job] { world.submit(job); });
         if (i % 4 == 1)
-          w.at(from_seconds(8 + i + w.uniform(0, 6)), [&w, job_id = job.spec.job_id] { w.cancel(job_id); });
+          world.at(from_seconds(8 + i + world.uniform(0, 6)),
+                   [&world, job_id = job.spec.job_id] { world.cancel(job_id); });
       }
-      const Meeting& t = meetings[m];
-      if (*t.with != 0)
-        w.at(from_seconds(t.at), [&w, t] {
-          w.inject_fault({t.with, {}, from_seconds(t.lasts), {}, t.whom, 0});
+      const FaultCase& fault_case = fault_cases[case_index];
+      if (*fault_case.fault != 0)
+        world.at(from_seconds(fault_case.start_s), [&world, fault_case] {
+          world.inject_fault(
+              {fault_case.fault, {}, from_seconds(fault_case.duration_s), {}, fault_case.target, 0});
         });
-      w.run(from_seconds(100));
-      w.heal();
-      w.checker.troubles_over(w.now());
-      w.run(from_seconds(200));
-      w.checker.judge(w.now());
-      EXPECT_TRUE(w.checker.broken().empty()) << t.with << " seed " << seed << "\n"
-                                              << notes(w).substr(0, 1500);
-      EXPECT_EQ(w.live(), 0U) << t.with << " seed " << seed;
+      world.run(from_seconds(100));
+      world.heal();
+      world.checker.troubles_over(world.now());
+      world.run(from_seconds(200));
+      world.checker.judge(world.now());
+      EXPECT_TRUE(world.checker.broken().empty()) << fault_case.fault << " seed " << seed << "\n"
+                                                  << notes(world).substr(0, 1500);
+      EXPECT_EQ(world.live(), 0U) << fault_case.fault << " seed " << seed;
     }
   }
 }
--- a/tests/capacity_test.cpp
+++ b/tests/capacity_test.cpp
@@ -315,7 +315,7 @@
 
 // A page replaces only the task counts of the jobs in its own range.
 TEST(CapacityTest, PageOfTaskCountsKeepsCountsOfOtherJobs) {
-  DeskByHand fixture;
+  JobApiFixture fixture;
   const auto page = [](const std::string& after, const std::string& through,
                        std::vector<events::Progress::Row> rows) {
     auto progress = std::make_shared<events::Progress>();
@@ -324,21 +324,21 @@
     return progress;
   };
   const auto state_of = [&](const std::string& job) {
-    fixture.ref = job;
-    fixture.states.clear();
+    fixture.job_id = job;
+    fixture.statuses.clear();
     fixture.poll();
-    const ByHand::Call call = fixture.sent();
+    const ByHand::Call call = fixture.take_call();
     if (call.request.method == "POST") {
-      DeskByHand::answer(call, 200, DeskByHand::none(6));
+      JobApiFixture::answer(call, 200, JobApiFixture::revision_body(6));
     } else {
-      DeskByHand::answer(call, 200, fixture.live(5, false));
+      JobApiFixture::answer(call, 200, fixture.live_record_body(5, false));
     }
-    return fixture.states.empty() ? "" : fixture.states[0];
+    return fixture.statuses.empty() ? "" : fixture.statuses[0];
   };
-  fixture.desk.on_progress(page("", job_ref(5), {{job_ref(2), 0, 1}, {job_ref(5), 0, 1}}));
-  fixture.desk.on_progress(page(job_ref(5), "", {{job_ref(7), 0, 1}}));
+  fixture.api.on_progress(page("", job_ref(5), {{job_ref(2), 0, 1}, {job_ref(5), 0, 1}}));
+  fixture.api.on_progress(page(job_ref(5), "", {{job_ref(7), 0, 1}}));
   for (const int i : {2, 5, 7}) EXPECT_EQ(state_of(job_ref(i)), "running") << i;
-  fixture.desk.on_progress(page("", job_ref(5), {{job_ref(5), 0, 1}}));
+  fixture.api.on_progress(page("", job_ref(5), {{job_ref(5), 0, 1}}));
   EXPECT_EQ(state_of(job_ref(2)), "pending");
   for (const int i : {5, 7}) EXPECT_EQ(state_of(job_ref(i)), "running") << i;
 }
@@ -363,75 +363,75 @@
 }
 
 TEST(CapacityTest, CachesFinalStatesOfManyJobs) {
-  DeskByHand fixture;
+  JobApiFixture fixture;
   for (int i = 0; i < kItemCount; ++i) {
-    fixture.ref = job_ref(i);
+    fixture.job_id = job_ref(i);
     fixture.poll();
-    DeskByHand::answer(fixture.sent(), 404, DeskByHand::none(9));
-    DeskByHand::answer(fixture.sent(), 200, fixture.over());
+    JobApiFixture::answer(fixture.take_call(), 404, JobApiFixture::revision_body(9));
+    JobApiFixture::answer(fixture.take_call(), 200, fixture.final_record_body());
   }
-  fixture.states.clear();
-  fixture.ref = job_ref(0);
+  fixture.statuses.clear();
+  fixture.job_id = job_ref(0);
   fixture.poll();
-  EXPECT_EQ(fixture.states, std::vector<std::string>{"done"});
-  EXPECT_TRUE(fixture.rt.calls.empty());
+  EXPECT_EQ(fixture.statuses, std::vector<std::string>{"done"});
+  EXPECT_TRUE(fixture.runtime.calls.empty());
 }
 
 // Before the job index is ready, queries about many live jobs wait at the same time. Their records are
 // compared by revision in batches instead of being read again, and no query is refused.
 TEST(CapacityTest, AnswersManyQueriesAboutLiveJobsByBatchedComparisons) {
-  DeskByHand fixture;
+  JobApiFixture fixture;
   for (int i = 0; i < kItemCount; ++i) {
-    fixture.ref = job_ref(i);
+    fixture.job_id = job_ref(i);
     fixture.poll();
-    DeskByHand::answer(fixture.sent(), 200, fixture.live(5, false));
+    JobApiFixture::answer(fixture.take_call(), 200, fixture.live_record_body(5, false));
   }
-  fixture.states.clear();
+  fixture.statuses.clear();
   for (int i = 0; i < kItemCount; ++i) {
-    fixture.ref = job_ref(i);
+    fixture.job_id = job_ref(i);
     fixture.poll();
   }
-  EXPECT_TRUE(fixture.states.empty());
+  EXPECT_TRUE(fixture.statuses.empty());
   std::size_t comparisons = 0;
-  while (fixture.states.size() < std::size_t{kItemCount} && comparisons < std::size_t{kItemCount}) {
-    const ByHand::Call call = fixture.sent();
+  while (fixture.statuses.size() < std::size_t{kItemCount} && comparisons < std::size_t{kItemCount}) {
+    const ByHand::Call call = fixture.take_call();
     ASSERT_EQ(call.request.target, "/multi");
     ++comparisons;
-    DeskByHand::answer(call, 200, DeskByHand::none(6));
+    JobApiFixture::answer(call, 200, JobApiFixture::revision_body(6));
   }
-  EXPECT_EQ(std::count(fixture.states.begin(), fixture.states.end(), "pending"), kItemCount);
+  EXPECT_EQ(std::count(fixture.statuses.begin(), fixture.statuses.end(), "pending"), kItemCount);
   EXPECT_LT(comparisons, std::size_t{kItemCount / 10});
 }
 
 TEST(CapacityTest, JobIndexReadsLiveJobsPageByPageAndServesManyWaitingQueries) {
-  DeskByHand fixture;
-  fixture.desk.start();
+  JobApiFixture fixture;
+  fixture.api.start();
   int pages = 0;
   for (int next = 0; next < kItemCount; ++pages) {
-    const ByHand::Call call = fixture.sent();
+    const ByHand::Call call = fixture.take_call();
     ASSERT_TRUE(call.request.target.starts_with("/store?starts=job/")) << call.request.target;
     // Each page starts after the last job of the page before.
     const std::string from_parameter = next == 0 ? "" : "from=job/" + job_ref(next - 1);
     ASSERT_NE(call.request.target.find(from_parameter), std::string::npos) << call.request.target;
     Value::List rows;
     for (int i = 0; i < 200 && next < kItemCount; ++i) {
-      fixture.ref = job_ref(next++);
-      rows.emplace_back(fixture.live(5, false));
+      fixture.job_id = job_ref(next++);
+      rows.emplace_back(fixture.live_record_body(5, false));
     }
-    DeskByHand::answer(
+    JobApiFixture::answer(
         call, 200,
         Value::Map{{"rows", std::move(rows)}, {"truncated", next < kItemCount}, {"ledger_rev", 9}});
   }
   EXPECT_EQ(pages, 23);
   for (int i = 0; i < kItemCount; ++i) {
-    fixture.ref = job_ref(i);
+    fixture.job_id = job_ref(i);
     fixture.poll();
   }
-  EXPECT_TRUE(fixture.states.empty());
-  DeskByHand::answer(fixture.sent(), 200,
-                     Value::Map{{"ledger_rev", std::uint64_t{9}}, {"events", Value::List{}}});
-  EXPECT_EQ(std::count(fixture.states.begin(), fixture.states.end(), "pending"), kItemCount);
-  EXPECT_TRUE(fixture.rt.calls.empty());
+  EXPECT_TRUE(fixture.statuses.empty());
+  JobApiFixture::answer(fixture.take_call(), 200,
+                        Value::Map{{"ledger_rev", std::uint64_t{9}}, {"events", Value::List{}}});
+  EXPECT_EQ(std::count(fixture.statuses.begin(), fixture.statuses.end(), "pending"), kItemCount);
+  EXPECT_TRUE(fixture.runtime.calls.empty());
 }
 
 namespace {
--- a/tests/job_index_test.cpp
+++ b/tests/job_index_test.cpp
@@ -1,5 +1,5 @@
-// The index of live jobs: one request answers all questions that wait, and no answer is older than its
-// request, whatever becomes of requests, answers and the state service's memory of changes.
+// Tests of the index of live jobs: one request answers all queued queries, and no answer is older than its
+// request, even if requests or replies are lost or the state service compacts its change log.
 
 #include "wrenusher/job_api/job_index.hpp"
 
@@ -19,42 +19,44 @@
 using wrenusher::settings::Settings;
 using wrenusher::testbed::World;
 namespace records = wrenusher::records;
-using Standing = JobIndex::Presence;
+using Presence = JobIndex::Presence;
 
-/// The state service's keys of jobs with every change, read and followed as PROTOCOL has it.
-class Service {
+/// Fake state service that stores job records and their change log, and serves list and follow requests as
+/// PROTOCOL specifies.
+class FakeStateService {
  public:
   void accept(const std::string& job_id) { put(records::job_key(job_id), record(false)); }
   void cancel(const std::string& job_id) { put(records::job_key(job_id), record(true)); }
   void end(const std::string& job_id, const char* state) {
     ++revision_;
-    keys_.erase(records::job_key(job_id));
+    rows_by_key_.erase(records::job_key(job_id));
     changes_.push_back({revision_, records::job_key(job_id), std::nullopt});
     set(records::final_state_key(job_id), records::write_final_state(state, 1));
   }
-  void forget_changes() { kept_from_ = revision_; }
+  void compact_changes() { compacted_revision_ = revision_; }
 
-  Response answer(const Request& r) const {
+  Response answer(const Request& request) const {
     const auto parameter = [&](const std::string& name) {
-      const auto at = r.target.find(name + "=");
+      const auto at = request.target.find(name + "=");
       if (at == std::string::npos) return std::string();
       const auto begin = at + name.size() + 1;
-      return r.target.substr(begin, r.target.find('&', begin) - begin);
+      return request.target.substr(begin, request.target.find('&', begin) - begin);
     };
-    if (r.target.starts_with("/follow")) return follow(parameter("starts"), std::stoull(parameter("from")));
+    if (request.target.starts_with("/follow"))
+      return follow(parameter("starts"), std::stoull(parameter("from")));
     return list(parameter("starts"), parameter("from"), std::stoul(parameter("limit")));
   }
   std::uint64_t revision() const { return revision_; }
-  /// How the job stood at that revision.
-  Standing at(const std::string& job_id, std::uint64_t revision) const {
-    Standing s = Standing::absent;
-    for (const Change& c : changes_) {
-      if (c.revision > revision || c.key != records::job_key(job_id)) continue;
-      s = !c.value                                  ? Standing::absent
-          : records::cancelled_job(c.key, *c.value) ? Standing::cancelled
-                                                    : Standing::live;
+  /// Returns the job's presence at that revision.
+  Presence presence_at(const std::string& job_id, std::uint64_t revision) const {
+    Presence presence = Presence::absent;
+    for (const Change& change : changes_) {
+      if (change.revision > revision || change.key != records::job_key(job_id)) continue;
+      presence = !change.value                                       ? Presence::absent
+                 : records::cancelled_job(change.key, *change.value) ? Presence::cancelled
+                                                                     : Presence::live;
     }
-    return s;
+    return presence;
   }
 
  private:
@@ -72,241 +74,255 @@
     set(key, std::move(value));
   }
   void set(const std::string& key, Value value) {
-    keys_[key] = {revision_, value};
+    rows_by_key_[key] = {revision_, value};
     changes_.push_back({revision_, key, std::move(value)});
   }
   Response follow(const std::string& prefix, std::uint64_t from) const {
-    if (from < kept_from_) return {410, {}, 0};
+    if (from < compacted_revision_) return {410, {}, 0};
     Value::List events;
-    for (const Change& c : changes_) {
-      if (c.revision <= from || !c.key.starts_with(prefix)) continue;
-      Value::Map e{{c.value ? "put" : "delete", c.key}, {"stamp", c.revision}};
-      if (c.value) e.emplace_back("value", *c.value);
-      events.emplace_back(std::move(e));
+    for (const Change& change : changes_) {
+      if (change.revision <= from || !change.key.starts_with(prefix)) continue;
+      Value::Map event{{change.value ? "put" : "delete", change.key}, {"stamp", change.revision}};
+      if (change.value) event.emplace_back("value", *change.value);
+      events.emplace_back(std::move(event));
     }
     return {200, encode(Value::Map{{"ledger_rev", revision_}, {"events", std::move(events)}}), 0};
   }
   Response list(const std::string& prefix, const std::string& from, std::size_t limit) const {
     Value::List rows;
-    bool more = false;
-    for (const auto& [key, entry] : keys_) {
+    bool truncated = false;
+    for (const auto& [key, entry] : rows_by_key_) {
       if (!key.starts_with(prefix) || key <= from) continue;
-      more = rows.size() == limit;
-      if (more) break;
+      truncated = rows.size() == limit;
+      if (truncated) break;
       rows.emplace_back(Value::Map{{"k", key}, {"value", entry.second}, {"stamp", entry.first}});
     }
-    return {200,
-            encode(Value::Map{{"rows", std::move(rows)}, {"truncated", more}, {"ledger_rev", revision_}}), 0};
+    return {
+        200,
+        encode(Value::Map{{"rows", std::move(rows)}, {"truncated", truncated}, {"ledger_rev", revision_}}),
+        0};
   }
 
   std::uint64_t revision_ = 0;
-  std::uint64_t kept_from_ = 0;
-  std::map<std::string, std::pair<std::uint64_t, Value>> keys_;
+  std::uint64_t compacted_revision_ = 0;
+  std::map<std::string, std::pair<std::uint64_t, Value>> rows_by_key_;
   std::vector<Change> changes_;
 };
 
-struct IndexByHand {
+struct JobIndexFixture {
   Settings settings = [] {
-    Settings s = World::small_site();
-    s.state_rps = 1e6;
-    return s;
+    Settings result = World::small_site();
+    result.state_rps = 1e6;
+    return result;
   }();
-  ByHand rt;
-  KvClient store{rt, settings};
-  JobIndex index{rt, store};
-  Service service;
+  ByHand runtime;
+  KvClient store{runtime, settings};
+  JobIndex index{runtime, store};
+  FakeStateService service;
   int requests = 0;
   std::map<std::string, std::string> ended;
   std::map<Instant, std::uint64_t> revision_at;
 
-  IndexByHand() {
+  JobIndexFixture() {
     index.on_ended = [this](const std::string& job_id, const std::string& state, std::uint64_t) {
       ended[job_id] = state;
     };
   }
-  void answer(const ByHand::Call& c) { c.done({true, true, service.answer(c.request)}); }
-  /// The clock moves; the state service's revision at each moment at which a request may go out is kept.
+  void answer(const ByHand::Call& call) { call.done({true, true, service.answer(call.request)}); }
+  /// Advances the clock, and stores the state service's revision at each time at which a request may be sent.
   void pass(Micros time) {
-    rt.pass(time);
-    revision_at.emplace(rt.at, service.revision());
+    runtime.pass(time);
+    revision_at.emplace(runtime.at, service.revision());
   }
-  /// Answers all that is asked for, and what comes of it.
-  void settle() {
+  /// Answers all pending calls and the calls that follow from the replies.
+  void answer_all_calls() {
     for (int i = 0; i < 100; ++i) {
       pass(from_millis(10));
-      for (const ByHand::Call& c : std::exchange(rt.calls, {})) {
+      for (const ByHand::Call& call : std::exchange(runtime.calls, {})) {
         ++requests;
-        answer(c);
+        answer(call);
       }
     }
   }
-  void begin() {
+  void load_index() {
     index.load();
-    settle();
+    answer_all_calls();
     requests = 0;
   }
-  static std::string ref(int i) { return "req-" + std::to_string(100000 + i); }
+  static std::string job_id_at(int i) { return "req-" + std::to_string(100000 + i); }
 };
 
-TEST(JobIndex, OneRequestAnswersAllQuestionsThatWaitHoweverManyJobsAreLive) {
+TEST(JobIndexTest, OneRequestAnswersAllQueuedQueries) {
   for (const int jobs : {10, 1000}) {
-    IndexByHand d;
-    for (int i = 0; i < jobs; ++i) d.service.accept(IndexByHand::ref(i));
-    d.begin();
-    ASSERT_TRUE(d.index.complete());
-    ASSERT_EQ(d.index.size(), static_cast<std::size_t>(jobs));
-    d.service.cancel(IndexByHand::ref(3));
+    JobIndexFixture fixture;
+    for (int i = 0; i < jobs; ++i) fixture.service.accept(JobIndexFixture::job_id_at(i));
+    fixture.load_index();
+    ASSERT_TRUE(fixture.index.complete());
+    ASSERT_EQ(fixture.index.size(), static_cast<std::size_t>(jobs));
+    fixture.service.cancel(JobIndexFixture::job_id_at(3));
     int live = 0;
     int cancelled = 0;
     for (int i = 0; i < 800; ++i) {
-      d.index.query(IndexByHand::ref(i % jobs), [&](const JobIndex::Lookup& a) {
-        live += a.presence == Standing::live;
-        cancelled += a.presence == Standing::cancelled;
+      fixture.index.query(JobIndexFixture::job_id_at(i % jobs), [&](const JobIndex::Lookup& result) {
+        live += result.presence == Presence::live;
+        cancelled += result.presence == Presence::cancelled;
       });
     }
-    d.settle();
+    fixture.answer_all_calls();
     EXPECT_EQ(live + cancelled, 800);
     EXPECT_EQ(cancelled, 800 / jobs + (800 % jobs > 3 ? 1 : 0));
-    EXPECT_EQ(d.requests, 1) << jobs << " jobs";
+    EXPECT_EQ(fixture.requests, 1) << jobs << " jobs";
   }
 }
 
-TEST(JobIndex, JobsThatHaveEndedCostOneRequestMoreHoweverMany) {
-  IndexByHand d;
-  for (int i = 0; i < 300; ++i) d.service.accept(IndexByHand::ref(i));
-  d.begin();
-  for (int i = 0; i < 300; ++i) d.service.end(IndexByHand::ref(i), i % 2 == 0 ? "done" : "withdrawn");
+TEST(JobIndexTest, FinalStatesOfAllEndedJobsTakeOneMoreRequest) {
+  JobIndexFixture fixture;
+  for (int i = 0; i < 300; ++i) fixture.service.accept(JobIndexFixture::job_id_at(i));
+  fixture.load_index();
+  for (int i = 0; i < 300; ++i)
+    fixture.service.end(JobIndexFixture::job_id_at(i), i % 2 == 0 ? "done" : "withdrawn");
   int absent = 0;
   for (int i = 0; i < 300; ++i) {
-    d.index.query(IndexByHand::ref(i), [&, i](const JobIndex::Lookup& a) {
-      absent += a.presence == Standing::absent;
-      EXPECT_EQ(d.ended[IndexByHand::ref(i)], i % 2 == 0 ? "done" : "withdrawn");  // told before
+    fixture.index.query(JobIndexFixture::job_id_at(i), [&, i](const JobIndex::Lookup& result) {
+      absent += result.presence == Presence::absent;
+      EXPECT_EQ(fixture.ended[JobIndexFixture::job_id_at(i)],
+                i % 2 == 0 ? "done" : "withdrawn");  // `on_ended` was called before
     });
   }
-  d.settle();
+  fixture.answer_all_calls();
   EXPECT_EQ(absent, 300);
-  EXPECT_EQ(d.requests, 2);
+  EXPECT_EQ(fixture.requests, 2);
 }
 
-TEST(JobIndex, IsReadAnewWhenTheStateServiceHasForgottenOrWentBack) {
-  for (const bool forgets : {true, false}) {
-    IndexByHand d;
-    d.service.accept(IndexByHand::ref(1));
-    for (int i = 2; i < 9; ++i) d.service.accept(IndexByHand::ref(i));
-    d.begin();
-    if (forgets) {
-      d.service.end(IndexByHand::ref(1), "done");
-      d.service.forget_changes();
+TEST(JobIndexTest, ReloadsAfterCompactionOrRevisionRollback) {
+  for (const bool compacted : {true, false}) {
+    JobIndexFixture fixture;
+    fixture.service.accept(JobIndexFixture::job_id_at(1));
+    for (int i = 2; i < 9; ++i) fixture.service.accept(JobIndexFixture::job_id_at(i));
+    fixture.load_index();
+    if (compacted) {
+      fixture.service.end(JobIndexFixture::job_id_at(1), "done");
+      fixture.service.compact_changes();
     } else {
-      d.service = {};
-      d.service.accept(IndexByHand::ref(20));
+      fixture.service = {};
+      fixture.service.accept(JobIndexFixture::job_id_at(20));
     }
-    std::map<int, Standing> told;
-    const auto ask = [&](int i) {
-      d.index.query(IndexByHand::ref(i), [&, i](const JobIndex::Lookup& a) { told[i] = a.presence; });
+    std::map<int, Presence> reported;
+    const auto query = [&](int i) {
+      fixture.index.query(JobIndexFixture::job_id_at(i),
+                          [&, i](const JobIndex::Lookup& result) { reported[i] = result.presence; });
     };
-    ask(1);
-    d.settle();
-    EXPECT_EQ(told, (std::map<int, Standing>{{1, Standing::failed}})) << forgets;
-    EXPECT_TRUE(d.index.complete());
-    const int live = forgets ? 2 : 20;
-    ask(1);
-    ask(live);
-    d.settle();
-    EXPECT_EQ(told, (std::map<int, Standing>{{1, Standing::absent}, {live, Standing::live}})) << forgets;
+    query(1);
+    fixture.answer_all_calls();
+    EXPECT_EQ(reported, (std::map<int, Presence>{{1, Presence::failed}})) << compacted;
+    EXPECT_TRUE(fixture.index.complete());
+    const int live = compacted ? 2 : 20;
+    query(1);
+    query(live);
+    fixture.answer_all_calls();
+    EXPECT_EQ(reported, (std::map<int, Presence>{{1, Presence::absent}, {live, Presence::live}}))
+        << compacted;
   }
 }
 
-// Questions come without end, and take what nobody else wants. Three quarters of the pace are there at once
-// for whoever does.
-TEST(JobIndex, RefreshesTakeOnlyWhatOthersLeaveOfAScarcePace) {
-  IndexByHand d;
-  d.settings.state_rps = 20;
-  KvClient scarce{d.rt, d.settings};
-  JobIndex index{d.rt, scarce};
+// Queries arrive continuously and use only the requests that others leave. Three quarters of the rate limit
+// are available to other requests without delay.
+TEST(JobIndexTest, RefreshesLeaveMostOfTheRateLimitToOtherRequests) {
+  JobIndexFixture fixture;
+  fixture.settings.state_rps = 20;
+  KvClient limited_store{fixture.runtime, fixture.settings};
+  JobIndex index{fixture.runtime, limited_store};
   index.load();
-  d.settle();
-  d.requests = 0;
-  int asked = 0;
+  fixture.answer_all_calls();
+  fixture.requests = 0;
+  int queries = 0;
   int answered = 0;
-  int others = 0;
-  Micros longest{};
+  int other_requests = 0;
+  Micros longest_wait{};
   for (int i = 0; i < 2000; ++i) {
-    ++asked;
-    index.query(IndexByHand::ref(i),
-                [&](const JobIndex::Lookup& a) { answered += a.presence == Standing::absent; });
+    ++queries;
+    index.query(JobIndexFixture::job_id_at(i),
+                [&](const JobIndex::Lookup& result) { answered += result.presence == Presence::absent; });
     if (i % 8 == 0) {
-      scarce.list("x/", "", 1, KvClient::RequestClass::user,
-                  [&, since = d.rt.at](const wrenusher::kv_client::ReadReply&) {
-                    ++others;
-                    longest = std::max(longest, std::chrono::duration_cast<Micros>(d.rt.at - since));
-                  });
+      limited_store.list("x/", "", 1, KvClient::RequestClass::user,
+                         [&, sent_at = fixture.runtime.at](const wrenusher::kv_client::ReadReply&) {
+                           ++other_requests;
+                           longest_wait =
+                               std::max(longest_wait,
+                                        std::chrono::duration_cast<Micros>(fixture.runtime.at - sent_at));
+                         });
     }
-    d.rt.pass(from_millis(10));
-    for (const ByHand::Call& c : std::exchange(d.rt.calls, {})) {
-      ++d.requests;
-      d.answer(c);
+    fixture.runtime.pass(from_millis(10));
+    for (const ByHand::Call& call : std::exchange(fixture.runtime.calls, {})) {
+      ++fixture.requests;
+      fixture.answer(call);
     }
   }
-  EXPECT_EQ(others, 250);  // 12.5 a second, of 19 that there are
-  EXPECT_LE(longest, from_millis(300));
-  EXPECT_GE(d.requests - others, 20 * 4);
-  EXPECT_GE(answered, asked - 100);
+  EXPECT_EQ(other_requests, 250);  // 12.5 per second, out of 19 available
+  EXPECT_LE(longest_wait, from_millis(300));
+  EXPECT_GE(fixture.requests - other_requests, 20 * 4);
+  EXPECT_GE(answered, queries - 100);
 }
 
-// Answers that are lost, refused or late, changes that are forgotten, jobs that come, are cancelled and end
-// meanwhile: a standing that is told was true at some moment between the request and its answer.
-RC_GTEST_PROP(JobIndex, TellsNothingOlderThanItsRequest, ()) {
-  IndexByHand d;
-  for (int i = 0; i < 5; ++i) d.service.accept(IndexByHand::ref(i));
-  d.index.load();
+// Requests and replies are lost, rejected or late, changes are compacted, and jobs are accepted, cancelled
+// and finished in the meantime. Each reported presence was valid at some time between the request and its
+// reply.
+RC_GTEST_PROP(JobIndexTest, ReportsNoPresenceOlderThanItsRequest, ()) {
+  JobIndexFixture fixture;
+  for (int i = 0; i < 5; ++i) fixture.service.accept(JobIndexFixture::job_id_at(i));
+  fixture.index.load();
   const int steps = *rc::gen::inRange(20, 200);
-  int told = 0;
+  int reported = 0;
   for (int step = 0; step < steps; ++step) {
-    const std::string job_id = IndexByHand::ref(*rc::gen::inRange(0, 12));
+    const std::string job_id = JobIndexFixture::job_id_at(*rc::gen::inRange(0, 12));
     switch (*rc::gen::inRange(0, 8)) {
       case 0:
-        if (d.service.at(job_id, d.service.revision()) == Standing::absent && !d.ended.contains(job_id))
-          d.service.accept(job_id);
+        if (fixture.service.presence_at(job_id, fixture.service.revision()) == Presence::absent &&
+            !fixture.ended.contains(job_id))
+          fixture.service.accept(job_id);
         break;
       case 1:
-        if (d.service.at(job_id, d.service.revision()) == Standing::live) d.service.cancel(job_id);
+        if (fixture.service.presence_at(job_id, fixture.service.revision()) == Presence::live)
+          fixture.service.cancel(job_id);
         break;
       case 2:
-        if (d.service.at(job_id, d.service.revision()) != Standing::absent) d.service.end(job_id, "done");
+        if (fixture.service.presence_at(job_id, fixture.service.revision()) != Presence::absent)
+          fixture.service.end(job_id, "done");
         break;
       case 3:
-        if (*rc::gen::inRange(0, 10) == 0) d.service.forget_changes();
+        if (*rc::gen::inRange(0, 10) == 0) fixture.service.compact_changes();
         break;
       default:
-        d.index.query(job_id, [&, job_id](const JobIndex::Lookup& a) {
-          if (a.presence == Standing::failed) return;
-          ++told;
-          bool was_so = false;
-          for (std::uint64_t r = d.revision_at.at(a.asked_at); r <= d.service.revision(); ++r)
-            was_so = was_so || d.service.at(job_id, r) == a.presence;
-          RC_ASSERT(was_so);
+        fixture.index.query(job_id, [&, job_id](const JobIndex::Lookup& result) {
+          if (result.presence == Presence::failed) return;
+          ++reported;
+          bool was_valid = false;
+          for (std::uint64_t revision = fixture.revision_at.at(result.request_sent_at);
+               revision <= fixture.service.revision(); ++revision)
+            was_valid = was_valid || fixture.service.presence_at(job_id, revision) == result.presence;
+          RC_ASSERT(was_valid);
         });
     }
-    d.pass(from_millis(*rc::gen::element(1, 10, 30, 800)));
-    auto calls = std::exchange(d.rt.calls, {});
-    for (const ByHand::Call& c : calls) {
-      const int fate = *rc::gen::inRange(0, 10);
-      if (fate == 0) {
-        c.done({false, true, {}});
-      } else if (fate == 1) {
-        c.done({true, true, {503, {}, 1}});
+    fixture.pass(from_millis(*rc::gen::element(1, 10, 30, 800)));
+    auto calls = std::exchange(fixture.runtime.calls, {});
+    for (const ByHand::Call& call : calls) {
+      const int outcome = *rc::gen::inRange(0, 10);
+      if (outcome == 0) {
+        call.done({false, true, {}});
+      } else if (outcome == 1) {
+        call.done({true, true, {503, {}, 1}});
       } else {
-        const Response r = d.service.answer(c.request);
-        // What happens while the answer is on its way.
-        if (fate == 2 && d.service.at(job_id, d.service.revision()) != Standing::absent)
-          d.service.end(job_id, "done");
-        c.done({true, true, r});
+        const Response response = fixture.service.answer(call.request);
+        // The job ends while the reply is in transit.
+        if (outcome == 2 &&
+            fixture.service.presence_at(job_id, fixture.service.revision()) != Presence::absent)
+          fixture.service.end(job_id, "done");
+        call.done({true, true, response});
       }
     }
   }
-  d.settle();
-  RC_CLASSIFY(told > 10);
+  fixture.answer_all_calls();
+  RC_CLASSIFY(reported > 10);
 }
 
 }  // namespace
--- a/tests/meetings_test.cpp
+++ b/tests/meetings_test.cpp
@@ -143,23 +143,23 @@
 // has returned a state to a user, it must not return an older one.
 TEST(StaleReadTest, LateReplyDoesNotReplaceNewerState) {
   for (const bool job_ended : {false, true}) {
-    DeskByHand fixture;
+    JobApiFixture fixture;
     fixture.poll();
-    const auto delayed_call = fixture.sent();
+    const auto delayed_call = fixture.take_call();
     fixture.poll();
-    const auto newer_call = fixture.sent();
+    const auto newer_call = fixture.take_call();
     if (job_ended) {
-      DeskByHand::answer(newer_call, 404, DeskByHand::none(9));
-      DeskByHand::answer(fixture.sent(), 200,
-                         Value::Map{{"k", "end/" + fixture.ref},
-                                    {"value", wrenusher::records::write_final_state("done", 1)},
-                                    {"stamp", std::uint64_t{9}}});
+      JobApiFixture::answer(newer_call, 404, JobApiFixture::revision_body(9));
+      JobApiFixture::answer(fixture.take_call(), 200,
+                            Value::Map{{"k", "end/" + fixture.job_id},
+                                       {"value", wrenusher::records::write_final_state("done", 1)},
+                                       {"stamp", std::uint64_t{9}}});
     } else {
-      DeskByHand::answer(newer_call, 200, fixture.live(9, true));
+      JobApiFixture::answer(newer_call, 200, fixture.live_record_body(9, true));
     }
-    DeskByHand::answer(delayed_call, 200, fixture.live(5, false));
+    JobApiFixture::answer(delayed_call, 200, fixture.live_record_body(5, false));
     const std::string expected_state = job_ended ? "done" : "withdrawn";
-    EXPECT_EQ(fixture.states, (std::vector<std::string>{expected_state, expected_state}));
+    EXPECT_EQ(fixture.statuses, (std::vector<std::string>{expected_state, expected_state}));
   }
 }
 
--- a/tests/questions_test.cpp
+++ b/tests/questions_test.cpp
@@ -1,5 +1,5 @@
-// Users' questions at size: what they cost follows what changes at a node, and none waits behind others until
-// its user has gone.
+// Tests of polls under load: the number of requests to the state service depends on the changes, not on the
+// number of jobs or polls, and no poll waits until its user's request times out.
 
 #include <gtest/gtest.h>
 
@@ -10,129 +10,134 @@
 using namespace wrenusher::testbed;
 using namespace wrenusher::protocol;
 
-Request question(const std::string& job_id) {
+Request poll_request(const std::string& job_id) {
   return {"GET", "/submissions/" + job_id, {}};
 }
 
-Request submission(const JobSpec& spec) {
+Request submit_request(const JobSpec& spec) {
   return {"POST", "/submissions", encode(write_spec(spec))};
 }
 
-/// A world with so many jobs that last, of which all nodes have heard.
-struct Busy {
-  explicit Busy(std::uint64_t seed, int jobs, double state_rps, double write_rps)
-      : w(seed, [&] {
-          Settings s = World::small_site();
-          s.state_rps = state_rps;
-          s.state_write_rps = write_rps;
-          return s;
+/// Simulated cluster with the given number of long-running jobs, which all nodes have received.
+struct LoadedCluster {
+  explicit LoadedCluster(std::uint64_t seed, int jobs, double state_rps, double write_rps)
+      : world(seed, [&] {
+          Settings settings = World::small_site();
+          settings.state_rps = state_rps;
+          settings.state_write_rps = write_rps;
+          return settings;
         }()) {
-    w.run(from_seconds(20));
+    world.run(from_seconds(20));
     for (int i = 0; i < jobs; ++i) {
       const JobSpec job = World::job(i, 1, 16, 3600);
-      refs.push_back(job.job_id);
-      w.at(from_millis(100) * i, [this, job] { w.submit(job); });
+      job_ids.push_back(job.job_id);
+      world.at(from_millis(100) * i, [this, job] { world.submit(job); });
     }
-    w.run(from_millis(100) * jobs + from_seconds(10));
+    world.run(from_millis(100) * jobs + from_seconds(10));
   }
-  std::uint64_t requests(int controller) { return w.state_requests("c" + std::to_string(controller)); }
-  /// Asks one node so many times a second about all jobs in turn.
-  void ask(int controller, double per_second, Micros how_long) {
-    const auto every = from_seconds(1 / per_second);
-    for (Micros at{}; at < how_long; at += every) {
-      w.at(at, [this, controller, job_id = refs[static_cast<std::size_t>(asked % refs.size())]] {
-        w.send_commands(controller, question(job_id), [this](const CallResult& o) {
-          ++outcomes;
-          answered += o.answered && o.response.status == 200;
-        });
-      });
-      ++asked;
+  std::uint64_t request_count(int controller) {
+    return world.state_requests("c" + std::to_string(controller));
+  }
+  /// Sends polls to one node at the given rate, for all jobs in turn.
+  void send_polls(int controller, double polls_per_second, Micros duration) {
+    const auto interval = from_seconds(1 / polls_per_second);
+    for (Micros at{}; at < duration; at += interval) {
+      world.at(at,
+               [this, controller, job_id = job_ids[static_cast<std::size_t>(polls_sent % job_ids.size())]] {
+                 world.send_commands(controller, poll_request(job_id), [this](const CallResult& result) {
+                   ++results;
+                   polls_answered += result.answered && result.response.status == 200;
+                 });
+               });
+      ++polls_sent;
     }
   }
 
-  World w;
-  std::vector<std::string> refs;
-  std::size_t asked = 0;
-  int outcomes = 0;
-  int answered = 0;
+  World world;
+  std::vector<std::string> job_ids;
+  std::size_t polls_sent = 0;
+  int results = 0;
+  int polls_answered = 0;
 };
 
-/// A node that does not lead, so that nothing else takes its part of the pace.
-int follower(const World& w) {
-  return (w.leader() + 1) % 3;
+/// Returns a node that is not the leader, so that nothing else uses its share of the rate limit.
+int follower(const World& world) {
+  return (world.leader() + 1) % 3;
 }
 
-TEST(Questions, CostTheSameHoweverManyJobsAreLive) {
-  std::vector<double> per_second;
+TEST(PollLoadTest, RequestRateIsIndependentOfLiveJobs) {
+  std::vector<double> requests_per_second;
   for (const int jobs : {40, 240}) {
-    Busy b(11, jobs, 400, 60);
-    const int node = follower(b.w);
-    const std::uint64_t before = b.requests(node);
-    b.ask(node, 300, from_seconds(10));
-    b.w.run(from_seconds(14));
-    per_second.push_back(static_cast<double>(b.requests(node) - before) / 10);
-    EXPECT_GE(b.answered, static_cast<int>(b.asked) * 97 / 100) << jobs;
-    expect_kept(b.w);
+    LoadedCluster cluster(11, jobs, 400, 60);
+    const int follower_index = follower(cluster.world);
+    const std::uint64_t before = cluster.request_count(follower_index);
+    cluster.send_polls(follower_index, 300, from_seconds(10));
+    cluster.world.run(from_seconds(14));
+    requests_per_second.push_back(static_cast<double>(cluster.request_count(follower_index) - before) / 10);
+    EXPECT_GE(cluster.polls_answered, static_cast<int>(cluster.polls_sent) * 97 / 100) << jobs;
+    expect_kept(cluster.world);
   }
-  EXPECT_LE(per_second[1], per_second[0] * 1.2 + 1);
+  EXPECT_LE(requests_per_second[1], requests_per_second[0] * 1.2 + 1);
 }
 
-// Six times as many questions cost no more requests once the pace is all in use.
-TEST(Questions, OfAStormAreAllAnsweredByAScarcePace) {
-  Busy b(12, 60, 100, 40);
-  const int node = follower(b.w);
-  const std::uint64_t before = b.requests(node);
-  b.ask(node, 600, from_seconds(10));
-  b.w.run(from_seconds(14));
-  EXPECT_LE(static_cast<double>(b.requests(node) - before) / 14, 100 * 0.15);
-  EXPECT_GE(b.answered, static_cast<int>(b.asked) * 97 / 100);
-  expect_kept(b.w);
+// Once the rate limit is used up, six times as many polls send no additional requests.
+TEST(PollLoadTest, ManyPollsAreAnsweredWithinLowRateLimit) {
+  LoadedCluster cluster(12, 60, 100, 40);
+  const int follower_index = follower(cluster.world);
+  const std::uint64_t before = cluster.request_count(follower_index);
+  cluster.send_polls(follower_index, 600, from_seconds(10));
+  cluster.world.run(from_seconds(14));
+  EXPECT_LE(static_cast<double>(cluster.request_count(follower_index) - before) / 14, 100 * 0.15);
+  EXPECT_GE(cluster.polls_answered, static_cast<int>(cluster.polls_sent) * 97 / 100);
+  expect_kept(cluster.world);
 }
 
-// More submissions come than there is pace for: what can't be taken is refused at once, and no question waits
-// behind them.
-TEST(Questions, AreAnsweredWhileSubmissionsWaitForTheirPace) {
-  Busy b(13, 30, 200, 12);
-  const int node = follower(b.w);
-  int taken = 0;
-  int refused = 0;
-  Micros longest{};
+// More submissions arrive than the write rate limit allows: those that exceed it are rejected immediately,
+// and no poll waits behind them.
+TEST(PollLoadTest, PollsAreAnsweredWhileSubmissionsExceedTheWriteRate) {
+  LoadedCluster cluster(13, 30, 200, 12);
+  const int follower_index = follower(cluster.world);
+  int accepted = 0;
+  int rejected = 0;
+  Micros longest_call{};
   for (int i = 0; i < 300; ++i) {
     const JobSpec job = World::job(1000 + i, 1, 2, 5);
-    b.w.at(from_millis(30) * i, [&, job] {
-      b.w.machines().describe({job, from_seconds(5), false});
-      b.w.checker.submitted(job);
-      b.w.send_commands(
-          node, submission(job),
-          [&, job, sent = b.w.now()](const CallResult& o) {
-            b.w.checker.answered_submit(b.w.now(), job.job_id, o.answered ? o.response.status : 0);
-            if (o.answered) longest = std::max(longest, b.w.now() - sent);
-            taken += o.answered && o.response.status == 201;
-            if (!o.answered || o.response.status != 503) return;
-            ++refused;
-            EXPECT_GE(o.response.retry_after_s, 1);
+    cluster.world.at(from_millis(30) * i, [&, job] {
+      cluster.world.machines().describe({job, from_seconds(5), false});
+      cluster.world.checker.submitted(job);
+      cluster.world.send_commands(
+          follower_index, submit_request(job),
+          [&, job, sent_at = cluster.world.now()](const CallResult& result) {
+            cluster.world.checker.answered_submit(cluster.world.now(), job.job_id,
+                                                  result.answered ? result.response.status : 0);
+            if (result.answered) longest_call = std::max(longest_call, cluster.world.now() - sent_at);
+            accepted += result.answered && result.response.status == 201;
+            if (!result.answered || result.response.status != 503) return;
+            ++rejected;
+            EXPECT_GE(result.response.retry_after_s, 1);
           },
           from_seconds(5));
     });
   }
-  b.ask(node, 50, from_seconds(9));
-  b.w.run(from_seconds(20));
-  EXPECT_GE(b.answered, static_cast<int>(b.asked) * 97 / 100);
-  EXPECT_GE(taken, 15);
-  EXPECT_GE(refused, 200);
-  EXPECT_LE(longest, from_seconds(5));
-  expect_kept(b.w);
+  cluster.send_polls(follower_index, 50, from_seconds(9));
+  cluster.world.run(from_seconds(20));
+  EXPECT_GE(cluster.polls_answered, static_cast<int>(cluster.polls_sent) * 97 / 100);
+  EXPECT_GE(accepted, 15);
+  EXPECT_GE(rejected, 200);
+  EXPECT_LE(longest_call, from_seconds(5));
+  expect_kept(cluster.world);
 }
 
-// The index is lost again and again, and the questions go on.
-TEST(Questions, AreAnsweredWhileTheIndexIsReadAnew) {
-  Busy b(14, 60, 200, 40);
-  const int node = follower(b.w);
-  b.ask(node, 50, from_seconds(20));
-  for (int i = 0; i < 10; ++i) b.w.at(from_seconds(2 * i), [&b] { b.w.state_forgets(); });
-  b.w.run(from_seconds(25));
-  EXPECT_GE(b.answered, static_cast<int>(b.asked) * 95 / 100);
-  expect_kept(b.w);
+// The index is dropped repeatedly while polls continue.
+TEST(PollLoadTest, PollsAreAnsweredWhileIndexIsReloaded) {
+  LoadedCluster cluster(14, 60, 200, 40);
+  const int follower_index = follower(cluster.world);
+  cluster.send_polls(follower_index, 50, from_seconds(20));
+  for (int i = 0; i < 10; ++i)
+    cluster.world.at(from_seconds(2 * i), [&cluster] { cluster.world.state_forgets(); });
+  cluster.world.run(from_seconds(25));
+  EXPECT_GE(cluster.polls_answered, static_cast<int>(cluster.polls_sent) * 95 / 100);
+  expect_kept(cluster.world);
 }
 
 }  // namespace
