--- a/src/commit_batcher/commit_batcher.cpp
+++ b/src/commit_batcher/commit_batcher.cpp
@@ -18,7 +18,7 @@
 constexpr std::size_t kMaxShardsPerCommit = 4;
 /// Final states use at most 1/kFinalStateOpsDivisor of a transaction's operations.
 constexpr std::size_t kFinalStateOpsDivisor = 3;
-/// Maximum number of conditions of a transaction, per operation that it may have.
+/// Maximum number of conditions of a transaction, for each operation that `txn_ops` allows it.
 constexpr std::size_t kConditionsPerOperation = 4;
 /// Blocks without new assignments get a value of their own only while at least this fraction of a second's
 /// writes is available.
@@ -29,7 +29,7 @@
 constexpr std::uint32_t kMaxUncertainShards = 8;
 constexpr time::Micros kCommitRetryDelay = time::from_millis(250);
 constexpr time::Micros kReadRetryDelay = time::from_millis(250);
-/// Delay before the next transaction after the service rejected one as malformed.
+/// Delay before the next transaction after the state service rejected a transaction as malformed.
 constexpr time::Micros kMalformedRetryDelay = time::from_seconds(5);
 /// Time that blocks without new assignments wait for a commit that they can be added to.
 constexpr time::Micros kProgressWait = time::from_millis(400);
@@ -128,8 +128,9 @@
 }
 
 /// Packs the unwritten blocks, in write order, into the new values of free shards, until a block does not
-/// fit. Returns true if that happens, or if only progress (blocks without new assignments) is left and it is
-/// not due yet, see `Packing::progress_due`. Returns false otherwise, also at the limit on conditions.
+/// fit. Returns true if a block did not fit, or if only progress (blocks without new assignments) is left and
+/// is not due yet (see `Packing::progress_due`). Otherwise returns false, even if the limit on conditions
+/// stopped the packing.
 bool CommitBatcher::pack_blocks(Batch& batch, Packing& packing) {
   for (const auto& [order, job] : jobs_.unwritten_blocks()) {
     const bool has_new_assignments = order.rank < job_table::kProgressRank;
@@ -151,8 +152,8 @@
   return false;
 }
 
-/// Adds the value of a free shard, with room for the block. Returns false if the batch has no room for it or
-/// `may_open` is false.
+/// Adds the value of a free shard, with room for the block. Returns false if the batch has no room for such a
+/// value, or if `may_open` is false.
 bool CommitBatcher::open_value(Batch& batch, Packing& packing, std::size_t block_bytes, bool may_open) {
   const auto value_limit = static_cast<std::size_t>(settings_.value_kb * 1024) - 2;
   // The two extra conditions are those of the shard and, for an assignment, of its job. The subtractions are
@@ -176,7 +177,7 @@
 void CommitBatcher::add_block(Batch& batch, const Job& job, std::uint32_t block_number,
                               bool has_new_assignments) const {
   const std::string& job_id = job.spec().job_id;
-  // The condition makes new assignments fail if the job was cancelled first.
+  // The condition makes the commit of new assignments fail if the job was cancelled before it.
   if (has_new_assignments && batch.assigning_jobs.insert(job_id).second)
     batch.conditions.push_back({records::job_key(job_id), job.mod_revision});
   batch.blocks.push_back({job_id, block_number, job.blocks[block_number].version, batch.shards.back()});
--- a/src/domain_failure_detector/domain_failure_detector.cpp
+++ b/src/domain_failure_detector/domain_failure_detector.cpp
@@ -17,7 +17,8 @@
 constexpr std::uint32_t kMinMachines = 3;
 /// A loss is logged after this delay, since the racks behind a failed switch are detected one by one.
 constexpr Micros kLossLogDelay = from_seconds(3);
-/// One machine of a recovered domain is trusted at once; the number doubles after each step.
+/// Length of a step in which trust in a recovered domain is restored; each relapse lengthens the steps by the
+/// same time. One machine is trusted at once, and the number of trusted machines doubles after each step.
 constexpr Micros kTrustStep = from_seconds(5);
 /// With this many doublings, the machines of any domain are all trusted.
 constexpr std::int64_t kMaxTrustSteps = 20;
@@ -127,7 +128,7 @@
   return false;
 }
 
-/// Logs one line per event: of nested domains that are lost together, only the outermost.
+/// Logs one line per event: if nested domains are lost together, only the outermost one is logged.
 void DomainFailureDetector::log_losses(Instant now) {
   for (auto& [id, state] : domains_) {
     if (!state.lost || state.logged || now - state.since < kLossLogDelay) continue;
@@ -159,7 +160,8 @@
   for (auto& [id, reporting] : reporting_by_domain) suspect_untrusted(domains_.at(id), now, reporting);
 }
 
-/// Suspects all but the first machines in name order, so that a trusted machine stays trusted.
+/// Suspects all reporting machines except the first ones in name order. Because of this order, a trusted
+/// machine stays trusted as the number of trusted machines grows.
 void DomainFailureDetector::suspect_untrusted(const DomainState& state, Instant now,
                                               std::vector<const DomainMember*>& reporting) {
   const Micros step = kTrustStep * (1 + state.relapses);
--- a/src/estimates/estimator.cpp
+++ b/src/estimates/estimator.cpp
@@ -84,7 +84,8 @@
   if (spec.expected_runtime.count() <= 0 || run_time.count() <= 0) return;
   const double log_ratio = std::log(to_seconds(run_time) / to_seconds(spec.expected_runtime));
   if (const JobSample* sample = find_sample(spec)) {
-    // Compared with other tasks of the same job, only the machine differs.
+    // Tasks of one job share the error of its expected run time, so a deviation from their mean is attributed
+    // to the machine.
     auto& host_record = hosts_[host];
     host_record.log_ratios.push_back(log_ratio - sample->mean());
     if (host_record.log_ratios.size() > kMaxRatiosPerHost) host_record.log_ratios.pop_front();
--- a/src/events/include/wrenusher/events/failover.hpp
+++ b/src/events/include/wrenusher/events/failover.hpp
@@ -16,19 +16,23 @@
   std::shared_ptr<const records::RecordSnapshot> snapshot;  ///< null: the leader must read all records
 };
 
-/// The durations of the phases of a failover, measured from when this node won the term unless stated
-/// otherwise. A negative duration means that the phase has not happened.
+/// The durations of the phases of a failover. Unless stated otherwise, a duration is measured from when this
+/// node won the term (the start of the term), and a negative duration means that the phase has not happened.
 struct FailoverTimes {
-  std::uint64_t term = 0;                 ///< the fencing token of the term
-  bool from_replica = false;              ///< whether the records came from this node's replica
-  time::Micros since_last_heartbeat{-1};  ///< previous leader's last heartbeat to the start of the term
-  time::Micros since_lease_expiry{-1};    ///< detected expiry of the previous lease to the start of the term
-  time::Micros records_read{-1};          ///< until all records were loaded
-  time::Micros first_machine{-1};         ///< until the first report with the term's fencing token
-  time::Micros first_start{-1};           ///< until the first report of a task assigned in this term
-  time::Micros last_machine{-1};          ///< until the last of the machines of the previous term reported
-  time::Micros ninety_percent_machines{
-      -1};                        ///< until nine in ten of the machines of the previous term had reported
+  std::uint64_t term = 0;     ///< the fencing token of the term
+  bool from_replica = false;  ///< whether the records came from this node's replica
+  /// Time from the arrival of the previous leader's last heartbeat to the start of this term; -1: unknown.
+  time::Micros since_last_heartbeat{-1};
+  /// Time from when this node detected the expiry of the previous lease to the start of this term; -1: there
+  /// was no expiry.
+  time::Micros since_lease_expiry{-1};
+  time::Micros records_read{-1};   ///< until all records were loaded
+  time::Micros first_machine{-1};  ///< until the first report with the term's fencing token
+  time::Micros first_start{-1};    ///< until the first report of a task assigned in this term
+  /// Until the last of the `machines_reported` machines sent its first report.
+  time::Micros last_machine{-1};
+  /// Until nine in ten of the `machines_reported` machines had sent their first report.
+  time::Micros ninety_percent_machines{-1};
   time::Micros all_located{-1};   ///< until every assignment of the previous term was confirmed or released
   time::Micros reported_after{};  ///< until this event was sent
   std::uint32_t machines_reported = 0;  ///< machines of the previous term that have reported
--- a/src/job_table/job_table.cpp
+++ b/src/job_table/job_table.cpp
@@ -129,7 +129,8 @@
   assignment.state = state;
   assignment.assigned_at = runtime_.now();
   TaskAssignment& added = job.assignments.emplace(task, assignment).first->second;
-  // A task that was read at failover may be running already; reports list those that still fetch their image.
+  // A task that was read at failover may be running already, so no fetch is assumed for it. If the task still
+  // fetches its image, the worker's report shows this.
   if (state == TaskState::assigned) begin_fetch(job, added);
   if (state == TaskState::recovered) ++unconfirmed_count_;
   job.last_attempt = std::max(job.last_attempt, attempt);
@@ -233,8 +234,8 @@
   if (!lost || job.attempt_failed || job.gang_started || job.assignments.empty()) {
     abort_gang_attempt(job);
   } else if (job.incomplete_since == Instant{}) {
-    // The other tasks keep waiting, and a replacement starts under the same attempt. If the gang had started
-    // after all, the next report of another task shows it.
+    // The other tasks keep waiting, and a replacement starts under the same attempt. If the gang has in fact
+    // started already, the next report that lists another of its tasks shows this.
     job.incomplete_since = runtime_.now();
   }
 }
@@ -316,7 +317,7 @@
   struct RowKey {
     const Machine* machine;
     std::uint64_t attempt;
-    // NOLINTNEXTLINE(modernize-use-nullptr): false report on a defaulted comparison
+    // NOLINTNEXTLINE(modernize-use-nullptr): false positive on a defaulted comparison
     auto operator<=>(const RowKey&) const = default;
   };
   std::vector<records::AssignmentRow> assignments;
--- a/src/kv_client/rate_limiter.cpp
+++ b/src/kv_client/rate_limiter.cpp
@@ -6,7 +6,9 @@
 
 namespace {
 
-/// Slightly below a full bucket, which rounding errors might never reach.
+/// A call that needs more tokens than a full bucket has is admitted once the bucket is full to this fraction.
+/// The fraction is slightly below 1, since rounding errors might keep the bucket from becoming completely
+/// full.
 constexpr double kFullBucketFraction = 0.999;
 
 }  // namespace
--- a/src/leader/failover_timer.cpp
+++ b/src/leader/failover_timer.cpp
@@ -8,7 +8,7 @@
 
 /// Phases and machines that are not complete after this time are reported as missing.
 constexpr Micros kMeasurementTimeout = time::from_seconds(25);
-/// `ninety_percent_machines` is the time until this share of the machines had reported.
+/// `ninety_percent_machines` is the time until this share of the `machines_reported` machines had reported.
 constexpr double kMostMachinesShare = 0.9;
 
 /// Formats a duration in seconds, or returns "-" for a phase that has not been reached (negative duration).
--- a/src/leader/hint_adopter.cpp
+++ b/src/leader/hint_adopter.cpp
@@ -11,8 +11,8 @@
 /// Limits on how far another leader's hint may delay a job's retries.
 constexpr int kMaxInheritedRetries = 16;
 constexpr time::Micros kMaxInheritedRetryPause = time::from_seconds(60);
-/// Share of the image that a fetch is assumed to have left when, by the hint's age, it should be complete.
-/// Applies until a report shows that the image is present.
+/// A fetch that should be complete by the hint's age is assumed to have this share of the image left, until a
+/// report shows that the image is present.
 constexpr double kMinRemainingShare = 0.05;
 
 /// Returns the machine's images in the hint's order, followed by its fetches, whose progress is extrapolated
--- a/src/leader/hint_collector.cpp
+++ b/src/leader/hint_collector.cpp
@@ -12,7 +12,7 @@
 constexpr time::Micros kHintInterval = time::from_millis(500);
 /// Hints of job classes and jobs are sent less often because they change with every task that ends.
 constexpr time::Micros kClassHintInterval = time::from_seconds(2);
-/// Machine hints per collection; the others are left for the next collection.
+/// Maximum number of machine hints per collection; the others are left for the next collection.
 constexpr std::size_t kMaxMachineHintsPerBatch = 300;
 
 /// Returns the names of the machine's images, least recently used first.
--- a/src/leader/leader_actor.cpp
+++ b/src/leader/leader_actor.cpp
@@ -47,8 +47,8 @@
   failover_timer_.stop();
   if (!term_.leading) return;
   failover_timer_.begin(term, runtime_.now());
-  // With standbys configured, `on_replica_verified` is called with the replica, or without one if it was
-  // rejected.
+  // If standbys are configured, `on_replica_verified` is called: with the replica, or without one if the
+  // replica was incomplete or rejected.
   if (!settings_.has_standby()) read_records();
 }
 
--- a/src/membership/cancellation_log.cpp
+++ b/src/membership/cancellation_log.cpp
@@ -5,8 +5,8 @@
 namespace wrenusher::membership {
 
 namespace {
-/// Cancellations kept for a peer that does not confirm them. A peer that misses dropped ones has to read the
-/// state service.
+/// Maximum number of cancellations that are kept for a peer that does not confirm them. A peer that missed
+/// cancellations that were dropped has to read them from the state service.
 constexpr std::size_t kMaxUnconfirmedRows = 20000;
 }  // namespace
 
--- a/src/membership/election.cpp
+++ b/src/membership/election.cpp
@@ -24,15 +24,16 @@
 constexpr Micros kMaxCheckJitter = from_millis(100);
 /// How long one watch waits for a change of the `leader` record.
 constexpr Micros kWatchTimeout = from_seconds(10);
-/// Time that a candidate grants to each candidate with precedence to win: a campaign takes three calls.
+/// How long a candidate waits for each candidate with precedence to win the term. A campaign takes three
+/// calls.
 constexpr Micros kCandidateDelay = from_millis(350);
 /// How long a node that has just started waits for the first heartbeat of a peer before it uses the lease of
 /// its earlier incarnation.
 constexpr Micros kFirstHeartbeatWait = from_millis(200);
 /// Pause of a node that leaves the term to a peer with the active topology.
 constexpr Micros kDeferralPause = from_seconds(2);
-/// Delays until the next check after a term ended here, after a lease was revoked in favor of a peer, and
-/// after a campaign failed.
+/// Delays until the next check after a term ended on this node, after a lease was revoked in favor of a peer,
+/// and after a campaign failed.
 constexpr Micros kCheckAfterTerm = from_millis(200);
 constexpr Micros kCheckAfterRevoke = from_millis(200);
 constexpr Micros kCheckAfterFailure = from_millis(100);
@@ -55,7 +56,8 @@
 void Election::check_leader() {
   next_check_ = runtime_.now() + kCheckInterval + runtime_.jitter(kMaxCheckJitter);
   busy_ = true;
-  // A list, not a get, since its reply contains the revision from which changes can be watched.
+  // Calls `list` instead of `get`, since the reply to a list contains the revision from which changes can be
+  // watched.
   store_.list(kLeaderKey, {}, 2, KvClient::RequestClass::lease, [this](const ReadReply& reply) {
     busy_ = false;
     if (!term_.leading && reply.result == ReadReply::Result::ok) on_leader_read(reply);
@@ -148,8 +150,8 @@
   }
 }
 
-/// Handles a vacancy: the first candidate campaigns at once, each other one after those with precedence have
-/// had time to win.
+/// Handles a vacancy. The candidate with the highest precedence campaigns at once; every other candidate
+/// campaigns after those with precedence over it have had time to win.
 void Election::on_vacancy() {
   const Instant now = runtime_.now();
   if (vacancy_noticed_at_ == Instant{}) vacancy_noticed_at_ = now;
--- a/src/membership/leadership.cpp
+++ b/src/membership/leadership.cpp
@@ -23,7 +23,8 @@
 constexpr Micros kAbstentionAfterHandOver = from_seconds(8);
 /// Minimum time between hand-overs to a peer that may have the same problem.
 constexpr Micros kHandOverInterval = from_seconds(300);
-/// How long a leader that receives no heartbeats from workers and peers keeps the leadership.
+/// How long a leader that receives neither reports from workers nor heartbeats from peers keeps the
+/// leadership.
 constexpr Micros kMaxTimeWithoutHeartbeats = from_seconds(2);
 
 }  // namespace
@@ -68,9 +69,10 @@
   }
 }
 
-/// Returns how long a leader that reaches only its workers keeps replying to them. Its workers stay with it
-/// even if another node leads, but jobs cancelled there must stop within the cancellation deadline. The other
-/// two thirds of the deadline cover a lost reply, the search for the other leader, and the stop.
+/// Returns how long a leader that reaches only its workers keeps replying to them. The workers stay with it
+/// even if another node leads, but a job that is cancelled at that other node must stop within the
+/// cancellation deadline. The other two thirds of the deadline cover a lost reply, the search for the other
+/// leader, and the stop.
 Micros Leadership::max_isolation() const {
   // Task leases stay valid during this time, as in an outage that affects all nodes.
   return settings_.cancel_deadline / 3;
@@ -105,8 +107,8 @@
                         [](const PeerStatus& status) { return status.readiness == Readiness::warm; }, true};
   if (rate_limit_allows && workers_.replies_lost && peers.receives_reports)
     return HandOverPlan{"no reply of this node reaches a worker", receives_reports, true};
-  // Either workers cannot reach this node, or it is cut off from everything but the state service: as long as
-  // it keeps the lease, no other node can serve them.
+  // Either the workers cannot reach this node, or this node is cut off from everything but the state service.
+  // As long as it keeps the lease, no other node can serve the workers.
   const bool isolated =
       !peers.any_peer && workers_.had_workers && now - no_reports_since_ > kMaxTimeWithoutHeartbeats;
   if (workers_.receives_nothing && !settings_.peers.empty() && (peers.receives_reports || isolated))
--- a/src/membership/peer.cpp
+++ b/src/membership/peer.cpp
@@ -28,7 +28,7 @@
 constexpr Micros kHeartbeatTimeout = from_seconds(1);
 /// Minimum time between urgent heartbeats; cancellations and announcements within it are sent together.
 constexpr Micros kMinUrgentInterval = from_millis(50);
-/// A peer with this many unanswered heartbeats is sent only the regular ones.
+/// A peer with this many unanswered heartbeats is sent only regular heartbeats, no urgent ones.
 constexpr int kMaxUnansweredHeartbeats = 3;
 /// Number of unconfirmed announcements that are kept although no user waits for them any more. Announcements
 /// younger than `kAnnouncementRetention` are all kept, however many machines there are.
@@ -205,8 +205,8 @@
               log::with("peer", node), log::with("reason", error));
 }
 
-/// Must be called after the events that it covers were fired, so that receivers have handled those events
-/// first.
+/// Must be called after the events that the published time covers were fired, so that receivers have handled
+/// those events first.
 void Peer::publish_complete_through() {
   cancellations_known(CancellationsKnown{cancellations_.complete_through(), cancellations_.slowest_peer()});
 }
@@ -217,8 +217,9 @@
   if (cancellations_.record(event.job_id, runtime_.now())) send_urgent();
 }
 
-/// Once a job's stage has been returned to a user, no node may return an older one. So the stage is announced
-/// to the peers first, which then read the state service again if they read it before the announcement.
+/// Once a job's stage has been returned to a user, no node may return an older stage. So the stage is
+/// announced to the peers first; a peer that last read the state service before the announcement then reads
+/// it again.
 void Peer::on_announcement(const StageAnnouncement& event) {
   if (!announcements_.has_peers()) {
     stage_confirmed(event);
--- a/src/membership/progress_pager.cpp
+++ b/src/membership/progress_pager.cpp
@@ -11,8 +11,8 @@
 namespace {
 
 constexpr const char* kRowsField = "progress";
-/// Range of jobs in a page: after the first job, exclusive, through the second, inclusive, which is empty for
-/// the last page. A complete list has no such field.
+/// Field with the range of jobs in a page, as two job names. The page starts after the first job and ends
+/// with the second, which is empty for the last page. A complete list has no such field.
 constexpr const char* kPartField = "progress_part";
 
 /// Limits of one page, in rows and bytes. The next heartbeat continues with the remaining rows.
--- a/src/membership/topology_agreement.cpp
+++ b/src/membership/topology_agreement.cpp
@@ -17,8 +17,8 @@
 namespace {
 
 constexpr Micros kActivationInterval = from_seconds(1);
-/// How long a node leaves the term to peers that have the active topology if none of them wins one. Shorter
-/// than such a peer abstains after it handed the leadership over.
+/// How long a node leaves the term to peers that have the active topology, if none of these peers wins a
+/// term. Shorter than the time for which such a peer abstains after it has handed the leadership over.
 constexpr Micros kMaxDeferral = from_seconds(6);
 
 void log_activated(const TopologyVersion& version) {
@@ -45,7 +45,7 @@
 }
 
 void TopologyAgreement::publish() const {
-  // A leader uses its own topology even before that is active.
+  // A leader uses its own topology even before this topology is active in the cluster.
   activated_(events::TopologyActivated{own_topology_, active_, term_.leading || !differs()});
 }
 
--- a/src/placement/deadlines.cpp
+++ b/src/placement/deadlines.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-/// A job that must start within this time to meet its target is served before the others of its priority and
-/// guarantee status.
+/// A job that must start within this time to meet its target is served before the other jobs with the same
+/// priority and guarantee status.
 constexpr Micros kAtRiskWindow = from_seconds(100);
 
-/// Maximum time from acceptance to first start before a job is overdue. Without a bound, the Moore-Hodgson
-/// rule would shed the largest job repeatedly for as long as smaller ones arrive.
+/// A job that has not started within this time of its acceptance is overdue. Without this bound, the
+/// Moore-Hodgson rule would shed the largest job again in every plan for as long as smaller jobs arrive.
 constexpr Micros kMaxStartWait = from_seconds(150);
 
 /// The grace period is the run time divided by this number. It allows for the error of the estimates.
--- a/src/placement/future_places.cpp
+++ b/src/placement/future_places.cpp
@@ -55,8 +55,8 @@
   std::inplace_merge(entries.begin(), middle, entries.end(), order);
 }
 
-/// Appends the machine's future places to the lists. A machine with fetches in progress is only noted for
-/// `recompute_fetching_future_places`.
+/// Appends the machine's future places to the lists. A machine with fetches in progress, or with a task that
+/// waits for its image, is only added to `fetching_machines`: `recompute_fetching_future_places` handles it.
 void PlacementIndex::add_future_places(ImageFuturePlaces& future_places, Slot slot) {
   const MachineEntry& entry = machines_[slot];
   if (!entry.machine.fetches.empty() ||
@@ -108,7 +108,7 @@
   for (auto& [size, lists] : future_places.by_size_class) merge_sorted(lists.recomputed.entries, 0);
 }
 
-/// Replaces the places of changed machines by their current ones.
+/// Replaces the old future places of each changed machine with its current ones.
 void PlacementIndex::replace_changed_future_places(const ImageEntry& image, bool first_time) {
   ImageFuturePlaces& future_places = *image.future_places;
   std::vector<Slot> changed;
--- a/src/placement/include/wrenusher/placement/machine_fit.hpp
+++ b/src/placement/include/wrenusher/placement/machine_fit.hpp
@@ -32,8 +32,8 @@
 
 // ---- quality of fit
 
-/// Returns the fraction of the machine's cores, from 0 to 1, that stay unused after placing a task with this
-/// need. A larger value is a worse fit.
+/// Returns the fraction of the machine's cores, from 0 to 1, that remain free after a task with this need is
+/// placed on it. A larger value is a worse fit.
 double unused_core_fraction(const PlanMachine& machine, const Resources& need);
 /// Returns the share of a machine of this type that a need takes, expressed in cores. The share is that of
 /// the dominant resource: cores, GPUs or memory.
--- a/src/placement/include/wrenusher/placement/plan_types.hpp
+++ b/src/placement/include/wrenusher/placement/plan_types.hpp
@@ -117,7 +117,8 @@
   Resources resources;
   std::optional<Instant> ends_at;  ///< not set: it ends `min_remaining` from now
   Micros min_remaining{};          ///< minimum time until it ends
-  /// Job whose image the task still waits for; the fetch time is added to its end. Null: the image is cached.
+  /// Specification of the task's job if the task still waits for the fetch of the job's image; the remaining
+  /// fetch time is then added to the time until the task ends. Null: the task does not wait for its image.
   const JobSpec* awaited_image_spec = nullptr;
   bool operator==(const EndingTask&) const = default;
 };
--- a/src/placement/placement_index.cpp
+++ b/src/placement/placement_index.cpp
@@ -185,7 +185,8 @@
   free_machine_slots_.push_back(slot);
 }
 
-/// Lists the machine under the size class of `room` while it is open, else removes it from its list.
+/// Lists the machine under the size class of `room` if the machine is open; otherwise removes the machine
+/// from its list.
 void PlacementIndex::index_free_room(Slot slot, const Resources& room) {
   MachineEntry& entry = machines_[slot];
   const std::uint32_t size = entry.present && entry.open ? size_class(room) : kNoRoom;
@@ -278,7 +279,8 @@
   entry.job = std::move(job);
   entry.start_deadlines = start_deadlines(entry.job, objectives);
   index_job(entry);
-  // Released only now, so that entries used by both the old and the new state are not rebuilt.
+  // The old entries are released only now, so that entries used by both the old and the new state are not
+  // removed and rebuilt.
   if (!was_present) return;
   release_constraint_class(old_constraint_class);
   release_job_image(old_image, used_future_places);
--- a/src/placement/placement_plan.cpp
+++ b/src/placement/placement_plan.cpp
@@ -58,8 +58,9 @@
   if (left_finish != right_finish) return left_finish < right_finish;
   // Smaller machines first: larger ones are kept for tasks that fit nowhere else.
   if (left.machine_cores != right.machine_cores) return left.machine_cores < right.machine_cores;
-  // Machines that are kept for their services cost nothing extra, and spot machines a fraction. Using these
-  // first leaves on-demand machines empty, so that they can be returned.
+  // Machines that are kept for their services cost nothing extra, and spot machines cost a fraction of the
+  // price of on-demand machines. Using both kinds first leaves on-demand machines empty, so that they can be
+  // returned.
   if (left.cost != right.cost) return left.cost < right.cost;
   if (left.unused_core_fraction != right.unused_core_fraction)
     return left.unused_core_fraction < right.unused_core_fraction;
@@ -87,7 +88,8 @@
       }
     }
   }
-  // Free room only shrinks within a plan, so jobs with the same constraints will find none later in it.
+  // Free room only shrinks within a plan, so the later jobs of this plan with the same constraints will find
+  // no room either.
   if (!has_room) constraints.exhausted_in_plan = plan_count_;
   std::sort(out.begin(), out.end(),
             [this](const Candidate& left, const Candidate& right) { return is_better(left, right); });
@@ -157,7 +159,8 @@
     if (layout_)
       tasks = std::min({tasks, candidate.task_capacity - placed_by_candidate_[i],
                         layout_allowance(*layout_, machine, spec_.task_count, preferences)});
-    // Excludes the tasks that get a future place with the image no later than the fetch here would complete.
+    // Leaves out as many tasks as there are future places, on machines that have or fetch the image, that
+    // become free no later than the fetch on this machine would complete.
     if (candidate.fetch.count() > 0)
       tasks = std::min(tasks, unplaced - input_.future_places.count_within(candidate.fetch, unplaced));
     return tasks;
@@ -193,8 +196,9 @@
   return std::move(chooser).choice();
 }
 
-/// Chooses among the scopes: for a gang the first one that holds all of it, for a service with domain scopes
-/// the one that holds the most tasks, and otherwise the first scope, where the first task finishes earliest.
+/// Chooses among the scopes. A gang gets the first scope that holds the whole gang, and a service with domain
+/// scopes gets the scope that holds the most tasks. Any other job gets the first scope, since its first task
+/// finishes earliest there.
 PlacementIndex::PlacementChoice PlacementIndex::best_choice(const ChoiceInput& input) const {
   const PlanJob& job = jobs_[input.job].job;
   const std::vector<Scope> all_scopes = scopes(job, input.candidates);
@@ -208,8 +212,9 @@
   return out;
 }
 
-/// Returns the placement in the first scope that holds the whole gang, if possible with the preferences of
-/// its layout; empty if there is none.
+/// Returns the placement of the whole gang in the first scope that holds it. All scopes are tried with the
+/// preferences of the layout before any scope is tried with its requirements alone. Returns an empty
+/// placement if no scope holds the whole gang.
 PlacementIndex::PlacementChoice PlacementIndex::best_gang_choice(const ChoiceInput& input,
                                                                  const std::vector<Scope>& all_scopes) const {
   for (const bool strict : {true, false}) {
@@ -277,7 +282,8 @@
   plan.placements.insert(plan.placements.end(), choice.placements.begin(), choice.placements.end());
   if (choice.tasks == 0 && first_task_only) reserve_places(slot, 1, kOverdueReservationHorizon);
   if (choice.tasks == 0 && gang && at_risk) reserve_places(slot, entry.job.waiting, kGangReservationHorizon);
-  // Missing tasks count against the ceiling too, since they will use it as soon as there is room.
+  // Tasks for which there is no room count against the ceiling too, since they will be placed as soon as
+  // there is room.
   usage.used += spec.resources * allowed;
   const std::uint32_t expected =
       std::min(allowed - choice.tasks, static_cast<std::uint32_t>(future_places.places.size()));
--- a/src/placement/preemption.cpp
+++ b/src/placement/preemption.cpp
@@ -16,8 +16,8 @@
 /// A task with less remaining run time than this is not preempted, since it will end soon.
 constexpr Micros kMinRemainingToPreempt = from_seconds(10);
 
-/// Returns the work lost by stopping the task: its whole age without checkpoints, else at most the time that
-/// a checkpoint takes.
+/// Returns the run time that is lost by stopping the task. A task without checkpoints loses its whole age; a
+/// task with checkpoints loses at most the time that a checkpoint takes.
 Micros work_lost(const RunningTask& task) {
   if (!task.spec->has_checkpoints()) return task.age;
   return std::min(task.age, task.spec->checkpoint_time);
@@ -110,8 +110,8 @@
   }
 }
 
-/// Returns the tasks to preempt on the machine to make room for one more task of the job, or nothing if there
-/// is no way.
+/// Returns the tasks to preempt on the machine to make room for one more task of the job. Returns nothing if
+/// the tasks that may be preempted do not free enough room.
 std::optional<std::vector<std::size_t>> PreemptionPlanner::victims_for(const Shortage& shortage,
                                                                        std::size_t machine) const {
   const JobSpec& spec = *view_.jobs[shortage.job].spec;
--- a/src/placement/reservation.cpp
+++ b/src/placement/reservation.cpp
@@ -88,7 +88,8 @@
   }
 }
 
-/// Returns the earliest fits that the layout allows together, one per task; fewer if there are not enough.
+/// Returns the earliest fits that the layout allows together, one per task. Returns fewer fits than tasks if
+/// there are not enough.
 std::vector<PlacementIndex::ReservationPlanner::Fit> PlacementIndex::ReservationPlanner::choose_earliest(
     std::vector<Fit>& fits) const {
   std::sort(fits.begin(), fits.end(), [this](const Fit& left, const Fit& right) {
--- a/src/reconciler/reconciler.cpp
+++ b/src/reconciler/reconciler.cpp
@@ -103,10 +103,10 @@
   }
 }
 
-/// Assigns a task to the machine that lists it without an assignment; otherwise it could be started a second
-/// time elsewhere. Returns false if the task has another assignment, or if the worker has not accepted this
-/// term's token: the report may then be a delayed copy from before this term, and the task may have left the
-/// machine since.
+/// Assigns a task that a machine lists without an assignment to that machine; otherwise the task could be
+/// started a second time elsewhere. Returns false if the task has another assignment, or if the worker has
+/// not accepted this term's token: the report may then be a delayed copy from before this term, and the task
+/// may be gone.
 bool Reconciler::adopt_unassigned(Job& job, const TaskReport& task, Machine& machine) {
   const auto it = job.assignments.find(task.task);
   if (it != job.assignments.end() &&
@@ -178,8 +178,8 @@
 }
 
 void Reconciler::finish_task(Job& job, const TaskReport& task, const Machine& machine, bool assigned_here) {
-  // The task was started again on another machine. Its new attempt ends there as well once the image has
-  // arrived, and its capacity is freed only then.
+  // The task has another assignment, since it was started again. That attempt also runs to its end once its
+  // image has been fetched, and the capacity that it uses is freed only then.
   if (!assigned_here && job.assignments.contains(task.task)) return;
   if (assigned_here) {
     const TaskAssignment& assignment = job.assignments.at(task.task);
@@ -248,9 +248,9 @@
 
 // ---------------------------------------------------------------- assignments that the report does not list
 
-/// Releases the assignments that the report does not list. Until the worker has accepted this term's token, a
-/// missing task proves nothing: the report may be a delayed copy, and a gang's task may have been started on
-/// the machine again under the same attempt since.
+/// Releases the assignments that the report does not list. Until the worker has accepted this term's token,
+/// the absence of a task proves nothing: the report may be a delayed copy, and after it was sent, a gang's
+/// task may have been started on the machine again under the same attempt.
 void Reconciler::apply_missing(const Update& update) {
   if (!update.machine.token_accepted) return;
   // The tasks are collected first because releasing one task of a gang may release others.
@@ -276,8 +276,9 @@
       break;
     case TaskState::recovered:
       // The task was assigned in an earlier term. A worker that has accepted this term's token rejects the
-      // earlier leader's start, and this leader never sends one, so the reply to /orders is sufficient proof
-      // as well. The exception is a start sent in this term before the records were read again.
+      // earlier leader's start, and this leader sends no start for such a task. So a report in a reply to
+      // /orders is sufficient proof as well, unless a start was sent in this term before the records were
+      // read again.
       if (update.is_heartbeat || !assignment.start_in_flight)
         jobs_.release(job, task, "never started, or lost before this term", true);
       break;
--- a/src/replica/hint_publisher.cpp
+++ b/src/replica/hint_publisher.cpp
@@ -16,7 +16,7 @@
 constexpr std::size_t kRowOverheadBytes = 8;
 /// A message that is not confirmed within this time is treated as lost.
 constexpr Micros kConfirmTimeout = from_seconds(2.5);
-/// Unconfirmed messages to one peer.
+/// Maximum number of unconfirmed messages to one peer.
 constexpr std::size_t kMaxInFlight = 4;
 /// A peer whose last heartbeat is older than this is removed and is sent all rows when it returns.
 constexpr Micros kPeerTimeout = from_seconds(30);
--- a/src/replica/hint_row.cpp
+++ b/src/replica/hint_row.cpp
@@ -29,7 +29,8 @@
 constexpr std::size_t kMaxItems = 24000;
 constexpr double kMaxSeconds = 7 * 86400;
 constexpr double kMaxGb = 1e6;
-/// Limits on logarithms of (actual / expected run time): of one machine, and summed over the tasks of a job.
+/// Limits on the logarithm of (actual / expected run time): for one machine, and for the sum over the tasks
+/// of a job.
 constexpr double kMaxSlowness = 3;
 constexpr double kMaxSampleSum = 1e7;
 
--- a/src/replica/standby_replica.cpp
+++ b/src/replica/standby_replica.cpp
@@ -39,7 +39,7 @@
 constexpr Micros kMaxHintAge = from_seconds(5);
 /// A standby that has not been warm for this long logs a warning, and repeats it at this interval.
 constexpr Micros kNotWarmWarningInterval = from_seconds(60);
-/// Confirmations per heartbeat; a message that is not confirmed is sent again.
+/// Maximum number of confirmations per heartbeat; a message that is not confirmed is sent again.
 constexpr std::size_t kMaxConfirmations = 8;
 /// Older hints of machines are not inherited, since images are replaced and machines are returned.
 constexpr Micros kMaxMachineHintAge = from_seconds(300);
@@ -184,7 +184,8 @@
   return result;
 }
 
-/// `snapshot`: null if the replica was not complete; the new leader then reads all records itself.
+/// Verifies the replica against the state service and reports the outcome as ReplicaVerified. `snapshot`: the
+/// replica's records, or null if the replica was not complete; the new leader then reads all records itself.
 void StandbyReplica::verify_records(const std::shared_ptr<RecordSnapshot>& snapshot) {
   const std::uint64_t fencing_token = term_.fencing_token;
   if (!snapshot) {
--- a/src/scheduling_cycle/index_updater.cpp
+++ b/src/scheduling_cycle/index_updater.cpp
@@ -1,5 +1,5 @@
 // Tracks the live jobs and their run time estimates, and keeps the machines in the placement index up to
-// date. waiting_jobs.cpp does so for the index's other entries, those of the jobs with waiting tasks.
+// date. The index's entries for jobs with waiting tasks are kept up to date in waiting_jobs.cpp.
 #include "wrenusher/scheduling_cycle/index_updater.hpp"
 
 #include <algorithm>
@@ -52,8 +52,8 @@
              : a.job->spec().job_id < b.job->spec().job_id;
 }
 
-/// Rebuilds the index after a new term, a change of the machine types or a change of the topology, which make
-/// all of its entries invalid.
+/// Rebuilds the index after a new term began or the machine types or the topology changed. Each of these
+/// events makes all entries of the index invalid.
 void IndexUpdater::rebuild_if_outdated() {
   if (generation_ == machines_.generation()) return;
   generation_ = machines_.generation();
--- a/src/scheduling_cycle/waiting_jobs.cpp
+++ b/src/scheduling_cycle/waiting_jobs.cpp
@@ -17,8 +17,8 @@
 
 namespace {
 
-/// Time for which a service is placed only on machines that have its image, and the time after it in which
-/// the service is placed on any machine.
+/// Time for which a service is placed only on machines that have its image, and the length of the following
+/// period, in which the service is placed on any machine.
 constexpr Micros kNearImageWait = from_seconds(6);
 constexpr Micros kNearImagePause = from_seconds(30);
 /// A gang that lost a task before its start begins a new attempt if the task is not replaced within this
@@ -26,7 +26,7 @@
 constexpr Micros kGangReplacementWindow = from_seconds(8);
 
 /// Returns whether the job would be late if it waited for a new machine to boot, which takes
-/// `reserved_type_wait`. It then uses the machines that are available now.
+/// `reserved_type_wait`. Such a job uses the machines that are available now.
 bool too_late_to_wait(const placement::Slack& slack, Micros reserved_type_wait) {
   return slack.status == placement::DeadlineStatus::at_risk &&
          slack.time_to_latest_start < reserved_type_wait * 5 / 4;
@@ -73,8 +73,8 @@
   machines_.set_wanted_devices(std::move(wanted_devices));
 }
 
-/// Returns whether the job has waiting tasks that may be placed now. A job that fails on every machine
-/// pauses.
+/// Returns whether the job has waiting tasks that may be placed now. None may be placed while a job that
+/// fails on every machine is paused.
 bool IndexUpdater::may_start(Job& job) {
   return !job.waiting.empty() && runtime_.now() >= job.not_before && gang_may_start(job);
 }
@@ -86,7 +86,8 @@
   if (job.spec().type != JobType::gang || job.assignments.empty()) return true;
   const Instant now = runtime_.now();
   if (job.incomplete_since == Instant{}) job.incomplete_since = now;  // was incomplete at failover
-  // If the gang has started, or gets no machine in time, the waiting tasks occupy capacity for nothing.
+  // If a task was lost after the gang's start, or was not replaced in time, the attempt is aborted, since its
+  // remaining tasks occupy capacity for nothing.
   if (!job.attempt_failed &&
       (job.gang_started ||
        now - job.incomplete_since > std::min(kGangReplacementWindow, settings_.gang_start_timeout / 2)))
--- a/src/worker_gateway/delivery_monitor.cpp
+++ b/src/worker_gateway/delivery_monitor.cpp
@@ -12,8 +12,7 @@
 
 namespace {
 
-/// Number of unobserved replies that count for a lease that expired although reports arrived and were
-/// answered.
+/// A lease that expired although reports arrived and were answered counts as this many unobserved replies.
 constexpr int kUnobservedPerExpiredLease = 2;
 
 /// Returns whether the next report shows if the command arrived. After a start the task is listed, whatever
--- a/src/worker_gateway/include/wrenusher/worker_gateway/worker_poller.hpp
+++ b/src/worker_gateway/include/wrenusher/worker_gateway/worker_poller.hpp
@@ -36,7 +36,8 @@
     std::function<void(protocol::WorkerReport report)> on_report;
     /// Called when a worker has a higher fencing token than this term's.
     std::function<void(std::uint64_t fencing_token)> on_newer_token;
-    /// Called when the poller gives up on a worker of the previous leader. `silence`: time without a report.
+    /// Called when the poller gives up on a worker that it knows from the previous leader's hints. `silence`:
+    /// time since the previous leader's last heartbeat arrived, or since the start of this term if none did.
     std::function<void(const std::string& host, time::Micros silence)> on_silent;
   };
 
--- a/src/worker_gateway/lease_renewal_guard.cpp
+++ b/src/worker_gateway/lease_renewal_guard.cpp
@@ -21,10 +21,11 @@
 
 /// Margin for delays of stopping a task, of the lease expiry and of the clocks.
 constexpr Micros kStopMargin = from_seconds(2);
-/// Twice the drift of one clock, as for the leader's lease.
+/// Maximum drift of two clocks relative to each other: twice the drift of one clock, as for the leader's
+/// lease.
 constexpr double kMaxRelativeClockDrift = 0.001;
-/// With a shorter lag no lease could be renewed. It applies if `cancel_s` is not sufficiently longer than
-/// `lease_s`.
+/// Minimum of `max_cancellation_lag`, since no lease could be renewed with a shorter lag. It takes effect if
+/// `cancel_s` is not sufficiently longer than `lease_s`.
 constexpr Micros kMinCancellationLag = from_seconds(3);
 /// A cancellation that is received repeatedly is recorded again at most once in this interval.
 constexpr Micros kRepeatInterval = from_seconds(10);
@@ -97,8 +98,8 @@
   if (std::exchange(withholding_, true)) return;
   log::warn(
       "lease_renewal_withheld",
-      "leases of machines with tasks are not renewed: the list of cancelled jobs has not been confirmed by "
-      "the key-value store or by {peer} for {seconds:.0f} s",
+      "leases of machines with tasks are not renewed: neither the state service nor {peer} has confirmed for "
+      "{seconds:.0f} s that the list of cancelled jobs is complete",
       log::with("peer",
                 known_cancellations_.slowest_peer.empty() ? "a peer" : known_cancellations_.slowest_peer),
       log::with("seconds", to_seconds(max_cancellation_lag())));
--- a/src/worker_gateway/worker_gateway.cpp
+++ b/src/worker_gateway/worker_gateway.cpp
@@ -40,12 +40,13 @@
 constexpr Micros kMinSilence = from_seconds(4);
 /// Minimum time between two polls about old reports, for one machine.
 constexpr Micros kOldReportPollIntervalPerMachine = from_seconds(1.5);
-/// The same for all machines together. It does not apply to machines whose newest report is late.
+/// Minimum time between two polls about old reports, for all machines together. It does not apply to machines
+/// whose newest report is late.
 constexpr Micros kOldReportPollInterval = from_millis(300);
 constexpr Micros kOldReportPollTimeout = from_seconds(1);
 constexpr Micros kDirectCommandsTimeout = from_seconds(2);
-/// Time after which a worker whose reply was lost reports again: it stops waiting after 4 s, and 1 s later
-/// tries the next node, which may redirect it back.
+/// Time after which a worker that lost a reply has reported again: it stops waiting for the reply after 4 s
+/// and tries the next node 1 s later, which may redirect it back to this node.
 constexpr Micros kLostReplyDelay = from_seconds(6);
 /// A report whose reply may not renew the lease yet waits for this time; then it is rejected.
 constexpr Micros kMaxCancellationWait = from_seconds(1.5);
@@ -135,8 +136,8 @@
 }
 
 /// Handles a report unless it is old or its machine has departed. `worker_initiated`: the worker sent the
-/// report by itself, not as the response to a call, so the reply to its previous report has arrived or never
-/// will.
+/// report by itself, not as the response to a call. In that case the reply to its previous report has arrived
+/// or will never arrive.
 void WorkerGateway::process_report(const Report& report, bool worker_initiated, const ReplyHandler& reply) {
   if (departed_machines_.contains(report->host)) {
     reply({});
@@ -221,7 +222,8 @@
     WaitingReport waiting = std::move(waiting_reports_.front());
     waiting_reports_.pop_front();
     if (!leads_term(waiting.fencing_token) || renewal_guard_.may_renew(*waiting.report)) {
-      // The commands for the worker may have changed meanwhile; it gets them in the reply to its next report.
+      // The commands for the worker may have changed while its report waited; it gets them in the reply to
+      // its next report.
       send_reply(waiting.report, waiting.fencing_token, {}, waiting.answer);
     } else if (runtime_.now() < waiting.deadline) {
       waiting_reports_.push_back(std::move(waiting));
@@ -235,9 +237,9 @@
 
 // Calls to workers.
 
-/// Polls the worker of a report that is not newer than the newest one. Such a report is either a late
-/// duplicate or from a machine that restarted under the same name with new sequence numbers. The response to
-/// a poll is not a duplicate, so its position shows which case it is.
+/// Polls a worker after a report that is not newer than the newest report under its name. Such a report is
+/// either a late duplicate or comes from a machine that restarted under the same name with new sequence
+/// numbers. The response to a poll is not a duplicate, so its position shows which of the two has happened.
 void WorkerGateway::poll_about_old_report(WorkerState& worker, const WorkerReport& old_report) {
   const Instant now = runtime_.now();
   if (worker.cordoned || worker.address.empty() ||
@@ -349,8 +351,8 @@
   runtime_.after(kTickInterval, [this] { tick(); });
 }
 
-/// Moves the times of the latest reports forward by the time that this process was stalled. Reports waited
-/// unread meanwhile, so no machine counts as silent because of the stall.
+/// Moves the times of the latest reports forward by the time for which this process was stalled. Otherwise,
+/// machines whose reports waited unread during the stall would count as silent.
 void WorkerGateway::compensate_stall(Instant now) {
   const auto lost = listener_health_.on_tick(now, kTickInterval);
   if (!lost) return;
@@ -366,7 +368,7 @@
   return std::max(kMinSilence, std::min(reports, settings_.worker_lease));
 }
 
-/// Returns the time without a report after which one report is late.
+/// Returns the time without a report after which a worker's next report counts as late.
 Micros WorkerGateway::max_report_delay() const {
   return settings_.report_interval * 3 / 2 + kReportDelayMargin;
 }
--- a/src/worker_gateway/worker_poller.cpp
+++ b/src/worker_gateway/worker_poller.cpp
@@ -18,16 +18,16 @@
 
 namespace {
 
-/// Minimum limit of concurrent polls. A node that is short of processor time receives the responses later,
-/// and so polls more slowly.
+/// Lower bound of the limit on concurrent polls. A node that is short of processor time receives the
+/// responses later, and therefore polls more slowly.
 constexpr std::size_t kMinConcurrentPolls = 24;
 /// With many workers, this fraction of them is polled concurrently, so that polls that time out do not delay
 /// the others more than with few workers.
 constexpr std::size_t kConcurrentPollsDivisor = 40;
 constexpr Micros kPollTimeout = from_seconds(1);
 constexpr int kMaxPollAttempts = 3;
-/// Time for all polls to finish, and for a worker to report whose report to the previous leader must time out
-/// first.
+/// Minimum time before the poller gives up on workers. Within this time all polls finish, and workers report
+/// to this node even if their report to the previous leader has to time out first.
 constexpr Micros kMinPollTime = from_seconds(4.5);
 /// If more than one in this many workers is missing, a fault of this node is more likely.
 constexpr std::size_t kMaxMissingDivisor = 4;
