--- a/src/config_reader/config_reader.cpp
+++ b/src/config_reader/config_reader.cpp
@@ -51,7 +51,7 @@
 
 namespace {
 
-std::string place(const std::string& file, int line) {
+std::string location_prefix(const std::string& file, int line) {
   return file + ":" + std::to_string(line) + ": ";
 }
 
@@ -61,16 +61,16 @@
   try {
     return {YAML::Load(yaml), "", file};
   } catch (const YAML::Exception& exception) {
-    throw ConfigError(place(file, exception.mark.line + 1) + "not valid YAML: " + exception.msg);
+    throw ConfigError(location_prefix(file, exception.mark.line + 1) + "not valid YAML: " + exception.msg);
   }
 }
 
 void ConfigNode::fail(const std::string& what) const {
-  throw ConfigError(place(file_, line()) + (name_.empty() ? what : name_ + ": " + what));
+  throw ConfigError(location_prefix(file_, line()) + (name_.empty() ? what : name_ + ": " + what));
 }
 
 bool ConfigNode::has(const std::string& key) {
-  known_.insert(key);
+  known_fields_.insert(key);
   return node_.IsMap() && node_[key].IsDefined() && !node_[key].IsNull();
 }
 
@@ -84,13 +84,13 @@
   if (!node_.IsMap()) fail("must be a map of fields");
   for (const auto& field : node_) {
     const auto key = field.first.as<std::string>();
-    if (known_.contains(key)) continue;
+    if (known_fields_.contains(key)) continue;
     std::string names;
-    for (const std::string& known : known_) {
+    for (const std::string& known : known_fields_) {
       if (!names.empty()) names += ", ";
       names += known;
     }
-    std::string message = place(file_, field.first.Mark().line + 1);
+    std::string message = location_prefix(file_, field.first.Mark().line + 1);
     if (!name_.empty()) message += name_ + ": ";
     message += "unknown field '";
     message += key;
@@ -116,7 +116,7 @@
   for (const auto& entry : node_) {
     const auto key = entry.first.as<std::string>();
     ConfigNode node(entry.second, name_ + "." + key, file_);
-    // A file with two entries of one name is read by YAML as if only one were there.
+    // The YAML library accepts a duplicate name and would silently use only one of the entries.
     if (!names.insert(key).second) node.fail("is there twice");
     out.emplace_back(key, std::move(node));
   }
@@ -130,33 +130,33 @@
 
 std::string ConfigNode::one_of(const std::vector<std::string>& names) const {
   std::string chosen = text();
-  std::string all;
-  for (const std::string& n : names) {
-    if (n == chosen) return chosen;
-    all += (all.empty() ? "" : ", ") + n;
+  std::string allowed;
+  for (const std::string& name : names) {
+    if (name == chosen) return chosen;
+    allowed += (allowed.empty() ? "" : ", ") + name;
   }
-  fail("'" + chosen + "' is none of " + all);
+  fail("'" + chosen + "' is none of " + allowed);
 }
 
-double ConfigNode::number(double least, double most) const {
-  double n = 0;
+double ConfigNode::number(double min, double max) const {
+  double value = 0;
   try {
-    n = node_.as<double>();
+    value = node_.as<double>();
   } catch (const YAML::Exception&) {
     fail("must be a number without a unit");
   }
-  if (!std::isfinite(n) || n < least || n > most) {
+  if (!std::isfinite(value) || value < min || value > max) {
     std::ostringstream range;
-    range << "must be between " << least << " and " << most;
+    range << "must be between " << min << " and " << max;
     fail(range.str());
   }
-  return n;
+  return value;
 }
 
-int ConfigNode::integer(int least, int most) const {
-  const double n = number(least, most);
-  if (n != std::floor(n)) fail("must be a whole number");
-  return static_cast<int>(n);
+int ConfigNode::integer(int min, int max) const {
+  const double value = number(min, max);
+  if (value != std::floor(value)) fail("must be a whole number");
+  return static_cast<int>(value);
 }
 
 bool ConfigNode::boolean() const {
@@ -169,7 +169,7 @@
 
 Micros ConfigNode::duration() const {
   const auto parsed = node_.IsScalar() ? parse_duration(node_.Scalar()) : std::nullopt;
-  if (!parsed) fail("must be a time with its unit: ms, s, m or h, like 30s");
+  if (!parsed) fail("must be a duration with a unit (ms, s, m or h), such as 30s");
   return *parsed;
 }
 
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -15,9 +15,9 @@
 using worker_gateway::WorkerGateway;
 
 template <typename Event, typename Actor>
-void Controller::connect(runtime::EventSink<Event>& from, Actor& actor,
+void Controller::connect(runtime::EventSink<Event>& sink, Actor& actor,
                          void (Actor::*receive)(const Event&)) {
-  from.connect(runtime_, [&actor, receive](const Event& event) { (actor.*receive)(event); });
+  sink.connect(runtime_, [&actor, receive](const Event& event) { (actor.*receive)(event); });
 }
 
 Controller::Controller(runtime::Runtime& runtime, settings::Settings settings, topology_loader::Reader reader)
@@ -42,7 +42,7 @@
   connect_provisioner();
 }
 
-/// Who leads, and until when that is certain.
+/// Connects the events about the leader's term and lease.
 void Controller::connect_term() {
   connect(leadership_.term_changed, peer_, &Peer::on_term);
   connect(leadership_.term_changed, worker_gateway_, &WorkerGateway::on_term);
@@ -56,7 +56,7 @@
   connect(leadership_.stepping_down, peer_, &Peer::on_stepping_down);
 }
 
-/// What a standby copies from the leader, and what a new leader inherits from that.
+/// Connects the events that replicate the leader's state to standbys and pass it to a new leader.
 void Controller::connect_standby() {
   connect(peer_.heartbeat_sent, standby_, &StandbyReplica::on_heartbeat_sent);
   connect(peer_.attachment_received, standby_, &StandbyReplica::on_attachment);
@@ -71,6 +71,7 @@
   connect(provisioner_.rental_hints, standby_, &StandbyReplica::on_rental_hints);
 }
 
+/// Connects the events about loaded and activated topologies.
 void Controller::connect_topology() {
   connect(topology_loader_.topology_loaded, leadership_, &Leadership::on_topology_loaded);
   connect(topology_loader_.topology_loaded, peer_, &Peer::on_topology_loaded);
@@ -80,12 +81,13 @@
   connect(leadership_.topology_activated, leader_, &LeaderActor::on_topology);
 }
 
-/// What the controllers learn from each other, and what is known of cancellations.
+/// Connects the events from other controllers and the events about cancellations.
 void Controller::connect_peers() {
   connect(kv_client_.health, peer_, &Peer::on_health);
   connect(peer_.peer_status, leadership_, &Leadership::on_peer_status);
   connect(peer_.peer_status, job_api_, &JobApi::on_peer_status);
-  // First what is cancelled, then how much of that is known: Peer sends in that order.
+  // Peer sends job_cancelled before cancellations_known, so that the cancellations arrive before the event
+  // that declares them complete.
   connect(peer_.job_cancelled, leader_, &LeaderActor::on_job_cancelled);
   connect(peer_.job_cancelled, worker_gateway_, &WorkerGateway::on_job_cancelled);
   connect(peer_.cancellations_known, worker_gateway_, &WorkerGateway::on_cancellations_known);
@@ -93,9 +95,9 @@
   connect(standby_.cancellations_read, peer_, &Peer::on_cancellations_read);
 }
 
-/// What users are told, and what that is decided by.
+/// Connects the job API, which answers users, and the events on which its answers depend.
 void Controller::connect_job_api() {
-  // The peers know of anything new before a user is told.
+  // A stage is announced to the peers before a user gets the answer.
   connect(job_api_.stage_announcement, peer_, &Peer::on_announcement);
   connect(peer_.stage_announced, job_api_, &JobApi::on_stage_announced);
   connect(peer_.stage_confirmed, job_api_, &JobApi::on_stage_confirmed);
@@ -109,6 +111,7 @@
   connect(peer_.progress, job_api_, &JobApi::on_progress);
 }
 
+/// Connects the events about workers and their reachability.
 void Controller::connect_workers() {
   connect(worker_gateway_.worker_reported, leader_, &LeaderActor::on_report);
   connect(worker_gateway_.machines_suspected, leader_, &LeaderActor::on_machines_suspected);
@@ -120,6 +123,7 @@
   connect(worker_gateway_.leadership_lost, leadership_, &Leadership::on_leadership_lost);
 }
 
+/// Connects the leader's output to the provisioner, the worker gateway and the leadership.
 void Controller::connect_leader() {
   connect(leader_.workload, provisioner_, &Provisioner::on_workload);
   connect(leader_.direct_commands, worker_gateway_, &WorkerGateway::on_direct_commands);
@@ -127,6 +131,7 @@
   connect(leader_.machine_suspect, provisioner_, &Provisioner::on_machine_suspect);
 }
 
+/// Connects the events about the catalog and rented machines.
 void Controller::connect_provisioner() {
   connect(provisioner_.catalog_updated, job_api_, &JobApi::on_catalog_updated);
   connect(provisioner_.catalog_updated, leader_, &LeaderActor::on_catalog);
@@ -149,11 +154,11 @@
   provisioner_.start();
 }
 
-void Controller::serve_client(const Request& request, const Responder& answer) {
+void Controller::serve_client(const Request& request, const Responder& responder) {
   if (request.target == "/hello") {
-    worker_gateway_.on_report(request, answer);
+    worker_gateway_.on_report(request, responder);
   } else {
-    job_api_.serve(request, answer);
+    job_api_.serve(request, responder);
   }
 }
 
--- a/src/controller/include/wrenusher/controller/controller.hpp
+++ b/src/controller/include/wrenusher/controller/controller.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// Package controller: one controller node, put together from its actors. It is the only package that knows
-// them all, and may depend on every package but net.
+// Package controller: assembles one controller node from its actors. It is the only package that depends on
+// all actors, and it may depend on every package except net.
 
 #include <string>
 
@@ -18,38 +18,40 @@
 
 namespace wrenusher::controller {
 
-/// One controller node: owns the actors and connects their events. Actors never call each other; an event
-/// goes through the runtime's queue and arrives in the order in which it was sent.
+/// One controller node: owns the actors and connects their events. Actors never call each other. Events go
+/// through the runtime's queue and are delivered in the order in which they were sent.
 ///
-/// `runtime` must outlive it. Single-threaded: called from the runtime's loop only.
+/// `runtime` must outlive the controller. Not thread-safe: all calls must come from the runtime's event loop.
 class Controller {
  public:
-  /// `reader`: how the operators' topology file is read, where the settings name one.
+  /// `reader` reads the operators' topology file, if the settings name one.
   Controller(runtime::Runtime& runtime, settings::Settings settings,
              topology_loader::Reader reader = config_reader::read_file);
 
-  /// Starts all actors; to be called once.
+  /// Starts all actors. Must be called exactly once.
   void start();
 
-  /// A request on `client_listen`: a user's, a worker's or a health check.
-  void serve_client(const runtime::Request& request, const runtime::Responder& answer);
-  /// A request on `peer_listen`.
-  void serve_peer(const runtime::Request& request, const runtime::Responder& answer) {
-    peer_.serve(request, answer);
+  /// Handles a request on `client_listen`, from a user, a worker or a health check.
+  void serve_client(const runtime::Request& request, const runtime::Responder& responder);
+  /// Handles a request on `peer_listen`, from another controller.
+  void serve_peer(const runtime::Request& request, const runtime::Responder& responder) {
+    peer_.serve(request, responder);
   }
 
-  /// Whether this node is certain now to be the only leader.
+  /// Returns whether this node holds a valid lease, so that it is certainly the only leader at this moment.
   [[nodiscard]] bool lease_valid() const { return leadership_.lease_valid(); }
-  /// How long the parts of each of this node's failovers took, once the last part is over.
+  /// Returns the sink of the failover durations of this node: one event per failover, sent after its last
+  /// phase.
   runtime::EventSink<events::FailoverTimes>& failover_finished() { return leader_.failover_finished; }
-  /// How much of what a leader knows this node has.
+  /// Returns how complete this node's replica of the leader's state is.
   [[nodiscard]] events::Readiness readiness() const { return standby_.readiness(); }
-  /// For checks: where the leader's job table contradicts itself; empty: nowhere.
+  /// Returns a description of the first inconsistency in the leader's job table, or an empty string. For
+  /// checks.
   [[nodiscard]] std::string disagreement() const { return leader_.disagreement(); }
 
  private:
-  // The connections, by the actors or the topic that they are about. The order of connections with one sink
-  // is the order of delivery.
+  // The connections, grouped by actor or topic. Each sink delivers an event in the order in which its
+  // receivers were connected.
   void connect_term();
   void connect_standby();
   void connect_topology();
@@ -58,9 +60,9 @@
   void connect_workers();
   void connect_leader();
   void connect_provisioner();
-  /// Delivers the events of a sink to a member function of an actor.
+  /// Connects a sink to a member function of an actor.
   template <typename Event, typename Actor>
-  void connect(runtime::EventSink<Event>& from, Actor& actor, void (Actor::*receive)(const Event&));
+  void connect(runtime::EventSink<Event>& sink, Actor& actor, void (Actor::*receive)(const Event&));
 
   runtime::Runtime& runtime_;
   settings::Settings settings_;
--- a/src/domain_failure_detector/domain_failure_detector.cpp
+++ b/src/domain_failure_detector/domain_failure_detector.cpp
@@ -67,7 +67,7 @@
   for (const DomainMember& member : members) {
     const bool is_late = now - member.last_report_at > lateness;
     for (const DomainId id : member.location->by_level) {
-      if (id == topology::kNowhere) continue;
+      if (id == topology::kNoDomain) continue;
       ++tallies[id].machines;
       tallies[id].late += is_late ? 1 : 0;
     }
@@ -120,7 +120,7 @@
 }
 
 bool DomainFailureDetector::ancestor_lost(DomainId id) const {
-  for (DomainId parent = topology_->domain(id).parent; parent != topology::kNowhere;
+  for (DomainId parent = topology_->domain(id).parent; parent != topology::kNoDomain;
        parent = topology_->domain(parent).parent) {
     const auto it = domains_.find(parent);
     if (it != domains_.end() && it->second.lost) return true;
--- a/src/job_api/submission_handler.cpp
+++ b/src/job_api/submission_handler.cpp
@@ -77,7 +77,7 @@
   if (!spec.layout) return std::nullopt;
   if (!topology_.topology)
     return InvalidField{"layout", "its layout requires failure domains, but no topology is configured"};
-  return topology_.topology->never_holds(spec, catalog);
+  return topology_.topology->unsatisfiable_field(spec, catalog);
 }
 
 void SubmissionHandler::commit(const std::string& job_id, const Value& record, const Responder& answer) {
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -32,7 +32,7 @@
   try {
     return fmt::vformat(fmt::string_view(text.data(), text.size()), args);
   } catch (const fmt::format_error&) {
-    // A mistake in a line of log is no reason to end.
+    // A mistake in the text of a log line must not end the process.
     return std::string(text);
   }
 }
@@ -62,8 +62,8 @@
     return json.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
   };
   std::string out = "\"event\":" + dump(event) + ",\"message\":" + dump(text);
-  const std::string rest = dump(*json_);
-  if (!json_->empty()) out += "," + rest.substr(1, rest.size() - 2);
+  const std::string fields = dump(*json_);
+  if (!json_->empty()) out += "," + fields.substr(1, fields.size() - 2);
   return out;
 }
 
--- a/src/placement/include/wrenusher/placement/plan_types.hpp
+++ b/src/placement/include/wrenusher/placement/plan_types.hpp
@@ -107,7 +107,7 @@
   bool operator==(const PlanMachine&) const = default;
   /// Returns the machine's domain at a level of the topology.
   topology::DomainId domain(int level) const {
-    return location == nullptr ? topology::kNowhere : location->domain_at(level);
+    return location == nullptr ? topology::kNoDomain : location->domain_at(level);
   }
 };
 
--- a/src/provisioner/provisioner.cpp
+++ b/src/provisioner/provisioner.cpp
@@ -250,8 +250,8 @@
   for (const auto& [host, machine] : machines_.by_host()) {
     const auto it = catalog->find(machine.machine_class.machine_type);
     if (it != catalog->end())
-      costs_.spend(hours, it->second, machine.machine_class.spot,
-                   {machine.up, machine.reserved, machine.working});
+      costs_.add_cost(hours, it->second, machine.machine_class.spot,
+                      {machine.up, machine.reserved, machine.working});
   }
   costs_.log_if_due(runtime_.now());
 }
--- a/src/runtime/include/wrenusher/runtime/error_response.hpp
+++ b/src/runtime/include/wrenusher/runtime/error_response.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// The answers that refuse: each tells which rule, which field, in one sentence, and when to come back.
+// Error responses: each names the error, the field at fault and when the caller should retry.
 
 #include <string>
 
@@ -7,16 +7,17 @@
 
 namespace wrenusher::runtime {
 
-/// The body of a refusal is a map: `code` (stable, listed in docs/operations.md), `error` (one plain
-/// sentence), `field` (the field or name at fault, where there is one) and `retry_after_s` (where it is to be
-/// asked again; the header says the same).
+/// The contents of an error response. Its body is a map: `code` (stable, listed in docs/operations.md),
+/// `error` (one plain sentence), `field` (the field or name at fault, if there is one) and `retry_after_s`
+/// (if the caller should retry; equal to the Retry-After header).
 struct ErrorResponse {
   int status = 0;
   const char* code = "";
   std::string error;
   std::string field;
-  int retry_after_s = 0;  ///< 0: asking again does not help, or the caller knows when
+  int retry_after_s = 0;  ///< 0: a retry does not help, or the caller has its own retry time
 };
-Response error_response(const ErrorResponse& refusal);
+/// Returns the HTTP response for an error.
+Response error_response(const ErrorResponse& error);
 
 }  // namespace wrenusher::runtime
--- a/src/settings/include/wrenusher/settings/settings.hpp
+++ b/src/settings/include/wrenusher/settings/settings.hpp
@@ -1,6 +1,7 @@
 #pragma once
-// Package settings: the settings file that the platform hands over (JSON) and the operators' own tunables
-// (YAML), read once and checked whole. It may depend on base.
+// Package settings: reads and validates the settings file that the platform provides (JSON) and the tunables
+// that operators write (YAML). Both are read once, at startup. It may depend on time, value,
+// runtime and config_reader.
 
 #include <stdexcept>
 #include <string>
@@ -13,15 +14,18 @@
 using namespace time;
 using namespace runtime;
 
+/// The quotas of a team.
 struct Team {
   std::string name;
-  double cores = 0;      ///< guaranteed; 0: none
-  double cores_max = 0;  ///< ceiling; 0: none
-  double gpus = 0;
-  double gpus_max = 0;
+  double cores = 0;      ///< guaranteed cores; 0: none
+  double cores_max = 0;  ///< upper limit; 0: none
+  double gpus = 0;       ///< guaranteed GPUs; 0: none
+  double gpus_max = 0;   ///< upper limit; 0: none
 };
 
-/// An aim for one class of jobs: done by `times` its due time (deadline) or within a fixed time (finished).
+/// A service level objective for one class of jobs. The kind "deadline" requires that a job finishes within
+/// `deadline_factor` times its deadline, "finished" that it finishes within the time `within`, and "wait"
+/// that it starts within the time `within`.
 struct Objective {
   std::string kind;
   std::string job_class;
@@ -29,23 +33,25 @@
   Micros within{};
 };
 
+/// Another controller of the cluster.
 struct PeerAddress {
   std::string name;
   std::string zone;
   Endpoint address;
 };
 
-/// Values that operators may change in their own YAML file.
+/// Values that operators may change in the tunables file (YAML).
 struct Tunables {
   Micros leader_lease = from_millis(4000);
   Micros scheduling_interval = from_millis(200);
-  Micros idle_return = from_seconds(30);
-  double silent_reports = 2.5;
-  double slow_boot_factor = 2.5;
-  bool warm_standby = true;  ///< nodes that do not lead hold ready what the leader knows
-  std::string topology;      ///< path of the operators' map of failure domains; empty: none
+  Micros idle_return = from_seconds(30);  ///< an idle spot machine is returned after this time
+  double silent_reports = 2.5;            ///< a worker is silent after this many report intervals
+  double slow_boot_factor = 2.5;          ///< boot timeout as a multiple of the machine type's boot time
+  bool warm_standby = true;               ///< followers keep a replica of the leader's state
+  std::string topology;                   ///< path of the topology file (failure domains); empty: none
 };
 
+/// The settings of one controller.
 struct Settings {
   std::string node;
   std::string zone;
@@ -57,37 +63,40 @@
   std::vector<std::string> zones;
   std::vector<Team> teams;
   std::vector<Objective> objectives;
-  Micros report_interval{};
+  Micros report_interval{};  ///< between two reports of a worker
   Micros worker_lease{};
   Micros gang_start_timeout{};
   Micros gang_peer_timeout{};
   Micros cancel_deadline{};
-  double state_rps = 0;
-  double state_write_rps = 0;
+  double state_rps = 0;        ///< limit of the state service, in requests per second
+  double state_write_rps = 0;  ///< limit of the state service, in writes per second
   double value_kb = 0;
   std::size_t txn_ops = 0;
-  double cloud_rps = 0;
-  Micros list_lag{};
+  double cloud_rps = 0;  ///< limit of the cloud, in requests per second
+  Micros list_lag{};     ///< maximum delay until the cloud's list shows a change
   int max_sockets = 0;
   Tunables tunables;
 
+  /// Returns the team of this name, or nullptr.
   const Team* team(const std::string& name) const;
-  /// Somebody follows who leads, and may take over with what the leader knows.
+  /// Returns whether there are followers that keep a replica of the leader's state for a failover.
   bool has_standby() const { return tunables.warm_standby && !peers.empty(); }
 };
 
-/// A mistake in a settings file; what() is one line that names the field.
+/// An error in a settings file; what() is one line that names the field.
 struct SettingsError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-/// Reads and checks the settings file's text (JSON). Throws SettingsError, which names the first wrong field.
+/// Parses and validates the text of the settings file (JSON). Throws SettingsError, which names the
+/// first invalid field.
 Settings parse_settings(const std::string& text);
-/// Likewise from a file.
+/// Reads, parses and validates the settings file at `path`. Throws SettingsError.
 Settings load_settings(const std::string& path);
-/// Reads and checks the operators' own settings (YAML). Throws SettingsError.
+/// Parses and validates the text of the tunables file (YAML). Throws SettingsError.
 Tunables parse_tunables(const std::string& text);
-/// Likewise from a file; a relative path of the topology is taken from that file's folder.
+/// Reads, parses and validates the tunables file at `path`. A relative path of the topology file is resolved
+/// against the directory of the tunables file. Throws SettingsError.
 Tunables load_tunables(const std::string& path);
 
 }  // namespace wrenusher::settings
--- a/src/topology/include/wrenusher/topology/topology.hpp
+++ b/src/topology/include/wrenusher/topology/topology.hpp
@@ -1,8 +1,10 @@
 #pragma once
-// Package topology: the operators' map of failure domains, read from their file and checked whole: which
-// levels there are (zone, room, switch, rack, or whatever they name), which domain is inside which, which
-// machines belong where, and which machines carry named devices. A topology never changes; a newer version is
-// another object. It may depend on base, fields, settings and protocol.
+// Package topology: the failure domains of the cluster, parsed from the operators' topology file and
+// validated as a whole. A topology defines the levels (such as zone, room, switch and rack), the tree of
+// domains, which machines belong to which domain, and which machines have named devices.
+//
+// A Topology object is immutable; a newer version of the file becomes another object. The package may depend
+// on time, value, runtime, config_reader, settings and protocol.
 
 #include <cstdint>
 #include <map>
@@ -21,135 +23,147 @@
 using namespace runtime;
 using namespace protocol;
 
-/// Counts from 1; 0 is the one domain of all machines that belong to none.
+/// The index of a domain, counted from 1. Machines that belong to no domain have the id kNoDomain.
 using DomainId = std::uint32_t;
-inline constexpr DomainId kNowhere = 0;
+inline constexpr DomainId kNoDomain = 0;
 
-/// Where a machine is, and what it carries.
+/// The domains and the devices of a machine.
 struct MachineLocation {
-  DomainId leaf = kNowhere;
-  std::vector<DomainId> by_level;                ///< one for each level; empty: nowhere
+  DomainId leaf = kNoDomain;
+  std::vector<DomainId> by_level;                ///< one for each level; empty: no domain
   std::map<std::string, std::uint32_t> devices;  ///< name -> count
+  /// Returns the machine's domain at a level, or kNoDomain.
   DomainId domain_at(int level) const {
     return level >= 0 && static_cast<std::size_t>(level) < by_level.size()
                ? by_level[static_cast<std::size_t>(level)]
-               : kNowhere;
+               : kNoDomain;
   }
   bool operator==(const MachineLocation&) const = default;
 };
 
-/// Which machines are meant: all that is said must hold.
+/// Selects machines: a machine matches if it satisfies all fields that are set.
 struct Pattern {
   std::optional<std::pair<std::uint32_t, std::uint32_t>> addresses;  ///< first and last IPv4 address
-  std::string host;  ///< with * for any text and ? for any character; empty: any
-  std::string machine_type;
-  std::string zone;
-  int line = 0;
-  std::string text;  ///< as written
+  std::string host;          ///< glob: * matches any text, ? any character; empty: any host
+  std::string machine_type;  ///< empty: any type
+  std::string zone;          ///< empty: any zone
+  int line = 0;              ///< of the pattern in the file
+  std::string text;          ///< the pattern as written in the file
   bool operator==(const Pattern&) const = default;
 
+  /// Returns whether the pattern selects a machine.
   bool matches(const std::string& host_name, std::uint32_t ip, const std::string& type,
                const std::string& machine_zone) const;
-  /// Some machine could match both, and neither goes before the other: a pattern with an address does before
-  /// one without.
+  /// Returns whether a machine could match both patterns with equal priority. A pattern with an address has
+  /// priority over one without, so these two kinds never overlap.
   bool overlaps(const Pattern& other) const;
-  /// How many machines can match; nothing where that is not bounded.
+  /// Returns how many machines can match at most, or nullopt if the number is unbounded.
   std::optional<std::uint64_t> max_machines() const;
-  /// A machine of this type and zone that is yet to be rented may match: its name is not known before.
+  /// Returns whether a machine of this type and zone that is rented in the future may match. Its name and
+  /// address are unknown before the rental, so a pattern for exactly one name or address does not count.
   bool may_match_rental(const std::string& type, const std::string& machine_zone) const;
 };
 
+/// A failure domain.
 struct Domain {
   std::string name;
-  int level = 0;
-  DomainId parent = kNowhere;
-  std::vector<DomainId> children;  ///< directly
+  int level = 0;  ///< index in Topology::levels()
+  DomainId parent = kNoDomain;
+  std::vector<DomainId> children;  ///< direct children only
   std::vector<Pattern> machines;
-  int line = 0;
+  int line = 0;  ///< of the domain in the file
 };
 
-/// What controllers compare: a changed file has another digest, and must have a higher version.
+/// Identifies a version of the topology file. Controllers compare it: a changed file has another digest and
+/// must have a higher version.
 struct TopologyVersion {
   std::uint64_t version = 0;  ///< 0: no topology
   std::uint64_t digest = 0;
   bool operator==(const TopologyVersion&) const = default;
 };
-/// "4 (0123456789abcdef)", or "none".
+/// Returns text such as "4 (0123456789abcdef)", or "none" if there is no topology.
 std::string to_text(const TopologyVersion& version);
 
+/// An immutable tree of failure domains with the machines and devices in them.
 class Topology {
  public:
-  /// Throws config_reader::ConfigError: one line with file, line and field.
+  /// Parses and validates the text of a topology file. Throws config_reader::ConfigError, whose message is
+  /// one line with file, line and field.
   static std::shared_ptr<const Topology> parse(const std::string& yaml, const std::string& file);
 
   const TopologyVersion& version() const { return version_; }
+  /// Returns the names of the levels, the widest first.
   const std::vector<std::string>& levels() const { return levels_; }
-  /// -1 where there is no such level.
+  /// Returns the index of a level, or -1 if there is no level of this name.
   int level(const std::string& name) const;
-  /// By id, from 1; the one at 0 stands for nowhere.
+  /// Returns the domains, indexed by id. The entry at 0 is a placeholder for kNoDomain.
   const std::vector<Domain>& domains() const { return domains_; }
   const Domain& domain(DomainId id) const { return domains_.at(id); }
-  /// The name of the domain's level; not for nowhere.
+  /// Returns the name of the domain's level. `id` must not be kNoDomain.
   const std::string& level_of(DomainId id) const;
-  /// "zone-a > switch-1 > rack-3".
+  /// Returns the path from the widest domain, such as "zone-a > switch-1 > rack-3".
   std::string path(DomainId id) const;
-  /// The domain itself or one that it is inside of, at that level; nowhere if there is none.
+  /// Returns the domain itself or its ancestor at the given level, or kNoDomain if there is none.
   DomainId ancestor_at(DomainId id, int level) const;
 
-  /// `addr` with or without a port.
+  /// Returns the domains and devices of a machine. `address` may have a port.
   MachineLocation find(const std::string& host, const std::string& address, const std::string& machine_type,
                        const std::string& zone) const;
 
-  /// Why the layout can never hold with these machine types; nothing when it can, or when there is none.
-  std::optional<InvalidField> never_holds(const JobSpec& spec, const Catalog& catalog) const;
-  /// A machine of this type and zone, yet to be rented, may come to stand in the domain.
+  /// Returns the field of the job's layout that no placement on these machine types can ever satisfy, with
+  /// the reason. Returns nullopt if there is no such field or no layout.
+  std::optional<InvalidField> unsatisfiable_field(const JobSpec& spec, const Catalog& catalog) const;
+  /// Returns whether a machine of this type and zone that is rented in the future may belong to the domain.
   bool may_gain_machine(DomainId id, const std::string& machine_type, const std::string& zone) const;
-  /// Likewise, with a device of this name on it.
+  /// Returns whether a machine of this type and zone that is rented in the future may have the device.
   bool may_gain_device(const std::string& device, const std::string& machine_type,
                        const std::string& zone) const;
 
-  /// What each pattern matches, for people; a line a domain and a device.
+  /// Returns a text for operators that lists the levels, the domains and the devices, and what each pattern
+  /// matches.
   std::string describe() const;
 
  private:
   struct Device {
-    Pattern on;
-    std::uint32_t count = 0;
+    Pattern machines;         ///< that have the device
+    std::uint32_t count = 0;  ///< on each machine
   };
   void read_domains(config_reader::ConfigNode& top);
   void read_devices(config_reader::ConfigNode& top);
   void check_tree(const std::map<std::string, config_reader::ConfigNode>& nodes);
   void check_overlaps(const std::string& file) const;
+  /// Fills address_ranges_ and patterns_without_address_ from the domains.
   void index();
-  std::optional<InvalidField> spread_never_holds(const JobSpec& spec) const;
-  std::optional<InvalidField> together_never_holds(const JobSpec& spec, const Catalog& catalog) const;
-  std::optional<InvalidField> devices_never_hold(const JobSpec& spec) const;
-  /// How many tasks of the job a domain could hold at most; nothing where that is not bounded.
+  std::optional<InvalidField> unsatisfiable_spread(const JobSpec& spec) const;
+  std::optional<InvalidField> unsatisfiable_colocation(const JobSpec& spec, const Catalog& catalog) const;
+  std::optional<InvalidField> unsatisfiable_devices(const JobSpec& spec) const;
+  /// Returns how many tasks of the job fit into a domain at most, or nullopt if the number is unbounded.
   std::optional<std::uint64_t> capacity(DomainId id, const JobSpec& spec, const Catalog& catalog) const;
-  /// The leaves at or inside the domain.
+  /// Returns the domains without children in the subtree of `id`, which may be `id` itself.
   std::vector<DomainId> leaves(DomainId id) const;
 
   TopologyVersion version_;
   std::vector<std::string> levels_;
   std::vector<Domain> domains_;
   std::map<std::string, std::vector<Device>> devices_;
-  /// Patterns with addresses by their first one, with the highest last one so far; those without follow.
-  struct Ranged {
+  /// A pattern with addresses, for the binary search in `find`.
+  struct AddressRange {
     std::uint32_t first;
     std::uint32_t last;
-    std::uint32_t last_so_far;
+    std::uint32_t last_so_far;  ///< highest last address of this range and all before it
     DomainId leaf;
     const Pattern* pattern;
   };
-  std::vector<Ranged> address_ranges_;
+  std::vector<AddressRange> address_ranges_;  ///< sorted by first address
   std::vector<std::pair<DomainId, const Pattern*>> patterns_without_address_;
 };
 
-/// "10.1.0.7" or "10.1.0.7:8080"; nothing when it is no IPv4 address.
+/// Parses an IPv4 address with or without a port, such as "10.1.0.7" or "10.1.0.7:8080". Returns nullopt if
+/// the text is not one.
 std::optional<std::uint32_t> parse_ip(const std::string& text);
-/// Whether a name matches a pattern with * and ?.
+/// Returns whether a name matches a glob pattern with * and ?.
 bool glob(const std::string& pattern, const std::string& name);
-/// Whether some name matches both patterns.
-bool globs_meet(const std::string& a, const std::string& b);
+/// Returns whether at least one name matches both glob patterns.
+bool globs_overlap(const std::string& a, const std::string& b);
 
 }  // namespace wrenusher::topology
--- a/src/topology/topology.cpp
+++ b/src/topology/topology.cpp
@@ -21,7 +21,7 @@
          std::to_string((ip >> 8U) & 255U) + "." + std::to_string(ip & 255U);
 }
 
-bool exact(const std::string& pattern) {
+bool is_exact_name(const std::string& pattern) {
   return !pattern.empty() && pattern.find_first_of("*?") == std::string::npos;
 }
 
@@ -30,17 +30,19 @@
   const auto slash = text.find('/');
   const auto ip = config_reader::parse_ipv4(text.substr(0, slash));
   int bits = 32;
-  char more = 0;
-  if (!ip || (slash != std::string::npos &&
-              (std::sscanf(text.c_str() + slash + 1, "%2d%c", &bits, &more) != 1 || bits < 0 || bits > 32)))
+  char trailing = 0;
+  if (!ip ||
+      (slash != std::string::npos &&
+       (std::sscanf(text.c_str() + slash + 1, "%2d%c", &bits, &trailing) != 1 || bits < 0 || bits > 32)))
     node.fail("must be an IPv4 address or range, like 10.1.0.0/24");
-  const std::uint32_t host = bits == 0 ? ~0U : bits == 32 ? 0U : ~0U >> static_cast<unsigned>(bits);
-  if ((*ip & host) != 0)
-    node.fail("has bits set behind the /" + std::to_string(bits) + "; is " + dotted(*ip & ~host) + " meant?");
-  return {*ip, *ip | host};
+  const std::uint32_t host_bits = bits == 0 ? ~0U : bits == 32 ? 0U : ~0U >> static_cast<unsigned>(bits);
+  if ((*ip & host_bits) != 0)
+    node.fail("has bits set behind the /" + std::to_string(bits) + "; is " + dotted(*ip & ~host_bits) +
+              " meant?");
+  return {*ip, *ip | host_bits};
 }
 
-/// What is left in the map is the caller's.
+/// Reads the pattern fields of a map. The caller reads its other fields and rejects unknown ones.
 Pattern read_pattern(ConfigNode& node) {
   Pattern pattern;
   pattern.line = node.line();
@@ -65,48 +67,51 @@
 }
 
 bool glob(const std::string& pattern, const std::string& name) {
-  // One * to go back to is enough: a later one makes the earlier free.
-  std::size_t p = 0, n = 0, star = std::string::npos, from = 0;
-  while (n < name.size()) {
-    if (p < pattern.size() && (pattern[p] == '?' || (pattern[p] == name[n] && pattern[p] != '*'))) {
-      ++p;
-      ++n;
-    } else if (p < pattern.size() && pattern[p] == '*') {
-      star = p++;
-      from = n;
-    } else if (star != std::string::npos) {
-      p = star + 1;
-      n = ++from;
+  // Backtracking to the last * is enough: once it is reached, the text matched by earlier ones is final.
+  std::size_t pattern_pos = 0, name_pos = 0, star_pos = std::string::npos, star_match_end = 0;
+  while (name_pos < name.size()) {
+    if (pattern_pos < pattern.size() &&
+        (pattern[pattern_pos] == '?' ||
+         (pattern[pattern_pos] == name[name_pos] && pattern[pattern_pos] != '*'))) {
+      ++pattern_pos;
+      ++name_pos;
+    } else if (pattern_pos < pattern.size() && pattern[pattern_pos] == '*') {
+      star_pos = pattern_pos++;
+      star_match_end = name_pos;
+    } else if (star_pos != std::string::npos) {
+      pattern_pos = star_pos + 1;
+      name_pos = ++star_match_end;
     } else {
       return false;
     }
   }
-  while (p < pattern.size() && pattern[p] == '*') ++p;
-  return p == pattern.size();
+  while (pattern_pos < pattern.size() && pattern[pattern_pos] == '*') ++pattern_pos;
+  return pattern_pos == pattern.size();
 }
 
-bool globs_meet(const std::string& a, const std::string& b) {
-  // reach[j]: some text matches a up to here and b up to j.
-  std::vector<bool> reach(b.size() + 1);
+bool globs_overlap(const std::string& a, const std::string& b) {
+  // reachable[j]: some text matches both the first i characters of `a` and the first j characters of `b`.
+  std::vector<bool> reachable(b.size() + 1);
   for (std::size_t i = 0; i <= a.size(); ++i) {
     std::vector<bool> next(b.size() + 1);
     for (std::size_t j = 0; j <= b.size(); ++j) {
-      bool r = i == 0 && j == 0;
-      if (i > 0 && a[i - 1] == '*') r = r || reach[j];
-      if (j > 0 && b[j - 1] == '*') r = r || next[j - 1];
+      bool is_reachable = i == 0 && j == 0;
+      if (i > 0 && a[i - 1] == '*') is_reachable = is_reachable || reachable[j];
+      if (j > 0 && b[j - 1] == '*') is_reachable = is_reachable || next[j - 1];
       if (i > 0 && j > 0) {
-        const char x = a[i - 1];
-        const char y = b[j - 1];
-        // A * on either side also takes one character of the other and stays.
-        if (x == '*') r = r || next[j - 1];
-        if (y == '*') r = r || reach[j];
-        if (x != '*' && y != '*' && (x == y || x == '?' || y == '?')) r = r || reach[j - 1];
+        const char char_a = a[i - 1];
+        const char char_b = b[j - 1];
+        // A * on one side may also consume one character of the other side and remain active.
+        if (char_a == '*') is_reachable = is_reachable || next[j - 1];
+        if (char_b == '*') is_reachable = is_reachable || reachable[j];
+        if (char_a != '*' && char_b != '*' && (char_a == char_b || char_a == '?' || char_b == '?'))
+          is_reachable = is_reachable || reachable[j - 1];
       }
-      next[j] = r;
+      next[j] = is_reachable;
     }
-    reach = std::move(next);
+    reachable = std::move(next);
   }
-  return reach[b.size()];
+  return reachable[b.size()];
 }
 
 bool Pattern::matches(const std::string& host_name, std::uint32_t ip, const std::string& type,
@@ -118,7 +123,7 @@
 }
 
 bool Pattern::overlaps(const Pattern& other) const {
-  // An address goes before a name, so that of the two one is always right.
+  // A pattern with an address has priority over one without, so the two are never ambiguous.
   if (addresses.has_value() != other.addresses.has_value()) return false;
   if (addresses && other.addresses &&
       (addresses->second < other.addresses->first || other.addresses->second < addresses->first))
@@ -126,17 +131,17 @@
   if (!machine_type.empty() && !other.machine_type.empty() && machine_type != other.machine_type)
     return false;
   if (!zone.empty() && !other.zone.empty() && zone != other.zone) return false;
-  return host.empty() || other.host.empty() || globs_meet(host, other.host);
+  return host.empty() || other.host.empty() || globs_overlap(host, other.host);
 }
 
 std::optional<std::uint64_t> Pattern::max_machines() const {
-  if (exact(host)) return 1;
+  if (is_exact_name(host)) return 1;
   if (addresses) return std::uint64_t{addresses->second} - addresses->first + 1;
   return std::nullopt;
 }
 
 bool Pattern::may_match_rental(const std::string& type, const std::string& machine_zone) const {
-  if (exact(host) || (addresses && addresses->first == addresses->second)) return false;
+  if (is_exact_name(host) || (addresses && addresses->first == addresses->second)) return false;
   return (machine_type.empty() || machine_type == type) && (zone.empty() || zone == machine_zone);
 }
 
@@ -147,7 +152,7 @@
   return std::to_string(version.version) + " (" + digest + ")";
 }
 
-// ---------------------------------------------------------------- reading
+// ---------------------------------------------------------------- parsing
 
 std::shared_ptr<const Topology> Topology::parse(const std::string& yaml, const std::string& file) {
   ConfigNode top = ConfigNode::root(yaml, file);
@@ -157,12 +162,12 @@
   std::set<std::string> names;
   for (const ConfigNode& node : top["levels"].items()) {
     topology->levels_.push_back(node.text());
-    if (!names.insert(node.text()).second) node.fail("the level '" + node.text() + "' is there twice");
+    if (!names.insert(node.text()).second) node.fail("the level '" + node.text() + "' occurs twice");
   }
   if (topology->levels_.empty() || topology->levels_.size() > kMaxLevels)
     top["levels"].fail("must name 1 to 16 levels");
   topology->domains_.emplace_back();
-  topology->domains_[kNowhere].name = "nowhere";
+  topology->domains_[kNoDomain].name = "nowhere";
   topology->read_domains(top);
   if (top.has("devices")) topology->read_devices(top);
   top.reject_unknown_fields();
@@ -175,31 +180,31 @@
   std::map<std::string, DomainId> ids;
   std::map<std::string, ConfigNode> nodes;
   auto entries = top["domains"].entries();
-  if (entries.size() > kMaxDomains) top["domains"].fail("must be 20000 at most");
-  for (auto& [name, n] : entries) {
+  if (entries.size() > kMaxDomains) top["domains"].fail("must have at most 20000 entries");
+  for (auto& [name, node] : entries) {
     Domain domain;
     domain.name = name;
-    domain.line = n.line();
-    const std::string level_name = n["level"].text();
+    domain.line = node.line();
+    const std::string level_name = node["level"].text();
     domain.level = level(level_name);
-    if (domain.level < 0) n["level"].fail("'" + level_name + "' is none of the levels");
-    if (n.has("machines")) {
-      for (ConfigNode& node : n["machines"].items()) {
-        domain.machines.push_back(read_pattern(node));
-        node.reject_unknown_fields();
+    if (domain.level < 0) node["level"].fail("'" + level_name + "' is none of the levels");
+    if (node.has("machines")) {
+      for (ConfigNode& pattern_node : node["machines"].items()) {
+        domain.machines.push_back(read_pattern(pattern_node));
+        pattern_node.reject_unknown_fields();
       }
     }
-    n.has("in");
-    n.reject_unknown_fields();
+    node.has("in");
+    node.reject_unknown_fields();
     ids[name] = static_cast<DomainId>(domains_.size());
-    nodes.emplace(name, n);
+    nodes.emplace(name, node);
     domains_.push_back(std::move(domain));
   }
-  for (auto& [name, n] : nodes) {
-    if (!n.has("in")) continue;
-    const std::string parent = n["in"].text();
+  for (auto& [name, node] : nodes) {
+    if (!node.has("in")) continue;
+    const std::string parent = node["in"].text();
     const auto it = ids.find(parent);
-    if (it == ids.end()) n["in"].fail("there is no domain '" + parent + "'");
+    if (it == ids.end()) node["in"].fail("there is no domain '" + parent + "'");
     domains_[ids[name]].parent = it->second;
     domains_[it->second].children.push_back(ids[name]);
   }
@@ -211,16 +216,16 @@
     Domain& domain = domains_[id];
     const ConfigNode& node = nodes.at(domain.name);
     std::sort(domain.children.begin(), domain.children.end());
-    std::string way = domain.name;
+    std::string cycle_path = domain.name;
     std::size_t steps = 0;
-    for (DomainId parent = domain.parent; parent != kNowhere; parent = domains_[parent].parent) {
-      way += " > " + domains_[parent].name;
-      if (parent == id) node.fail("is inside itself: " + way);
-      // A circle further up is told where it is.
+    for (DomainId parent = domain.parent; parent != kNoDomain; parent = domains_[parent].parent) {
+      cycle_path += " > " + domains_[parent].name;
+      if (parent == id) node.fail("is inside itself: " + cycle_path);
+      // A cycle that does not contain this domain is reported at one of its own domains.
       if (++steps > domains_.size()) break;
     }
     if (steps > domains_.size()) continue;
-    if (domain.parent != kNowhere && domains_[domain.parent].level >= domain.level)
+    if (domain.parent != kNoDomain && domains_[domain.parent].level >= domain.level)
       node.fail("a " + level_of(id) + " cannot be inside '" + domains_[domain.parent].name + "', a " +
                 level_of(domain.parent));
     if (!domain.children.empty() && !domain.machines.empty())
@@ -230,21 +235,21 @@
 }
 
 void Topology::read_devices(ConfigNode& top) {
-  for (auto& [name, n] : top["devices"].entries()) {
-    std::vector<Device>& where = devices_[name];
-    for (ConfigNode& node : n.items()) {
+  for (auto& [name, node] : top["devices"].entries()) {
+    std::vector<Device>& device_list = devices_[name];
+    for (ConfigNode& entry : node.items()) {
       Device device;
-      device.count = static_cast<std::uint32_t>(node["count"].integer(1, 1000));
-      device.on = read_pattern(node);
-      node.reject_unknown_fields();
-      for (const Device& other : where) {
-        if (other.on.overlaps(device.on))
-          node.fail("may be the same machine as line " + std::to_string(other.on.line) +
-                    ": how many it has is said once");
+      device.count = static_cast<std::uint32_t>(entry["count"].integer(1, 1000));
+      device.machines = read_pattern(entry);
+      entry.reject_unknown_fields();
+      for (const Device& other : device_list) {
+        if (other.machines.overlaps(device.machines))
+          entry.fail("may be the same machine as line " + std::to_string(other.machines.line) +
+                     ": how many it has is said once");
       }
-      where.push_back(std::move(device));
+      device_list.push_back(std::move(device));
     }
-    if (where.empty()) n.fail("is on no machine");
+    if (device_list.empty()) node.fail("is on no machine");
   }
 }
 
@@ -274,14 +279,14 @@
       }
     }
   }
-  std::sort(address_ranges_.begin(), address_ranges_.end(), [](const Ranged& a, const Ranged& b) {
+  std::sort(address_ranges_.begin(), address_ranges_.end(), [](const AddressRange& a, const AddressRange& b) {
     return std::tuple(a.first, a.last, a.leaf) < std::tuple(b.first, b.last, b.leaf);
   });
-  std::uint32_t last = 0;
-  for (Ranged& r : address_ranges_) r.last_so_far = last = std::max(last, r.last);
+  std::uint32_t max_last = 0;
+  for (AddressRange& range : address_ranges_) range.last_so_far = max_last = std::max(max_last, range.last);
 }
 
-// ---------------------------------------------------------------- asking
+// ---------------------------------------------------------------- queries
 
 int Topology::level(const std::string& name) const {
   const auto it = std::find(levels_.begin(), levels_.end(), name);
@@ -293,15 +298,15 @@
 }
 
 std::string Topology::path(DomainId id) const {
-  if (id == kNowhere) return "no known domain";
+  if (id == kNoDomain) return "no known domain";
   std::string out = domains_.at(id).name;
-  for (DomainId parent = domains_[id].parent; parent != kNowhere; parent = domains_[parent].parent)
+  for (DomainId parent = domains_[id].parent; parent != kNoDomain; parent = domains_[parent].parent)
     out = domains_[parent].name + " > " + out;
   return out;
 }
 
 DomainId Topology::ancestor_at(DomainId id, int level) const {
-  while (id != kNowhere && domains_.at(id).level != level) id = domains_[id].parent;
+  while (id != kNoDomain && domains_.at(id).level != level) id = domains_[id].parent;
   return id;
 }
 
@@ -309,27 +314,28 @@
                                const std::string& machine_type, const std::string& zone) const {
   const std::uint32_t ip = parse_ip(address).value_or(0);
   MachineLocation out;
-  auto it = std::upper_bound(address_ranges_.begin(), address_ranges_.end(), ip,
-                             [](std::uint32_t x, const Ranged& r) { return x < r.first; });
-  while (out.leaf == kNowhere && it != address_ranges_.begin()) {
+  auto it = std::upper_bound(
+      address_ranges_.begin(), address_ranges_.end(), ip,
+      [](std::uint32_t wanted_ip, const AddressRange& range) { return wanted_ip < range.first; });
+  while (out.leaf == kNoDomain && it != address_ranges_.begin()) {
     --it;
     if (it->last_so_far < ip) break;
     if (it->pattern->matches(host, ip, machine_type, zone)) out.leaf = it->leaf;
   }
-  for (std::size_t i = 0; out.leaf == kNowhere && i < patterns_without_address_.size(); ++i) {
+  for (std::size_t i = 0; out.leaf == kNoDomain && i < patterns_without_address_.size(); ++i) {
     if (patterns_without_address_[i].second->matches(host, ip, machine_type, zone))
       out.leaf = patterns_without_address_[i].first;
   }
-  if (out.leaf != kNowhere) {
-    out.by_level.assign(levels_.size(), kNowhere);
-    for (DomainId id = out.leaf; id != kNowhere; id = domains_[id].parent)
+  if (out.leaf != kNoDomain) {
+    out.by_level.assign(levels_.size(), kNoDomain);
+    for (DomainId id = out.leaf; id != kNoDomain; id = domains_[id].parent)
       out.by_level[static_cast<std::size_t>(domains_[id].level)] = id;
   }
-  for (const auto& [name, where] : devices_) {
-    for (const Device& device : where) {
-      if (!device.on.matches(host, ip, machine_type, zone)) continue;
+  for (const auto& [name, device_list] : devices_) {
+    for (const Device& device : device_list) {
+      if (!device.machines.matches(host, ip, machine_type, zone)) continue;
       out.devices[name] = device.count;
-      if (device.on.addresses) break;
+      if (device.machines.addresses) break;
     }
   }
   return out;
@@ -337,13 +343,13 @@
 
 std::vector<DomainId> Topology::leaves(DomainId id) const {
   std::vector<DomainId> out;
-  std::vector<DomainId> open{id};
-  while (!open.empty()) {
-    const DomainId at = open.back();
-    open.pop_back();
-    const Domain& domain = domains_.at(at);
-    if (domain.children.empty()) out.push_back(at);
-    open.insert(open.end(), domain.children.begin(), domain.children.end());
+  std::vector<DomainId> pending{id};
+  while (!pending.empty()) {
+    const DomainId current = pending.back();
+    pending.pop_back();
+    const Domain& domain = domains_.at(current);
+    if (domain.children.empty()) out.push_back(current);
+    pending.insert(pending.end(), domain.children.begin(), domain.children.end());
   }
   return out;
 }
@@ -361,27 +367,28 @@
                                const std::string& zone) const {
   const auto it = devices_.find(device);
   return it != devices_.end() && std::any_of(it->second.begin(), it->second.end(), [&](const Device& entry) {
-           return entry.on.may_match_rental(machine_type, zone);
+           return entry.machines.may_match_rental(machine_type, zone);
          });
 }
 
-// ---------------------------------------------------------------- what can never hold
+// ---------------------------------------------------------------- layouts that no placement can satisfy
 
-std::optional<InvalidField> Topology::spread_never_holds(const JobSpec& spec) const {
+std::optional<InvalidField> Topology::unsatisfiable_spread(const JobSpec& spec) const {
   const Layout::Spread& spread = *spec.layout->spread;
-  const int l = level(spread.level);
-  if (l < 0)
+  const int level_index = level(spread.level);
+  if (level_index < 0)
     return InvalidField{"layout.spread.level", "there is no level '" + spread.level + "' in the topology"};
-  // An array may take turns; what runs as a whole needs all its places at once. Machines of no known domain
-  // are not counted on.
+  // The tasks of an array may run one after another; other jobs need all their tasks at the same time.
+  // Machines that belong to no domain are not counted.
   if (!spread.required || spec.type == JobType::array) return std::nullopt;
-  const auto there = static_cast<std::uint64_t>(std::count_if(
-      domains_.begin() + 1, domains_.end(), [&](const Domain& domain) { return domain.level == l; }));
-  if (there * spread.limit(spec.task_count) >= spec.task_count) return std::nullopt;
+  const auto domain_count = static_cast<std::uint64_t>(
+      std::count_if(domains_.begin() + 1, domains_.end(),
+                    [&](const Domain& domain) { return domain.level == level_index; }));
+  if (domain_count * spread.limit(spec.task_count) >= spec.task_count) return std::nullopt;
   return InvalidField{"layout.spread", std::to_string(spec.task_count) + " tasks, at most " +
                                            std::to_string(spread.limit(spec.task_count)) + " in one " +
-                                           spread.level + ", need more than the " + std::to_string(there) +
-                                           " there are"};
+                                           spread.level + ", need more than the " +
+                                           std::to_string(domain_count) + " there are"};
 }
 
 std::optional<std::uint64_t> Topology::capacity(DomainId id, const JobSpec& spec,
@@ -390,81 +397,84 @@
   for (const DomainId leaf : leaves(id)) {
     for (const Pattern& pattern : domains_[leaf].machines) {
       if (!pattern.zone.empty() && !spec.zone.empty() && pattern.zone != spec.zone) continue;
-      std::uint64_t each = 0;
-      for (const auto& [name, f] : catalog) {
+      std::uint64_t tasks_per_machine = 0;
+      for (const auto& [name, machine_type] : catalog) {
         if (!pattern.machine_type.empty() && pattern.machine_type != name) continue;
         if (!spec.machine_types.empty() &&
             std::find(spec.machine_types.begin(), spec.machine_types.end(), name) == spec.machine_types.end())
           continue;
-        each = std::max<std::uint64_t>(each, count_fitting(spec.resources, f.capacity, spec.task_count));
+        tasks_per_machine = std::max<std::uint64_t>(
+            tasks_per_machine, count_fitting(spec.resources, machine_type.capacity, spec.task_count));
       }
       const auto machines = pattern.max_machines();
-      if (each > 0 && !machines) return std::nullopt;
-      if (each > 0) sum += each * *machines;
+      if (tasks_per_machine > 0 && !machines) return std::nullopt;
+      if (tasks_per_machine > 0) sum += tasks_per_machine * *machines;
     }
   }
   return sum;
 }
 
-std::optional<InvalidField> Topology::together_never_holds(const JobSpec& spec,
-                                                           const Catalog& catalog) const {
+std::optional<InvalidField> Topology::unsatisfiable_colocation(const JobSpec& spec,
+                                                               const Catalog& catalog) const {
   const Layout::Colocation& colocation = *spec.layout->colocation;
-  const int l = level(colocation.level);
-  if (l < 0)
+  const int level_index = level(colocation.level);
+  if (level_index < 0)
     return InvalidField{"layout.together.level",
                         "there is no level '" + colocation.level + "' in the topology"};
   if (!colocation.required) return std::nullopt;
-  const std::uint32_t at_once = spec.type == JobType::array ? 1 : spec.task_count;
+  const std::uint32_t concurrent_tasks = spec.type == JobType::array ? 1 : spec.task_count;
   const auto& spread = spec.layout->spread;
-  if (spread && spread->required && level(spread->level) <= l && spread->limit(spec.task_count) < at_once)
+  if (spread && spread->required && level(spread->level) <= level_index &&
+      spread->limit(spec.task_count) < concurrent_tasks)
     return InvalidField{"layout.together", "all tasks in one " + colocation.level +
                                                " are more than 'spread' allows in one " + spread->level};
-  std::uint64_t most = 0;
+  std::uint64_t max_tasks = 0;
   for (DomainId id = 1; id < domains_.size(); ++id) {
-    if (domains_[id].level != l) continue;
-    const auto n = capacity(id, spec, catalog);
-    if (!n || *n >= at_once) return std::nullopt;
-    most = std::max(most, *n);
+    if (domains_[id].level != level_index) continue;
+    const auto domain_capacity = capacity(id, spec, catalog);
+    if (!domain_capacity || *domain_capacity >= concurrent_tasks) return std::nullopt;
+    max_tasks = std::max(max_tasks, *domain_capacity);
   }
-  return InvalidField{"layout.together", std::to_string(at_once) + " of its tasks must be in one " +
+  return InvalidField{"layout.together", std::to_string(concurrent_tasks) + " of its tasks must be in one " +
                                              colocation.level + ", and the largest holds " +
-                                             std::to_string(most)};
+                                             std::to_string(max_tasks)};
 }
 
-std::optional<InvalidField> Topology::devices_never_hold(const JobSpec& spec) const {
-  for (const auto& [name, n] : spec.layout->devices) {
+std::optional<InvalidField> Topology::unsatisfiable_devices(const JobSpec& spec) const {
+  for (const auto& [name, count_per_task] : spec.layout->devices) {
     const auto it = devices_.find(name);
     if (it == devices_.end())
       return InvalidField{"layout.devices", "there is no device '" + name + "' in the topology"};
-    std::uint64_t at_once = 0;
+    std::uint64_t max_tasks = 0;
     bool bounded = true;
     for (const Device& device : it->second) {
-      const auto machines = device.on.max_machines();
+      const auto machines = device.machines.max_machines();
       bounded = bounded && machines.has_value();
-      at_once += device.count / n * machines.value_or(1);
+      max_tasks += device.count / count_per_task * machines.value_or(1);
     }
-    const std::uint64_t wanted = spec.type == JobType::array ? 1 : spec.task_count;
-    if (at_once == 0)
-      return InvalidField{"layout.devices", "no machine has " + std::to_string(n) + " of '" + name + "'"};
-    if (bounded && at_once < wanted)
+    const std::uint64_t concurrent_tasks = spec.type == JobType::array ? 1 : spec.task_count;
+    if (max_tasks == 0)
+      return InvalidField{"layout.devices",
+                          "no machine has " + std::to_string(count_per_task) + " of '" + name + "'"};
+    if (bounded && max_tasks < concurrent_tasks)
       return InvalidField{"layout.devices",
                           "all its tasks together need more of '" + name + "' than there are"};
   }
   return std::nullopt;
 }
 
-std::optional<InvalidField> Topology::never_holds(const JobSpec& spec, const Catalog& catalog) const {
+std::optional<InvalidField> Topology::unsatisfiable_field(const JobSpec& spec, const Catalog& catalog) const {
   if (!spec.layout) return std::nullopt;
   if (spec.layout->spread) {
-    if (auto fault = spread_never_holds(spec)) return fault;
+    if (auto field = unsatisfiable_spread(spec)) return field;
   }
   if (spec.layout->colocation) {
-    if (auto fault = together_never_holds(spec, catalog)) return fault;
+    if (auto field = unsatisfiable_colocation(spec, catalog)) return field;
   }
-  return devices_never_hold(spec);
+  return unsatisfiable_devices(spec);
 }
 
-// ---------------------------------------------------------------- for people
+// ---------------------------------------------------------------- description for operators
 
 std::string Topology::describe() const {
   const auto machines = [](const Pattern& pattern) {
@@ -476,10 +486,11 @@
            "\n";
   };
   std::string out = "topology version " + to_text(version_) + "\n";
-  for (std::size_t l = 0; l < levels_.size(); ++l) {
-    const auto n = std::count_if(domains_.begin() + 1, domains_.end(),
-                                 [&](const Domain& domain) { return domain.level == static_cast<int>(l); });
-    out += "  level " + levels_[l] + ": " + std::to_string(n) + "\n";
+  for (std::size_t level_index = 0; level_index < levels_.size(); ++level_index) {
+    const auto n = std::count_if(domains_.begin() + 1, domains_.end(), [&](const Domain& domain) {
+      return domain.level == static_cast<int>(level_index);
+    });
+    out += "  level " + levels_[level_index] + ": " + std::to_string(n) + "\n";
   }
   for (DomainId id = 1; id < domains_.size(); ++id) {
     const Domain& domain = domains_[id];
@@ -487,10 +498,10 @@
     out += "  " + level_of(id) + " " + path(id) + (domain.machines.empty() ? ": no machines\n" : "\n");
     for (const Pattern& pattern : domain.machines) out += machines(pattern);
   }
-  for (const auto& [name, where] : devices_) {
+  for (const auto& [name, device_list] : devices_) {
     out += "  device " + name + "\n";
-    for (const Device& device : where) {
-      std::string line = machines(device.on);
+    for (const Device& device : device_list) {
+      std::string line = machines(device.machines);
       line.pop_back();
       out += line + ", " + std::to_string(device.count) + " on each\n";
     }
--- a/src/topology_loader/include/wrenusher/topology_loader/topology_loader.hpp
+++ b/src/topology_loader/include/wrenusher/topology_loader/topology_loader.hpp
@@ -1,8 +1,9 @@
 #pragma once
-// Package topology_loader: reads the operators' topology, at the start and whenever its file changes. It owns
-// what was last read: a newer version is read, checked whole, and told; one that cannot be read or has a
-// mistake is refused with its reason, and what was read before stands. It may depend on base, topology and
-// mail.
+// Package topology_loader: loads the operators' topology file at startup and again whenever the file changes.
+// A newer version is validated as a whole and then published as an event. A file that cannot be read or is
+// invalid is rejected with a logged reason, and the version loaded before stays in use.
+//
+// It may depend on time, value, runtime, config_reader, topology, events and log.
 
 #include <functional>
 #include <optional>
@@ -18,26 +19,29 @@
 using namespace runtime;
 using namespace events;
 
-/// The text of a file; nothing where it cannot be read.
+/// Returns the contents of a file, or nullopt if it cannot be read.
 using Reader = std::function<std::optional<std::string>(const std::string& path)>;
 
+/// Polls the topology file and publishes each newer valid version.
 class TopologyLoader {
  public:
-  /// An empty path: there is no topology.
+  /// An empty `path` means that there is no topology. `runtime` must outlive the loader.
   TopologyLoader(Runtime& runtime, std::string path, Reader reader)
       : runtime_(runtime), path_(std::move(path)), reader_(std::move(reader)) {}
+  /// Loads the file and starts polling it. Does nothing if there is no topology.
   void start();
 
+  /// Sent for each version that was loaded.
   EventSink<TopologyLoaded> topology_loaded;
 
  private:
   void check_file();
-  void log_rejected(const std::string& why);
+  void log_rejected(const std::string& reason);
 
   Runtime& runtime_;
   std::string path_;
   Reader reader_;
-  std::string text_;  ///< as it was last looked at, taken or not
+  std::string text_;  ///< contents at the last check, whether accepted or rejected
   bool unreadable_ = false;
   topology::TopologyVersion loaded_version_;
 };
--- a/src/topology_loader/topology_loader.cpp
+++ b/src/topology_loader/topology_loader.cpp
@@ -14,9 +14,9 @@
   if (!path_.empty()) check_file();
 }
 
-void TopologyLoader::log_rejected(const std::string& why) {
-  log::error("topology_refused", "the topology is not taken, {edition} stays: {reason}",
-             log::with("edition", topology::to_text(loaded_version_)), log::with("reason", why));
+void TopologyLoader::log_rejected(const std::string& reason) {
+  log::error("topology_refused", "the topology file is rejected, topology {edition} stays in use: {reason}",
+             log::with("edition", topology::to_text(loaded_version_)), log::with("reason", reason));
 }
 
 void TopologyLoader::check_file() {
@@ -39,14 +39,14 @@
   }
   const topology::TopologyVersion& version = topology->version();
   if (version == loaded_version_) return;
-  // Two controllers tell by the version which of two is the newer one.
+  // Controllers compare versions to find the newer topology, so a changed file needs a higher version.
   if (version.version <= loaded_version_.version) {
-    log_rejected(path_ + ": version " + std::to_string(version.version) + " is no newer than " +
+    log_rejected(path_ + ": version " + std::to_string(version.version) + " is not newer than " +
                  std::to_string(loaded_version_.version) + "; a changed file needs a higher version");
     return;
   }
   loaded_version_ = version;
-  log::info("topology_read", "topology {edition} is read: {domains} domains",
+  log::info("topology_read", "loaded topology {edition} with {domains} domains",
             log::with("edition", topology::to_text(version)),
             log::with("domains", topology->domains().size() - 1));
   topology_loaded(TopologyLoaded{std::move(topology)});
--- a/src/usage_metrics/include/wrenusher/usage_metrics/usage_metrics.hpp
+++ b/src/usage_metrics/include/wrenusher/usage_metrics/usage_metrics.hpp
@@ -1,7 +1,7 @@
 #pragma once
-// Package usage_metrics: what operators are told every minute of where the time and the money went. It owns
-// the sums since the last account, decides nothing, and forgets them once told. It may depend on base and
-// protocol.
+// Package usage_metrics: logs once a minute how long task starts took and what the machines cost. It keeps
+// the sums since the last log line and resets them with each line. No decision depends on these sums. The
+// package may depend on time, value, runtime, protocol and log.
 
 #include <map>
 #include <string>
@@ -18,55 +18,59 @@
 
 inline constexpr Micros kLogInterval = from_seconds(60);
 
-/// What starts waited for once they had a place, by queue.
+/// Sums up, by job class, what task starts waited for after their placement.
 class StartLatencyMetrics {
  public:
+  /// The parts of one task's start latency.
   struct Start {
-    Micros command_wait{};  ///< from the claim until the worker had its order
-    Micros fetch_wait{};
-    Micros gang_wait{};  ///< a gang's task, for the others
-    bool fetches = false;
+    Micros command_wait{};  ///< from the claim until the worker received its command
+    Micros fetch_wait{};    ///< for the image
+    Micros gang_wait{};     ///< for the other tasks of its gang
+    bool fetches = false;   ///< the start had to fetch its image
   };
+  /// Adds one start.
   void started(const std::string& job_class, const Start& start);
-  /// Logs them if it is time.
+  /// Logs the mean waits once per kLogInterval and resets the sums.
   void log_if_due(Instant now);
 
  private:
   struct Sum {
     std::uint32_t starts = 0;
-    std::uint32_t fetches = 0;  ///< starts that had to wait for their image
+    std::uint32_t fetches = 0;  ///< starts that had to fetch their image
     Start sum;
   };
   std::map<std::string, Sum> by_job_class_;
   Instant next_log_{};
 };
 
-/// What was spent on each kind of machine (type; spot or not), by what it was spent on.
+/// Sums up the cost of the machines by machine class (type; spot or on-demand) and by use.
 class CostMetrics {
  public:
-  /// A machine in the time since the last reckoning; amounts as cores, see placement::core_equivalents.
+  /// The use of one machine in the last interval. Amounts are cores, see placement::core_equivalents.
   struct Use {
-    bool up = false;
-    Amount reserved = 0;
-    Amount working = 0;
+    bool up = false;      ///< false: the machine is booting
+    Amount reserved = 0;  ///< by all assigned tasks
+    Amount working = 0;   ///< by tasks that run
   };
+  /// Resets the sums and starts measuring at `now`.
   void begin(Instant now);
-  /// Hours since the last call.
+  /// Returns the hours since the last call of `begin` or `elapse`.
   double elapse(Instant now);
-  void spend(double hours, const MachineType& machine_type, bool spot, const Use& use);
-  /// Logs the sums if it is time.
+  /// Adds the cost of one machine for `hours` hours.
+  void add_cost(double hours, const MachineType& machine_type, bool spot, const Use& use);
+  /// Logs the sums once per kLogInterval and resets them.
   void log_if_due(Instant now);
 
  private:
-  struct Spent {
-    double boot = 0;
-    double idle = 0;   ///< up, with nothing to do
-    double spare = 0;  ///< cores that no task has booked beside some that are
-    double wait = 0;   ///< cores booked by tasks that do not run yet: orders on their way, images
-    double run = 0;
+  struct CostByUse {
+    double boot = 0;   ///< the machine is booting
+    double idle = 0;   ///< up, with no task assigned
+    double spare = 0;  ///< unreserved cores of a machine that also has reserved ones
+    double wait = 0;   ///< cores reserved by tasks that do not run yet (command in flight, image fetch)
+    double run = 0;    ///< cores of tasks that run
     double total() const { return boot + idle + spare + wait + run; }
   };
-  std::map<std::pair<std::string, bool>, Spent> by_class_;
+  std::map<std::pair<std::string, bool>, CostByUse> by_class_;
   Instant last_elapse_{};
   Instant next_log_{};
 };
--- a/src/usage_metrics/usage_metrics.cpp
+++ b/src/usage_metrics/usage_metrics.cpp
@@ -5,27 +5,29 @@
 namespace wrenusher::usage_metrics {
 
 void StartLatencyMetrics::started(const std::string& job_class, const Start& start) {
-  Sum& sums = by_job_class_[job_class];
-  ++sums.starts;
-  if (start.fetches) ++sums.fetches;
-  sums.sum.command_wait += start.command_wait;
-  sums.sum.fetch_wait += start.fetch_wait;
-  sums.sum.gang_wait += start.gang_wait;
+  Sum& total = by_job_class_[job_class];
+  ++total.starts;
+  if (start.fetches) ++total.fetches;
+  total.sum.command_wait += start.command_wait;
+  total.sum.fetch_wait += start.fetch_wait;
+  total.sum.gang_wait += start.gang_wait;
 }
 
 void StartLatencyMetrics::log_if_due(Instant now) {
   if (now < next_log_) return;
   next_log_ = now + kLogInterval;
-  for (const auto& [queue, q] : by_job_class_) {
-    const auto mean = [](Micros sum, std::uint32_t n) { return n == 0 ? 0 : to_seconds(sum) / n; };
+  for (const auto& [job_class, total] : by_job_class_) {
+    const auto mean = [](Micros sum, std::uint32_t count) {
+      return count == 0 ? 0 : to_seconds(sum) / count;
+    };
     log::info("waits",
-              "{queue}: {starts} starts, order {order:.1f} s, {fetches:.0f}% fetched {fetch:.1f} s, gathered "
-              "{gathered:.1f} s",
-              log::with("queue", queue), log::with("starts", q.starts),
-              log::with("order", mean(q.sum.command_wait, q.starts)),
-              log::with("fetches", 100.0 * q.fetches / q.starts),
-              log::with("fetch", mean(q.sum.fetch_wait, q.fetches)),
-              log::with("gathered", mean(q.sum.gang_wait, q.starts)));
+              "{queue}: {starts} starts; mean waits: command {order:.1f} s, image {fetch:.1f} s (fetched by "
+              "{fetches:.0f}% of starts), gang {gathered:.1f} s",
+              log::with("queue", job_class), log::with("starts", total.starts),
+              log::with("order", mean(total.sum.command_wait, total.starts)),
+              log::with("fetches", 100.0 * total.fetches / total.starts),
+              log::with("fetch", mean(total.sum.fetch_wait, total.fetches)),
+              log::with("gathered", mean(total.sum.gang_wait, total.starts)));
   }
   by_job_class_.clear();
 }
@@ -42,35 +44,35 @@
   return hours;
 }
 
-void CostMetrics::spend(double hours, const MachineType& machine_type, bool spot, const Use& use) {
+void CostMetrics::add_cost(double hours, const MachineType& machine_type, bool spot, const Use& use) {
   if (machine_type.capacity.cores <= 0) return;
   const double cost = hours * (spot ? machine_type.spot_price : machine_type.price);
-  Spent& spent = by_class_[{machine_type.name, spot}];
+  CostByUse& costs = by_class_[{machine_type.name, spot}];
   if (!use.up) {
-    spent.boot += cost;
+    costs.boot += cost;
   } else if (use.reserved == 0) {
-    spent.idle += cost;
+    costs.idle += cost;
   } else {
-    const double core = cost / static_cast<double>(machine_type.capacity.cores);
-    spent.run += core * static_cast<double>(use.working);
-    spent.wait += core * static_cast<double>(use.reserved - use.working);
-    spent.spare += core * static_cast<double>(machine_type.capacity.cores - use.reserved);
+    const double core_cost = cost / static_cast<double>(machine_type.capacity.cores);
+    costs.run += core_cost * static_cast<double>(use.working);
+    costs.wait += core_cost * static_cast<double>(use.reserved - use.working);
+    costs.spare += core_cost * static_cast<double>(machine_type.capacity.cores - use.reserved);
   }
 }
 
 void CostMetrics::log_if_due(Instant now) {
   if (now < next_log_) return;
   next_log_ = now + kLogInterval;
-  for (const auto& [kind, s] : by_class_) {
-    if (s.total() <= 0) continue;
-    const double percent = 100 / s.total();
+  for (const auto& [machine_class, cost] : by_class_) {
+    if (cost.total() <= 0) continue;
+    const double percent = 100 / cost.total();
     log::info("spent",
-              "spent {money:.2f} on {kind} {type}: run {run:.0f}%, fetch and wait {wait:.0f}%, spare "
+              "cost {money:.2f} for {kind} {type}: running {run:.0f}%, waiting for start {wait:.0f}%, spare "
               "{spare:.0f}%, idle {idle:.0f}%, boot {boot:.0f}%",
-              log::with("money", s.total()), log::with("kind", kind.second ? "spot" : "ordinary"),
-              log::with("type", kind.first), log::with("run", s.run * percent),
-              log::with("wait", s.wait * percent), log::with("spare", s.spare * percent),
-              log::with("idle", s.idle * percent), log::with("boot", s.boot * percent));
+              log::with("money", cost.total()), log::with("kind", machine_class.second ? "spot" : "ordinary"),
+              log::with("type", machine_class.first), log::with("run", cost.run * percent),
+              log::with("wait", cost.wait * percent), log::with("spare", cost.spare * percent),
+              log::with("idle", cost.idle * percent), log::with("boot", cost.boot * percent));
   }
   by_class_.clear();
 }
--- a/testbed/sim/world.cpp
+++ b/testbed/sim/world.cpp
@@ -254,7 +254,7 @@
   const topology::MachineLocation place =
       site_.topology->find(host, "", machines_.type_of(host), machines_.zone_of(host));
   return std::any_of(place.by_level.begin(), place.by_level.end(), [&](topology::DomainId id) {
-    return id != topology::kNowhere && site_.topology->domain(id).name == domain;
+    return id != topology::kNoDomain && site_.topology->domain(id).name == domain;
   });
 }
 
--- a/tests/bad_settings.cmake
+++ b/tests/bad_settings.cmake
@@ -1,4 +1,4 @@
-# A mistake in the settings: exit code 2 and one line on standard error that names the field.
+# Checks that invalid settings give exit code 2 and one line on standard error that names the field.
 set(FILE ${DIR}/settings_${CASE}.json)
 if(CASE STREQUAL "missing_file")
   set(FILE ${DIR}/there-is-no-such-file.json)
--- a/tests/topology_check.cmake
+++ b/tests/topology_check.cmake
@@ -1,5 +1,5 @@
-# The operators' topology as the program sees it: the example in deploy/ is whole, and finds machines; a mistake is
-# one line on standard error with file and line, exit code 2.
+# Checks the topology with the program's --check: the example in deploy/ is valid and locates machines, and an invalid
+# topology gives exit code 2 and one line on standard error with file and line.
 set(SETTINGS ${DIR}/topology_settings.json)
 file(WRITE ${SETTINGS} [=[{"host_name": "n1", "zone": "a", "client_listen": "127.0.0.1:8080",
   "peer_listen": "127.0.0.1:8081", "peers": [],
