--- a/src/net/include/wrenusher/net/net.hpp
+++ b/src/net/include/wrenusher/net/net.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// Package net: HTTP/1.1 on a libuv loop, the daemon's runtime. It owns the listening side, the pooled
-// outgoing connections, timers and the socket budget. It may depend on base.
+// Package net: the daemon's runtime, which serves and sends HTTP/1.1 on a libuv loop. It owns the listening
+// sockets, the pooled outgoing connections, the timers and the socket budget. It may depend on base.
 
 #include <uv.h>
 
@@ -16,25 +16,30 @@
 using namespace time;
 using namespace runtime;
 
-/// Largest body of a request and of an answer to workers and users.
+/// Maximum body size of a request from a worker or user and of its response, in bytes.
 inline constexpr std::size_t kMaxBody = 64 * 1024;
 
+/// A runtime on sockets and the system clock. One thread runs its loop and calls all its functions.
 class UvRuntime : public Runtime {
  public:
   using Handler = std::function<void(Request, Responder)>;
 
-  /// `max_sockets` is the limit of the whole process, `pool` that of connections kept to one address.
-  explicit UvRuntime(int max_sockets, int pool = 12);
+  /// `max_sockets` limits the sockets of the whole process. `max_connections_per_endpoint` limits the
+  /// outgoing connections to one endpoint; calls beyond it wait in a queue.
+  explicit UvRuntime(int max_sockets, int max_connections_per_endpoint = 12);
   ~UvRuntime() override;
 
-  /// Throws std::runtime_error when the address cannot be listened on. `most` bounds its open connections.
-  void listen(const Endpoint& at, int most, Handler handler);
-  /// Listens there no more, and closes what was accepted there.
-  void close(const Endpoint& at);
-  /// Until `stop`.
+  /// Listens on the endpoint and passes each request to `handler`. User requests on connections beyond
+  /// `max_connections` or the socket budget are answered with 503. Throws std::runtime_error when it cannot
+  /// listen on the endpoint.
+  void listen(const Endpoint& endpoint, int max_connections, Handler handler);
+  /// Stops listening on the endpoint and closes the connections accepted there.
+  void close(const Endpoint& endpoint);
+  /// Runs the loop until `stop` is called.
   void run();
   void stop() { uv_stop(&loop_); }
-  /// For handles of the program's own (signals, children), to be used from this loop's thread only.
+  /// Returns the loop, for the program's own handles (signals, child processes). For use on the loop's thread
+  /// only.
   uv_loop_t* loop() { return &loop_; }
 
   Instant now() const override;
@@ -46,25 +51,26 @@
 
  private:
   struct Listener;
-  struct Inbound;
-  struct Outbound;
-  struct Pool;
-  void drain();
-  void sweep();
-  void send_waiting(Pool& pool);
+  struct InboundConnection;
+  struct OutboundConnection;
+  struct ConnectionPool;
+  void run_posted_actions();
+  void close_expired_connections();
+  void start_waiting_calls(ConnectionPool& pool);
 
   uv_loop_t loop_{};
   uv_check_t posted_check_{};
   uv_idle_t posted_idle_{};
   std::deque<std::function<void()>> posted_;
-  bool draining_ = false;
+  bool running_posted_ = false;
   std::mt19937_64 random_;
   int max_sockets_;
-  int pool_;
+  int max_connections_per_endpoint_;
   int open_sockets_ = 0;
   std::vector<std::unique_ptr<Listener>> listeners_;
-  std::vector<std::unique_ptr<Listener>> closed_;  ///< what they accepted may still be closing
-  std::map<Endpoint, std::unique_ptr<Pool>> pools_;
+  /// Kept because their connections may still be closing.
+  std::vector<std::unique_ptr<Listener>> closed_listeners_;
+  std::map<Endpoint, std::unique_ptr<ConnectionPool>> pools_;
 };
 
 }  // namespace wrenusher::net
--- a/src/net/open_files.cpp
+++ b/src/net/open_files.cpp
@@ -9,16 +9,17 @@
 namespace wrenusher::net {
 
 namespace {
-/// Descriptors beside sockets: standard streams, the event loop's own, settings that are read again.
-constexpr std::uint64_t kOtherFiles = 64;
+/// Descriptors other than sockets: standard streams, those of the event loop, and settings files while they
+/// are reloaded.
+constexpr std::uint64_t kNonSocketFiles = 64;
 }  // namespace
 
 OpenFileLimit raise_open_file_limit(int sockets) {
   OpenFileLimit out;
-  out.needed = static_cast<std::uint64_t>(std::max(0, sockets)) + kOtherFiles;
+  out.needed = static_cast<std::uint64_t>(std::max(0, sockets)) + kNonSocketFiles;
   rlimit limit{};
   if (getrlimit(RLIMIT_NOFILE, &limit) != 0) return out;
-  // RLIM_INFINITY is the largest value there is, so that it compares as no limit.
+  // RLIM_INFINITY is the largest rlim_t, so these comparisons also hold for an unlimited process.
   if (limit.rlim_cur < out.needed && limit.rlim_cur < limit.rlim_max) {
     rlimit raised = limit;
     raised.rlim_cur = std::min<rlim_t>(out.needed, limit.rlim_max);
@@ -35,12 +36,13 @@
                log::with("needed", limit.needed));
     return;
   }
-  log::error("open_files_too_few",
-             "only {soft} files may be open, and {needed} are needed for max_sockets: connections will be "
-             "refused beyond that. Raise the hard limit of open files, now {hard}, to {needed} at least "
-             "(LimitNOFILE= in a systemd unit, ulimit -Hn in a shell, nofile in limits.conf) and restart, or "
-             "lower limits.max_sockets",
-             log::with("soft", limit.soft), log::with("needed", limit.needed), log::with("hard", limit.hard));
+  log::error(
+      "open_files_too_few",
+      "only {soft} files may be open, but max_sockets needs {needed}: connections beyond the limit will be "
+      "refused. Raise the hard limit on open files, now {hard}, to {needed} or more "
+      "(LimitNOFILE= in a systemd unit, ulimit -Hn in a shell, nofile in limits.conf) and restart, or "
+      "lower limits.max_sockets",
+      log::with("soft", limit.soft), log::with("needed", limit.needed), log::with("hard", limit.hard));
 }
 
 }  // namespace wrenusher::net
--- a/src/protocol/messages.cpp
+++ b/src/protocol/messages.cpp
@@ -14,53 +14,56 @@
 constexpr std::size_t kMaxDeviceNames = 16;
 constexpr std::uint64_t kMaxDeviceCount = 1000;
 
-std::optional<double> amount(const Value& value, double most) {
-  const auto n = value.number();
-  if (!n || *n < 0 || *n > most) return std::nullopt;
-  return n;
+/// Returns a number from 0 to `max`, or nullopt when the value is anything else.
+std::optional<double> read_number(const Value& value, double max) {
+  const auto number = value.number();
+  if (!number || *number < 0 || *number > max) return std::nullopt;
+  return number;
 }
 
-/// A name as used for queues, teams, bundles, types and zones.
-const std::string* name(const Value& value) {
-  const std::string* s = value.text();
-  return s != nullptr && !s->empty() && s->size() <= 200 ? s : nullptr;
+/// Returns a text of 1 to 200 bytes, the form of all names (of job classes, teams, images, machine types and
+/// zones), or nullptr when the value is anything else.
+const std::string* read_name(const Value& value) {
+  const std::string* text = value.text();
+  return text != nullptr && !text->empty() && text->size() <= 200 ? text : nullptr;
 }
 
-std::optional<JobType> read_job_type(const std::string& s) {
-  if (s == "sweep") return JobType::array;
-  if (s == "gang") return JobType::gang;
-  if (s == "daemon") return JobType::service;
+std::optional<JobType> read_job_type(const std::string& text) {
+  if (text == "sweep") return JobType::array;
+  if (text == "gang") return JobType::gang;
+  if (text == "daemon") return JobType::service;
   return std::nullopt;
 }
 
-std::optional<Priority> read_priority(const std::string& s) {
-  if (s == "prod") return Priority::prod;
-  if (s == "high") return Priority::high;
-  if (s == "normal") return Priority::normal;
-  if (s == "low") return Priority::low;
+std::optional<Priority> read_priority(const std::string& text) {
+  if (text == "prod") return Priority::prod;
+  if (text == "high") return Priority::high;
+  if (text == "normal") return Priority::normal;
+  if (text == "low") return Priority::low;
   return std::nullopt;
 }
 
 constexpr const char* kJobTypeNames[] = {"sweep", "gang", "daemon"};
 constexpr const char* kPriorityNames[] = {"prod", "high", "normal", "low"};
 
-std::optional<TaskStatus> read_status(const std::string& s) {
-  if (s == "pulling") return TaskStatus::fetching_image;
-  if (s == "gathering") return TaskStatus::waiting_for_gang;
-  if (s == "running") return TaskStatus::running;
-  if (s == "saving") return TaskStatus::checkpointing;
-  if (s == "ended") return TaskStatus::exited;
+std::optional<TaskStatus> read_status(const std::string& text) {
+  if (text == "pulling") return TaskStatus::fetching_image;
+  if (text == "gathering") return TaskStatus::waiting_for_gang;
+  if (text == "running") return TaskStatus::running;
+  if (text == "saving") return TaskStatus::checkpointing;
+  if (text == "ended") return TaskStatus::exited;
   return std::nullopt;
 }
 
-/// "req-000412/3" into job and task.
+/// Splits a task name such as "req-000412/3" into the job id and the task number. Returns false when the name
+/// is malformed.
 bool split_task_name(const std::string& task_name, std::string& job_id, std::uint32_t& task) {
   const auto slash = task_name.find('/');
   if (slash == std::string::npos) return false;
   job_id = task_name.substr(0, slash);
   const char* end = task_name.data() + task_name.size();
-  const auto [at, err] = std::from_chars(task_name.data() + slash + 1, end, task);
-  return err == std::errc{} && at == end && !job_id.empty();
+  const auto [parsed_end, error] = std::from_chars(task_name.data() + slash + 1, end, task);
+  return error == std::errc{} && parsed_end == end && !job_id.empty();
 }
 
 }  // namespace
@@ -79,18 +82,18 @@
   return *this;
 }
 
-std::uint32_t count_fitting(const Resources& need, const Resources& room, std::uint32_t most) {
-  Amount n = most;
-  if (need.cores > 0) n = std::min(n, room.cores / need.cores);
-  if (need.gpus > 0) n = std::min(n, room.gpus / need.gpus);
-  if (need.memory > 0) n = std::min(n, room.memory / need.memory);
-  if (room.cores < 0 || room.gpus < 0 || room.memory < 0) n = 0;
-  return static_cast<std::uint32_t>(std::max<Amount>(n, 0));
+std::uint32_t count_fitting(const Resources& per_task, const Resources& available, std::uint32_t limit) {
+  Amount count = limit;
+  if (per_task.cores > 0) count = std::min(count, available.cores / per_task.cores);
+  if (per_task.gpus > 0) count = std::min(count, available.gpus / per_task.gpus);
+  if (per_task.memory > 0) count = std::min(count, available.memory / per_task.memory);
+  if (available.cores < 0 || available.gpus < 0 || available.memory < 0) count = 0;
+  return static_cast<std::uint32_t>(std::max<Amount>(count, 0));
 }
 
-bool JobSpec::allows(const std::string& machine_type, const std::string& wanted_zone, bool spot) const {
+bool JobSpec::allows(const std::string& machine_type, const std::string& machine_zone, bool spot) const {
   if (spot && !spot_allowed) return false;
-  if (!zone.empty() && zone != wanted_zone) return false;
+  if (!zone.empty() && zone != machine_zone) return false;
   return machine_types.empty() ||
          std::find(machine_types.begin(), machine_types.end(), machine_type) != machine_types.end();
 }
@@ -107,95 +110,100 @@
 
 bool valid_job_id(std::string_view job_id) {
   if (!job_id.starts_with("req-") || job_id.size() < 5 || job_id.size() > 64) return false;
-  return std::all_of(job_id.begin() + 4, job_id.end(), [](char c) { return c >= '0' && c <= '9'; });
+  return std::all_of(job_id.begin() + 4, job_id.end(),
+                     [](char character) { return character >= '0' && character <= '9'; });
 }
 
 namespace {
 
-/// Takes the fields of a submission one by one and keeps the first fault.
+/// Reads the fields of a submission one by one and keeps the first invalid one.
 class SpecReader {
  public:
-  explicit SpecReader(const Value& value) : v_(value) {}
+  explicit SpecReader(const Value& value) : value_(value) {}
 
   std::string text(const char* field) {
-    const std::string* s = name(v_[field]);
-    if (s == nullptr) fail(field, "must be a text of 1 to 200 bytes");
-    return s == nullptr ? std::string() : *s;
+    const std::string* text = read_name(value_[field]);
+    if (text == nullptr) fail(field, "must be a text of 1 to 200 bytes");
+    return text == nullptr ? std::string() : *text;
   }
-  double number(const char* field, double most) {
-    const auto n = amount(v_[field], most);
-    if (!n) fail(field, "must be a number from 0 to a thousand million");
-    return n.value_or(0);
+  double number(const char* field, double max) {
+    const auto number = read_number(value_[field], max);
+    if (!number) fail(field, "must be a number from 0 to 1,000,000,000");
+    return number.value_or(0);
   }
   bool boolean(const char* field) {
-    const auto b = v_[field].boolean();
-    if (!b) fail(field, "must be true or false");
-    return b.value_or(false);
+    const auto flag = value_[field].boolean();
+    if (!flag) fail(field, "must be true or false");
+    return flag.value_or(false);
   }
   Micros seconds(const char* field) { return from_seconds(number(field, kMaxSeconds)); }
   void fail(const char* field, const char* what) {
     if (!fault_.field.empty()) return;
-    const bool there = !v_[std::string_view(field).substr(0, std::string_view(field).find('.'))].is_null();
-    fault_ = {field, there ? what : std::string("is missing; it ") + what};
+    const bool present =
+        !value_[std::string_view(field).substr(0, std::string_view(field).find('.'))].is_null();
+    fault_ = {field, present ? what : std::string("is missing; it ") + what};
   }
-  bool good() const { return fault_.field.empty(); }
+  bool valid() const { return fault_.field.empty(); }
   const InvalidField& fault() const { return fault_; }
 
  private:
-  const Value& v_;
+  const Value& value_;
   InvalidField fault_;
 };
 
-/// Fields that a map may have and no others: a layout that is misspelt must not pass for none.
-bool only(const Value& value, std::initializer_list<std::string_view> known) {
+/// Returns whether the value is a map with no other fields than `allowed`. A misspelt layout field must be
+/// refused: if it was ignored, the job would run without the constraint.
+bool has_only_fields(const Value& value, std::initializer_list<std::string_view> allowed) {
   return value.map() != nullptr &&
          std::all_of(value.map()->begin(), value.map()->end(), [&](const Value::Field& field) {
-           return std::find(known.begin(), known.end(), field.first) != known.end();
+           return std::find(allowed.begin(), allowed.end(), field.first) != allowed.end();
          });
 }
 
 std::optional<Layout> read_layout(const Value& value, SpecReader& reader) {
   Layout out;
-  const auto must = [](const Value& part) -> std::optional<bool> {
+  const auto read_required = [](const Value& part) -> std::optional<bool> {
     if (part["must"].is_null()) return true;
     return part["must"].boolean();
   };
-  if (!only(value, {"spread", "together", "devices"})) {
-    reader.fail("layout", "must be a map of spread, together and devices");
+  if (!has_only_fields(value, {"spread", "together", "devices"})) {
+    reader.fail("layout", "must be a map with no other fields than spread, together and devices");
     return std::nullopt;
   }
-  if (const Value& s = value["spread"]; !s.is_null()) {
-    const std::string* level = name(s["level"]);
-    const auto most = s["most"].count();
-    const auto share = s["share"].number();
-    const bool limit = s["most"].is_null()
-                           ? share && *share > 0 && *share <= 1
-                           : s["share"].is_null() && most && *most >= 1 && *most <= kMaxTasksPerJob;
-    if (!only(s, {"level", "most", "share", "must"}) || level == nullptr || !limit || !must(s)) {
+  if (const Value& spread = value["spread"]; !spread.is_null()) {
+    const std::string* level = read_name(spread["level"]);
+    const auto max_tasks = spread["most"].count();
+    const auto share = spread["share"].number();
+    const bool limit_valid = spread["most"].is_null() ? share && *share > 0 && *share <= 1
+                                                      : spread["share"].is_null() && max_tasks &&
+                                                            *max_tasks >= 1 && *max_tasks <= kMaxTasksPerJob;
+    if (!has_only_fields(spread, {"level", "most", "share", "must"}) || level == nullptr || !limit_valid ||
+        !read_required(spread)) {
       reader.fail(
           "layout.spread",
           "must be a map of level, most (1 to 100000) or share (above 0, to 1), and must (true or false)");
       return std::nullopt;
     }
-    out.spread = {*level, static_cast<std::uint32_t>(most.value_or(0)), share.value_or(0), *must(s)};
+    out.spread = {*level, static_cast<std::uint32_t>(max_tasks.value_or(0)), share.value_or(0),
+                  *read_required(spread)};
   }
-  if (const Value& t = value["together"]; !t.is_null()) {
-    const std::string* level = name(t["level"]);
-    if (!only(t, {"level", "must"}) || level == nullptr || !must(t)) {
+  if (const Value& colocation = value["together"]; !colocation.is_null()) {
+    const std::string* level = read_name(colocation["level"]);
+    if (!has_only_fields(colocation, {"level", "must"}) || level == nullptr || !read_required(colocation)) {
       reader.fail("layout.together", "must be a map of level and must (true or false)");
       return std::nullopt;
     }
-    out.colocation = {*level, *must(t)};
+    out.colocation = {*level, *read_required(colocation)};
   }
-  if (const Value& d = value["devices"]; !d.is_null()) {
-    bool good = d.map() != nullptr && d.map()->size() <= kMaxDeviceNames;
-    for (std::size_t i = 0; good && i < d.map()->size(); ++i) {
-      const auto& [device, n] = (*d.map())[i];
-      const auto count = n.count();
-      good = !device.empty() && device.size() <= 200 && count && *count >= 1 && *count <= kMaxDeviceCount;
-      if (good) out.devices[device] = static_cast<std::uint32_t>(*count);
+  if (const Value& devices = value["devices"]; !devices.is_null()) {
+    bool valid = devices.map() != nullptr && devices.map()->size() <= kMaxDeviceNames;
+    for (std::size_t i = 0; valid && i < devices.map()->size(); ++i) {
+      const auto& [device, count_value] = (*devices.map())[i];
+      const auto count = count_value.count();
+      valid = !device.empty() && device.size() <= 200 && count && *count >= 1 && *count <= kMaxDeviceCount;
+      if (valid) out.devices[device] = static_cast<std::uint32_t>(*count);
     }
-    if (!good) {
+    if (!valid) {
       reader.fail("layout.devices", "must be a map of 16 names at most, each with a count from 1 to 1000");
       return std::nullopt;
     }
@@ -206,21 +214,21 @@
 Value write_layout(const Layout& layout) {
   Value::Map out;
   if (layout.spread) {
-    Value::Map s{{"level", layout.spread->level}, {"must", layout.spread->required}};
+    Value::Map spread{{"level", layout.spread->level}, {"must", layout.spread->required}};
     if (layout.spread->max_tasks > 0) {
-      s.emplace_back("most", std::uint64_t{layout.spread->max_tasks});
+      spread.emplace_back("most", std::uint64_t{layout.spread->max_tasks});
     } else {
-      s.emplace_back("share", layout.spread->share);
+      spread.emplace_back("share", layout.spread->share);
     }
-    out.emplace_back("spread", std::move(s));
+    out.emplace_back("spread", std::move(spread));
   }
   if (layout.colocation)
     out.emplace_back("together",
                      Value::Map{{"level", layout.colocation->level}, {"must", layout.colocation->required}});
   if (!layout.devices.empty()) {
-    Value::Map d;
-    for (const auto& [device, n] : layout.devices) d.emplace_back(device, std::uint64_t{n});
-    out.emplace_back("devices", std::move(d));
+    Value::Map devices;
+    for (const auto& [device, count] : layout.devices) devices.emplace_back(device, std::uint64_t{count});
+    out.emplace_back("devices", std::move(devices));
   }
   return out;
 }
@@ -260,27 +268,28 @@
   spec.expected_runtime = reader.seconds("expected_s");
   spec.checkpoint_interval = reader.seconds("snapshot_every_s");
   spec.checkpoint_time = reader.seconds("snapshot_s");
-  if (const Value& f = value["flavors"]; !f.is_null()) {
-    const bool good =
-        f.list() != nullptr && !f.list()->empty() && f.list()->size() <= 1000 &&
-        std::all_of(f.list()->begin(), f.list()->end(), [](const Value& i) { return name(i) != nullptr; });
-    if (good) {
-      for (const Value& item : *f.list()) spec.machine_types.push_back(*item.text());
+  if (const Value& type_names = value["flavors"]; !type_names.is_null()) {
+    const bool valid = type_names.list() != nullptr && !type_names.list()->empty() &&
+                       type_names.list()->size() <= 1000 &&
+                       std::all_of(type_names.list()->begin(), type_names.list()->end(),
+                                   [](const Value& item) { return read_name(item) != nullptr; });
+    if (valid) {
+      for (const Value& item : *type_names.list()) spec.machine_types.push_back(*item.text());
     } else {
       reader.fail("flavors", "must be a list of 1 to 1000 names, or null");
     }
   }
   if (!value["site"].is_null()) spec.zone = reader.text("site");
   if (!value["due_s"].is_null()) spec.deadline = reader.seconds("due_s");
-  if (const Value& l = value["layout"]; !l.is_null()) spec.layout = read_layout(l, reader);
-  if (reader.good()) return spec;
+  if (const Value& layout = value["layout"]; !layout.is_null()) spec.layout = read_layout(layout, reader);
+  if (reader.valid()) return spec;
   if (fault != nullptr) *fault = reader.fault();
   return std::nullopt;
 }
 
 Value write_spec(const JobSpec& spec) {
   Value::List machine_types;
-  for (const std::string& f : spec.machine_types) machine_types.emplace_back(f);
+  for (const std::string& machine_type : spec.machine_types) machine_types.emplace_back(machine_type);
   Value::Map fields{{"ref", spec.job_id},
                     {"queue", spec.job_class},
                     {"owner", spec.team},
@@ -307,7 +316,7 @@
 
 std::optional<WorkerReport> read_report(const Value& value) {
   WorkerReport report;
-  const std::string* host = name(value["host"]);
+  const std::string* host = read_name(value["host"]);
   const std::string* address = value["addr"].text();
   const std::string* machine_type = value["flavor"].text();
   const std::string* zone = value["site"].text();
@@ -315,28 +324,28 @@
   const auto incarnation = value["tenure"].count();
   const auto sequence = value["serial"].count();
   const auto fencing_token = value["epoch"].count();
-  const Value::List* task_count = value["units"].list();
+  const Value::List* task_reports = value["units"].list();
   if (!host || !address || !machine_type || !zone || !standby || !incarnation || !sequence ||
-      !fencing_token || !task_count)
+      !fencing_token || !task_reports)
     return std::nullopt;
   report = {*host,        *address,  *machine_type,  *zone,        *standby,
             *incarnation, *sequence, *fencing_token, std::nullopt, {}};
-  if (const auto w = value["warning_s"].number())
-    report.eviction_notice = from_seconds(std::clamp(*w, 0.0, kMaxSeconds));
-  report.tasks.reserve(task_count->size());
-  for (const Value& u : *task_count) {
-    TaskReport unit;
-    const std::string* id = u["unit"].text();
-    const auto attempt = u["try"].count();
-    const std::string* status = u["status"].text();
-    if (!id || !attempt || !status || !split_task_name(*id, unit.job_id, unit.task)) return std::nullopt;
+  if (const auto seconds_left = value["warning_s"].number())
+    report.eviction_notice = from_seconds(std::clamp(*seconds_left, 0.0, kMaxSeconds));
+  report.tasks.reserve(task_reports->size());
+  for (const Value& item : *task_reports) {
+    TaskReport task;
+    const std::string* name = item["unit"].text();
+    const auto attempt = item["try"].count();
+    const std::string* status = item["status"].text();
+    if (!name || !attempt || !status || !split_task_name(*name, task.job_id, task.task)) return std::nullopt;
     const auto task_status = read_status(*status);
     if (!task_status) return std::nullopt;
-    unit.status = *task_status;
-    unit.attempt = *attempt;
-    if (const std::string* cause = u["cause"].text()) unit.exit_reason = *cause;
-    unit.progress_saved = u["kept"].boolean().value_or(false);
-    report.tasks.push_back(std::move(unit));
+    task.status = *task_status;
+    task.attempt = *attempt;
+    if (const std::string* cause = item["cause"].text()) task.exit_reason = *cause;
+    task.progress_saved = item["kept"].boolean().value_or(false);
+    report.tasks.push_back(std::move(task));
   }
   return report;
 }
@@ -364,23 +373,23 @@
   const Value::List* list = value["flavors"].list();
   if (list == nullptr) return std::nullopt;
   Catalog out;
-  for (const Value& f : *list) {
+  for (const Value& item : *list) {
     MachineType machine_type;
-    const std::string* n = name(f["name"]);
-    const auto cores = amount(f["cores"], kMaxAmount);
-    const auto gpus = amount(f["cards"], kMaxAmount);
-    const auto memory = amount(f["memory_gb"], kMaxAmount);
-    const Value::List* sites = f["sites"].list();
-    if (!n || !cores || !memory || !sites) return std::nullopt;
-    machine_type.name = *n;
+    const std::string* type_name = read_name(item["name"]);
+    const auto cores = read_number(item["cores"], kMaxAmount);
+    const auto gpus = read_number(item["cards"], kMaxAmount);
+    const auto memory = read_number(item["memory_gb"], kMaxAmount);
+    const Value::List* zones = item["sites"].list();
+    if (!type_name || !cores || !memory || !zones) return std::nullopt;
+    machine_type.name = *type_name;
     machine_type.capacity = {to_amount(*cores), to_amount(gpus.value_or(0)), to_amount(*memory)};
-    machine_type.image_cache_gb = f["cache_gb"].number().value_or(0);
-    machine_type.fetch_gb_per_s = std::max(1e-3, f["pull_gb_per_s"].number().value_or(0));
-    machine_type.price = f["rate"].number().value_or(0);
-    machine_type.spot_price = f["low_price"].number().value_or(machine_type.price);
-    machine_type.boot_time = from_seconds(std::clamp(f["boot_s"].number().value_or(0), 0.0, kMaxSeconds));
-    for (const Value& s : *sites) {
-      if (const std::string* z = name(s)) machine_type.zones.push_back(*z);
+    machine_type.image_cache_gb = item["cache_gb"].number().value_or(0);
+    machine_type.fetch_gb_per_s = std::max(1e-3, item["pull_gb_per_s"].number().value_or(0));
+    machine_type.price = item["rate"].number().value_or(0);
+    machine_type.spot_price = item["low_price"].number().value_or(machine_type.price);
+    machine_type.boot_time = from_seconds(std::clamp(item["boot_s"].number().value_or(0), 0.0, kMaxSeconds));
+    for (const Value& zone : *zones) {
+      if (const std::string* zone_name = read_name(zone)) machine_type.zones.push_back(*zone_name);
     }
     out.emplace(machine_type.name, std::move(machine_type));
   }
@@ -388,44 +397,47 @@
 }
 
 std::optional<Rental> read_rental(const Value& value) {
-  const std::string* job_id = name(value["ref"]);
+  const std::string* host = read_name(value["ref"]);
   const std::string* machine_type = value["flavor"].text();
   const std::string* zone = value["site"].text();
   const std::string* status = value["status"].text();
-  if (!job_id || !machine_type || !zone || !status) return std::nullopt;
+  if (!host || !machine_type || !zone || !status) return std::nullopt;
   Rental rental;
-  rental.host = *job_id;
+  rental.host = *host;
   rental.machine_type = *machine_type;
   rental.zone = *zone;
   rental.status = *status;
-  if (const std::string* a = value["addr"].text()) rental.address = *a;
+  if (const std::string* address = value["addr"].text()) rental.address = *address;
   rental.spot = value["standby"].boolean().value_or(false);
   rental.age = from_seconds(std::clamp(value["held_s"].number().value_or(0), 0.0, kMaxSeconds));
   return rental;
 }
 
 std::optional<InvalidField> never_runs(const JobSpec& spec, const Catalog& catalog, const Team* team) {
-  if (team == nullptr) return InvalidField{"owner", "the team '" + spec.team + "' is not known"};
-  const bool whole = spec.type != JobType::array;
-  const Resources all = whole ? spec.resources * static_cast<std::int64_t>(spec.task_count) : spec.resources;
-  const char* who = whole ? "all its tasks together need" : "a task needs";
-  if (team->cores_max > 0 && all.cores > to_amount(team->cores_max))
-    return InvalidField{"cores", std::string(who) + " more cores than the team may use"};
-  if (team->gpus_max > 0 && all.gpus > to_amount(team->gpus_max))
-    return InvalidField{"cards", std::string(who) + " more cards than the team may use"};
-  // An array may do with half of its tasks at a time; what runs as a whole may not.
-  if (whole && spec.task_count > 1 && spec.spread_zones && (spec.single_zone || !spec.zone.empty()))
-    return InvalidField{"scatter", "its tasks must be in one zone and may not be"};
-  for (const auto& [name, flavor] : catalog) {
-    if (!spec.resources.fits(flavor.capacity)) continue;
-    for (const std::string& zone : flavor.zones) {
-      if (spec.allows(name, zone, false)) return std::nullopt;
+  if (team == nullptr) return InvalidField{"owner", "the team '" + spec.team + "' is not configured"};
+  const bool all_at_once = spec.type != JobType::array;
+  const Resources needed =
+      all_at_once ? spec.resources * static_cast<std::int64_t>(spec.task_count) : spec.resources;
+  const char* subject = all_at_once ? "all tasks together need" : "a task needs";
+  if (team->cores_max > 0 && needed.cores > to_amount(team->cores_max))
+    return InvalidField{"cores", std::string(subject) + " more cores than the team's quota"};
+  if (team->gpus_max > 0 && needed.gpus > to_amount(team->gpus_max))
+    return InvalidField{"cards", std::string(subject) + " more cards than the team's quota"};
+  // Gangs and services run all their tasks at the same time, so they cannot be spread over zones and stay in
+  // one zone. An array may run with only half of its tasks at a time.
+  if (all_at_once && spec.task_count > 1 && spec.spread_zones && (spec.single_zone || !spec.zone.empty()))
+    return InvalidField{"scatter",
+                        "the tasks must be spread over zones, but the job restricts them to one zone"};
+  for (const auto& [type_name, machine_type] : catalog) {
+    if (!spec.resources.fits(machine_type.capacity)) continue;
+    for (const std::string& zone : machine_type.zones) {
+      if (spec.allows(type_name, zone, false)) return std::nullopt;
     }
   }
   return InvalidField{spec.machine_types.empty() && spec.zone.empty() ? "cores"
                       : spec.machine_types.empty()                    ? "site"
                                                                       : "flavors",
-                      "a task fits no machine type that the job allows"};
+                      "a task does not fit on any machine type and zone that the job allows"};
 }
 
 }  // namespace wrenusher::protocol
--- a/src/value/range_set.cpp
+++ b/src/value/range_set.cpp
@@ -7,8 +7,8 @@
 void RangeSet::add(std::uint32_t first, std::uint32_t last) {
   auto it = ranges_.upper_bound(first);
   if (it != ranges_.begin()) {
-    const auto before = std::prev(it);
-    if (before->second + std::uint64_t{1} >= first) it = before;
+    const auto previous = std::prev(it);
+    if (previous->second + std::uint64_t{1} >= first) it = previous;
   }
   while (it != ranges_.end() && it->first <= last + std::uint64_t{1}) {
     first = std::min(first, it->first);
@@ -20,21 +20,21 @@
   size_ += last - first + 1;
 }
 
-void RangeSet::remove(std::uint32_t n) {
-  auto it = ranges_.upper_bound(n);
+void RangeSet::remove(std::uint32_t number) {
+  auto it = ranges_.upper_bound(number);
   if (it == ranges_.begin()) return;
   --it;
   const auto [first, last] = *it;
-  if (n > last) return;
+  if (number > last) return;
   ranges_.erase(it);
   --size_;
-  if (first < n) ranges_.emplace(first, n - 1);
-  if (n < last) ranges_.emplace(n + 1, last);
+  if (first < number) ranges_.emplace(first, number - 1);
+  if (number < last) ranges_.emplace(number + 1, last);
 }
 
-bool RangeSet::contains(std::uint32_t n) const {
-  const auto it = ranges_.upper_bound(n);
-  return it != ranges_.begin() && std::prev(it)->second >= n;
+bool RangeSet::contains(std::uint32_t number) const {
+  const auto it = ranges_.upper_bound(number);
+  return it != ranges_.begin() && std::prev(it)->second >= number;
 }
 
 std::optional<std::uint32_t> RangeSet::first() const {
@@ -47,10 +47,10 @@
   auto it = ranges_.upper_bound(first);
   if (it != ranges_.begin()) --it;
   for (; it != ranges_.end() && it->first <= last; ++it) {
-    const auto& [a, b] = *it;
-    if (b < first) continue;
-    out.emplace_back(std::uint64_t{std::max(a, first)});
-    out.emplace_back(std::uint64_t{std::min(b, last)});
+    const auto& [range_first, range_last] = *it;
+    if (range_last < first) continue;
+    out.emplace_back(std::uint64_t{std::max(range_first, first)});
+    out.emplace_back(std::uint64_t{std::min(range_last, last)});
   }
   return out;
 }
@@ -59,10 +59,10 @@
   const Value::List* list = value.list();
   if (list == nullptr || list->size() % 2 != 0) return false;
   for (std::size_t i = 0; i < list->size(); i += 2) {
-    const auto a = (*list)[i].count();
-    const auto b = (*list)[i + 1].count();
-    if (!a || !b || *a > *b || *b >= limit) return false;
-    add(static_cast<std::uint32_t>(*a), static_cast<std::uint32_t>(*b));
+    const auto range_first = (*list)[i].count();
+    const auto range_last = (*list)[i + 1].count();
+    if (!range_first || !range_last || *range_first > *range_last || *range_last >= limit) return false;
+    add(static_cast<std::uint32_t>(*range_first), static_cast<std::uint32_t>(*range_last));
   }
   return true;
 }
--- a/tests/capacity_test.cpp
+++ b/tests/capacity_test.cpp
@@ -25,7 +25,7 @@
 
 using namespace wrenusher::testbed;
 using namespace wrenusher::protocol;
-using wrenusher::runtime::ByHand;
+using wrenusher::runtime::ManualRuntime;
 namespace events = wrenusher::events;
 namespace replica = wrenusher::replica;
 
@@ -87,7 +87,7 @@
   std::vector<bool> announcements_complete;  ///< the flag of each response, in order
   std::vector<std::shared_ptr<const events::Progress>> progress;
 
-  PeerNode(ByHand& runtime, const char* name, const char* other)
+  PeerNode(ManualRuntime& runtime, const char* name, const char* other)
       : settings([&] {
           auto site = World::small_site();
           site.node = name;
@@ -111,7 +111,7 @@
 
 /// Two nodes; `sender` sends heartbeats, to which `receiver` responds.
 struct PeerPair {
-  ByHand runtime;
+  ManualRuntime runtime;
   PeerNode sender{runtime, "c0", "c1"};
   PeerNode receiver{runtime, "c1", "c0"};
   std::size_t max_message_bytes = 0;  ///< size of the largest heartbeat or response so far
@@ -122,7 +122,7 @@
   }
   /// Delivers all requests under way to the receiver, and its responses to the sender.
   void deliver() {
-    for (ByHand::Call& call : std::exchange(runtime.calls, {})) {
+    for (ManualRuntime::Call& call : std::exchange(runtime.calls, {})) {
       max_message_bytes = std::max(max_message_bytes, call.request.body.size());
       receiver.peer.serve(call.request, [&](const Response& response) {
         max_message_bytes = std::max(max_message_bytes, response.body.size());
@@ -142,7 +142,7 @@
 }  // namespace
 
 TEST(CapacityTest, IgnoresLateReportsOfManyDepartedMachines) {
-  ByHand runtime;
+  ManualRuntime runtime;
   const auto settings = World::small_site();
   wrenusher::worker_gateway::WorkerGateway gateway(runtime, settings);
   std::vector<std::string> reported;
@@ -157,7 +157,7 @@
 }
 
 TEST(CapacityTest, NewLeaderPollsAllInheritedMachinesWithBoundedConcurrency) {
-  ByHand runtime;
+  ManualRuntime runtime;
   const auto settings = World::small_site();
   wrenusher::worker_gateway::WorkerGateway gateway(runtime, settings);
   gateway.on_term(leader_term());
@@ -175,7 +175,7 @@
   std::size_t poll_count = 0;
   for (int round = 0; round < 1000 && !runtime.calls.empty(); ++round) {
     // No machine responds, so each is polled three times.
-    for (const ByHand::Call& call : std::exchange(runtime.calls, {})) {
+    for (const ManualRuntime::Call& call : std::exchange(runtime.calls, {})) {
       ++poll_count;
       call.done({false, true, {}});
     }
@@ -201,7 +201,7 @@
 }
 
 TEST(CapacityTest, TakesPendingHintsOfAllMachinesPageByPage) {
-  ByHand runtime;
+  ManualRuntime runtime;
   wrenusher::estimates::Estimator estimator;
   wrenusher::machine_inventory::MachineInventory machines{runtime, estimator};
   for (int i = 0; i < kItemCount; ++i)
@@ -327,7 +327,7 @@
     fixture.job_id = job;
     fixture.statuses.clear();
     fixture.poll();
-    const ByHand::Call call = fixture.take_call();
+    const ManualRuntime::Call call = fixture.take_call();
     if (call.request.method == "POST") {
       JobApiFixture::answer(call, 200, JobApiFixture::revision_body(6));
     } else {
@@ -344,7 +344,7 @@
 }
 
 TEST(CapacityTest, LeaderPublishesTaskCountsOfManyJobs) {
-  ByHand runtime;
+  ManualRuntime runtime;
   wrenusher::settings::Settings settings = World::small_site();
   wrenusher::estimates::Estimator estimator;
   wrenusher::machine_inventory::MachineInventory machines{runtime, estimator};
@@ -394,7 +394,7 @@
   EXPECT_TRUE(fixture.statuses.empty());
   std::size_t comparisons = 0;
   while (fixture.statuses.size() < std::size_t{kItemCount} && comparisons < std::size_t{kItemCount}) {
-    const ByHand::Call call = fixture.take_call();
+    const ManualRuntime::Call call = fixture.take_call();
     ASSERT_EQ(call.request.target, "/multi");
     ++comparisons;
     JobApiFixture::answer(call, 200, JobApiFixture::revision_body(6));
@@ -408,7 +408,7 @@
   fixture.api.start();
   int pages = 0;
   for (int next = 0; next < kItemCount; ++pages) {
-    const ByHand::Call call = fixture.take_call();
+    const ManualRuntime::Call call = fixture.take_call();
     ASSERT_TRUE(call.request.target.starts_with("/store?starts=job/")) << call.request.target;
     // Each page starts after the last job of the page before.
     const std::string from_parameter = next == 0 ? "" : "from=job/" + job_ref(next - 1);
@@ -446,7 +446,7 @@
 
 /// A key-value store with many live jobs without claims, and a cloud with many running machines.
 struct LargeServices {
-  ByHand runtime;
+  ManualRuntime runtime;
   wrenusher::settings::Settings settings = [] {
     auto site = World::small_site();
     site.state_rps = site.cloud_rps = 1e6;
@@ -459,13 +459,13 @@
   void run_for(Micros duration) {
     const auto end = runtime.at + duration;
     while (runtime.at < end) {
-      for (const ByHand::Call& call : std::exchange(runtime.calls, {})) answer(call);
+      for (const ManualRuntime::Call& call : std::exchange(runtime.calls, {})) answer(call);
       runtime.pass(from_millis(20));
     }
   }
 
  private:
-  void answer(const ByHand::Call& call) {
+  void answer(const ManualRuntime::Call& call) {
     const std::string& target = call.request.target;
     const auto limit = static_cast<std::size_t>(std::atoi(query_parameter(target, "limit").c_str()));
     const std::string from = query_parameter(target, "from");
--- a/tests/formats_test.cpp
+++ b/tests/formats_test.cpp
@@ -1,4 +1,4 @@
-// Formats: what is written is read back, and no bytes do harm.
+// Tests of the formats: what a codec writes it reads back unchanged, and no input bytes crash a decoder.
 
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
@@ -43,95 +43,95 @@
   return rc::gen::join(rc::gen::elementOf(kinds));
 }
 
-JobSpec a_spec() {
-  JobSpec s;
-  s.job_id = "req-000412";
-  s.job_class = "train";
-  s.team = "vision";
-  s.task_count = 3;
-  s.resources = {to_amount(4), to_amount(0), to_amount(13.5)};
-  s.image = "img-07";
-  s.image_gb = 1.25;
-  s.spot_allowed = true;
-  s.expected_runtime = from_seconds(30);
-  s.deadline = from_seconds(90);
-  return s;
+JobSpec sample_spec() {
+  JobSpec spec;
+  spec.job_id = "req-000412";
+  spec.job_class = "train";
+  spec.team = "vision";
+  spec.task_count = 3;
+  spec.resources = {to_amount(4), to_amount(0), to_amount(13.5)};
+  spec.image = "img-07";
+  spec.image_gb = 1.25;
+  spec.spot_allowed = true;
+  spec.expected_runtime = from_seconds(30);
+  spec.deadline = from_seconds(90);
+  return spec;
 }
 
-Value without(const Value& v, const std::string& field) {
-  Value::Map m = *v.map();
-  std::erase_if(m, [&](const Value::Field& f) { return f.first == field; });
-  return m;
+Value without_field(const Value& value, const std::string& field) {
+  Value::Map fields = *value.map();
+  std::erase_if(fields, [&](const Value::Field& item) { return item.first == field; });
+  return fields;
 }
 
-Value with(const Value& v, const std::string& field, Value x) {
-  Value::Map m = *without(v, field).map();
-  m.emplace_back(field, std::move(x));
-  return m;
+Value with_field(const Value& value, const std::string& field, Value field_value) {
+  Value::Map fields = *without_field(value, field).map();
+  fields.emplace_back(field, std::move(field_value));
+  return fields;
 }
 
 }  // namespace
 
-TEST(Cbor, ReadsBackWhatItWrites) {
+TEST(CborTest, DecodesEncodedValues) {
   EXPECT_TRUE(rc::check([] {
-    const Value v = *gen_value(3);
-    const auto back = decode(encode(v));
-    RC_ASSERT(back.has_value());
-    RC_ASSERT(encode(*back) == encode(v));
+    const Value value = *gen_value(3);
+    const auto decoded = decode(encode(value));
+    RC_ASSERT(decoded.has_value());
+    RC_ASSERT(encode(*decoded) == encode(value));
   }));
 }
 
-TEST(Cbor, SurvivesAnyBytes) {
+TEST(CborTest, DecodesArbitraryBytesWithoutCrashing) {
   EXPECT_TRUE(rc::check([](const std::string& bytes) { decode(bytes); }));
 }
 
-TEST(Cbor, SurvivesChangedAndCutMessages) {
+TEST(CborTest, RejectsTruncatedAndSurvivesCorruptedMessages) {
   EXPECT_TRUE(rc::check([] {
     std::string bytes = encode(*gen_value(3));
-    const auto cut = *rc::gen::inRange<std::size_t>(0, bytes.size());
-    RC_ASSERT(!decode(bytes.substr(0, cut)));
-    bytes[cut] = *rc::gen::arbitrary<char>();
+    const auto position = *rc::gen::inRange<std::size_t>(0, bytes.size());
+    RC_ASSERT(!decode(bytes.substr(0, position)));
+    bytes[position] = *rc::gen::arbitrary<char>();
     decode(bytes);
   }));
 }
 
-TEST(Cbor, RefusesWhatTheProtocolDoesNotHave) {
-  const std::vector<std::string> bad = {
-      "",                              // nothing
+TEST(CborTest, RejectsMalformedAndUnsupportedItems) {
+  const std::vector<std::string> invalid = {
+      "",                              // empty input
       std::string("\x01\x01", 2),      // trailing bytes
       std::string("\x41\x61", 2),      // a byte string
       std::string("\xc1\x01", 2),      // a tag
-      std::string("\xa1\x01\x01", 3),  // a key that is no text
+      std::string("\xa1\x01\x01", 3),  // a key that is not text
       std::string("\xa1\x61"
                   "a",
-                  3),  // a map cut short
+                  3),  // a truncated map
       std::string("\xbf\x61"
                   "a\xff",
-                  4),                                          // a key without its value
-      std::string("\x61\xff", 2),                              // text that is no UTF-8
+                  4),                                          // a key without a value
+      std::string("\x61\xff", 2),                              // text that is not UTF-8
       std::string("\xf7", 1),                                  // undefined
       std::string(200, '\x81'),                                // nested too deep
-      std::string("\xff", 1),                                  // a break with nothing open
+      std::string("\xff", 1),                                  // a break outside of a container
       std::string("\x9b\xff\xff\xff\xff\xff\xff\xff\xff", 9),  // a list of 2^64-1 items
   };
-  for (const std::string& b : bad) EXPECT_FALSE(decode(b)) << b.size();
+  for (const std::string& bytes : invalid) EXPECT_FALSE(decode(bytes)) << bytes.size();
 }
 
-TEST(Cbor, ReadsIndefiniteLengthItems) {
+TEST(CborTest, DecodesIndefiniteLengthItems) {
   // {_ "a": [_ 1, 2], "b": (_ "x" "y")}
   const std::string bytes(
       "\xbf\x61"
       "a\x9f\x01\x02\xff\x61"
       "b\x7f\x61x\x61y\xff\xff",
       16);
-  const auto v = decode(bytes);
-  ASSERT_TRUE(v);
-  EXPECT_EQ((*v)["a"].list()->size(), 2U);
-  EXPECT_EQ(*(*v)["b"].text(), "xy");
+  const auto value = decode(bytes);
+  ASSERT_TRUE(value);
+  EXPECT_EQ((*value)["a"].list()->size(), 2U);
+  EXPECT_EQ(*(*value)["b"].text(), "xy");
 }
 
-TEST(Cbor, ReadsOneNumberFromEveryWidth) {
-  const std::vector<std::string> fours = {
+TEST(CborTest, DecodesSameNumberFromEveryWidth) {
+  const std::vector<std::string> encodings_of_four = {
       std::string("\x04", 1),
       std::string("\x18\x04", 2),
       std::string("\x19\x00\x04", 3),
@@ -141,30 +141,30 @@
       std::string("\xfa\x40\x80\x00\x00", 5),
       std::string("\xfb\x40\x10\x00\x00\x00\x00\x00\x00", 9),
   };
-  for (const std::string& b : fours) {
-    const auto v = decode(b);
-    ASSERT_TRUE(v);
-    EXPECT_EQ(v->number(), 4.0);
-    EXPECT_EQ(v->count(), 4U);
+  for (const std::string& bytes : encodings_of_four) {
+    const auto value = decode(bytes);
+    ASSERT_TRUE(value);
+    EXPECT_EQ(value->number(), 4.0);
+    EXPECT_EQ(value->count(), 4U);
   }
 }
 
-TEST(Submission, ReadsBackWhatItWrites) {
-  const JobSpec s = a_spec();
-  EXPECT_EQ(read_spec(write_spec(s)), s);
+TEST(SubmissionTest, ReadsWrittenSpec) {
+  const JobSpec spec = sample_spec();
+  EXPECT_EQ(read_spec(write_spec(spec)), spec);
 }
 
-TEST(Submission, NeedsEveryFieldOfTheRightKind) {
-  const Value good = write_spec(a_spec());
-  ASSERT_TRUE(read_spec(good));
+TEST(SubmissionTest, RejectsMissingAndInvalidFields) {
+  const Value valid = write_spec(sample_spec());
+  ASSERT_TRUE(read_spec(valid));
   const std::set<std::string> optional = {"due_s"};
-  for (const auto& [name, value] : *good.map()) {
-    EXPECT_EQ(read_spec(without(good, name)).has_value(), optional.contains(name)) << name;
-    InvalidField fault;
-    EXPECT_FALSE(read_spec(with(good, name, Value::List{Value{}}), &fault)) << name;
-    EXPECT_EQ(fault.field, name);
+  for (const auto& [name, value] : *valid.map()) {
+    EXPECT_EQ(read_spec(without_field(valid, name)).has_value(), optional.contains(name)) << name;
+    InvalidField invalid_field;
+    EXPECT_FALSE(read_spec(with_field(valid, name, Value::List{Value{}}), &invalid_field)) << name;
+    EXPECT_EQ(invalid_field.field, name);
   }
-  const std::vector<std::pair<std::string, Value>> bad = {
+  const std::vector<std::pair<std::string, Value>> invalid = {
       {"units", 0},
       {"units", 100001},
       {"units", 1.5},
@@ -181,80 +181,81 @@
       {"flavors", Value::List{}},
       {"site", 4},
   };
-  for (const auto& [name, value] : bad) {
-    InvalidField fault;
-    EXPECT_FALSE(read_spec(with(good, name, value), &fault)) << name;
-    EXPECT_EQ(fault.field, name) << fault.what;
-    EXPECT_TRUE(fault.what.starts_with("must be")) << fault.what;
+  for (const auto& [name, value] : invalid) {
+    InvalidField invalid_field;
+    EXPECT_FALSE(read_spec(with_field(valid, name, value), &invalid_field)) << name;
+    EXPECT_EQ(invalid_field.field, name) << invalid_field.what;
+    EXPECT_TRUE(invalid_field.what.starts_with("must be")) << invalid_field.what;
   }
-  EXPECT_TRUE(read_spec(with(good, "flavors", nullptr)));
-  EXPECT_TRUE(read_spec(with(good, "units", 3.0)));
-  EXPECT_TRUE(read_spec(with(good, "unheard_of", "x")));
+  EXPECT_TRUE(read_spec(with_field(valid, "flavors", nullptr)));
+  EXPECT_TRUE(read_spec(with_field(valid, "units", 3.0)));
+  EXPECT_TRUE(read_spec(with_field(valid, "unheard_of", "x")));
 }
 
-TEST(Block, ReadsBackWhatItWritesAndKeepsItsLimit) {
+TEST(BlockRecordTest, ReadsWrittenBlockWithinSizeLimit) {
   EXPECT_TRUE(rc::check([] {
     const double value_kb = *rc::gen::elementOf(std::vector<double>{1, 4, 16, 64});
     const std::uint32_t size = records::max_tasks_per_block(value_kb);
-    records::BlockRecord b;
-    b.last_attempt = *rc::gen::inRange<std::uint64_t>(0, 1000000);
+    records::BlockRecord block;
+    block.last_attempt = *rc::gen::inRange<std::uint64_t>(0, 1000000);
     std::map<std::uint32_t, records::AssignmentRow> rows;
-    // The worst block: tasks high in a large job, each done or claimed alone, no two alike side by side.
+    // The worst case for the size: high task numbers in a large job, one task per assignment, and random
+    // states, so that few neighbouring tasks form a range.
     const std::uint32_t first = kMaxTasksPerJob - size;
-    for (std::uint32_t t = first; t < kMaxTasksPerJob; ++t) {
-      const int kind = *rc::gen::inRange(0, 3);
-      if (kind == 1) b.done.add(t);
-      if (kind == 2) {
-        records::AssignmentRow c;
-        c.host = "m-" + std::to_string(100000 + t);
-        c.attempt = b.last_attempt;
-        c.tasks.add(t);
-        b.assignments.push_back(c);
+    for (std::uint32_t task = first; task < kMaxTasksPerJob; ++task) {
+      const int state = *rc::gen::inRange(0, 3);
+      if (state == 1) block.done.add(task);
+      if (state == 2) {
+        records::AssignmentRow row;
+        row.host = "m-" + std::to_string(100000 + task);
+        row.attempt = block.last_attempt;
+        row.tasks.add(task);
+        block.assignments.push_back(row);
       }
     }
     const records::BlockId id{"req-" + std::string(60, '9'), first / size, 1ULL << 62};
-    const Value v =
-        records::write_block(id, b.last_attempt, b.done, b.assignments, first, kMaxTasksPerJob - 1);
-    // A slot is a list of such rows; one row alone must always find room in it.
-    RC_ASSERT(Value(Value::List{v}).json_size() <= static_cast<std::size_t>(value_kb * 1024) - 2);
-    const auto seen = records::read_block_id(v);
-    RC_ASSERT(seen.has_value());
-    RC_ASSERT(seen->job_id == id.job_id && seen->block == id.block && seen->version == id.version);
-    const auto back = records::read_block(v, kMaxTasksPerJob);
-    RC_ASSERT(back.has_value());
-    RC_ASSERT(back->done == b.done);
-    RC_ASSERT(back->assignments.size() == b.assignments.size());
-    RC_ASSERT(back->last_attempt == b.last_attempt);
+    const Value value = records::write_block(id, block.last_attempt, block.done, block.assignments, first,
+                                             kMaxTasksPerJob - 1);
+    // A slot is a list of blocks in this form. Each block must fit into a slot on its own.
+    RC_ASSERT(Value(Value::List{value}).json_size() <= static_cast<std::size_t>(value_kb * 1024) - 2);
+    const auto read_id = records::read_block_id(value);
+    RC_ASSERT(read_id.has_value());
+    RC_ASSERT(read_id->job_id == id.job_id && read_id->block == id.block && read_id->version == id.version);
+    const auto read_back = records::read_block(value, kMaxTasksPerJob);
+    RC_ASSERT(read_back.has_value());
+    RC_ASSERT(read_back->done == block.done);
+    RC_ASSERT(read_back->assignments.size() == block.assignments.size());
+    RC_ASSERT(read_back->last_attempt == block.last_attempt);
   }));
 }
 
-TEST(RangeSet, BehavesLikeASet) {
+TEST(RangeSetTest, MatchesStdSet) {
   EXPECT_TRUE(rc::check([](const std::vector<std::pair<bool, std::uint8_t>>& steps) {
-    RangeSet r;
-    std::set<std::uint32_t> s;
-    for (const auto& [add, n] : steps) {
+    RangeSet range_set;
+    std::set<std::uint32_t> expected;
+    for (const auto& [add, number] : steps) {
       if (add) {
-        const std::uint32_t last = n + (n % 5);
-        r.add(n, last);
-        for (std::uint32_t k = n; k <= last; ++k) s.insert(k);
+        const std::uint32_t last = number + (number % 5);
+        range_set.add(number, last);
+        for (std::uint32_t added = number; added <= last; ++added) expected.insert(added);
       } else {
-        r.remove(n);
-        s.erase(n);
+        range_set.remove(number);
+        expected.erase(number);
       }
-      RC_ASSERT(r.size() == s.size());
-      RC_ASSERT(r.contains(n) == s.contains(n));
+      RC_ASSERT(range_set.size() == expected.size());
+      RC_ASSERT(range_set.contains(number) == expected.contains(number));
     }
-    RangeSet back;
-    RC_ASSERT(back.read(r.write(0, 1000), 1000));
-    RC_ASSERT(back == r);
-    RC_ASSERT(r.first().has_value() == !s.empty());
-    if (!s.empty()) {
-      RC_ASSERT(*r.first() == *s.begin());
+    RangeSet read_back;
+    RC_ASSERT(read_back.read(range_set.write(0, 1000), 1000));
+    RC_ASSERT(read_back == range_set);
+    RC_ASSERT(range_set.first().has_value() == !expected.empty());
+    if (!expected.empty()) {
+      RC_ASSERT(*range_set.first() == *expected.begin());
     }
   }));
 }
 
-TEST(Settings, TunablesAreCheckedStrictly) {
+TEST(SettingsTest, RejectsInvalidTunables) {
   EXPECT_EQ(parse_tunables("").scheduling_interval, from_millis(200));
   EXPECT_EQ(parse_tunables("round_s: 0.5").scheduling_interval, from_millis(500));
   EXPECT_THROW(parse_tunables("round_s: fast"), SettingsError);
@@ -264,7 +265,7 @@
   EXPECT_THROW(parse_tunables("a: [1"), SettingsError);
 }
 
-TEST(Log, AnEventIsOneObjectWithTypedFieldsAndTheTextThatNamesThem) {
+TEST(LogTest, WritesEventAsJsonObjectWithTypedFields) {
   namespace log = wrenusher::log;
   log::JsonFields fields;
   fields.add_any("job", std::string_view("req-1\"\n\xff"));
@@ -281,39 +282,41 @@
   const double seconds = 1.25;
   EXPECT_EQ(log::fill("after {seconds:.1f} s", fmt::make_format_args(fmt::arg("seconds", seconds))),
             "after 1.2 s");
-  // A line that names what it has not been given is written as it stands: no reason to end.
+  // A placeholder without an argument is left as is: a wrong log text must not end the process.
   EXPECT_EQ(log::fill("after {second} s", fmt::make_format_args(fmt::arg("seconds", seconds))),
             "after {second} s");
 }
 
-TEST(Formats, ALayoutIsReadBackAndAMisspeltOneIsNoLayout) {
-  JobSpec s = a_spec();
-  const std::size_t before = encode(write_spec(s)).size();
-  s.layout =
+TEST(SubmissionTest, ReadsWrittenLayoutAndRejectsInvalidLayout) {
+  JobSpec spec = sample_spec();
+  const std::size_t size_without_layout = encode(write_spec(spec)).size();
+  spec.layout =
       Layout{Layout::Spread{"rack", 0, 0.25, false}, Layout::Colocation{"switch", true}, {{"signer", 2}}};
-  EXPECT_EQ(read_spec(write_spec(s)), s);
-  s.layout->spread->max_tasks = 3;
-  s.layout->spread->share = 0;
-  EXPECT_EQ(read_spec(write_spec(s)), s);
-  EXPECT_EQ(s.layout->spread->limit(40), 3U);
+  EXPECT_EQ(read_spec(write_spec(spec)), spec);
+  spec.layout->spread->max_tasks = 3;
+  spec.layout->spread->share = 0;
+  EXPECT_EQ(read_spec(write_spec(spec)), spec);
+  EXPECT_EQ(spec.layout->spread->limit(40), 3U);
   EXPECT_EQ((Layout::Spread{"rack", 0, 0.1, true}.limit(41)), 5U);  // rounded up
   EXPECT_EQ((Layout::Spread{"rack", 0, 0.1, true}.limit(3)), 1U);
-  s.layout.reset();
-  EXPECT_EQ(encode(write_spec(s)).size(), before);
-  const auto fault = [&](const Value& layout) {
-    Value::Map m = *write_spec(s).map();
-    m.emplace_back("layout", layout);
-    InvalidField f;
-    EXPECT_FALSE(read_spec(m, &f));
-    return f.field;
+  spec.layout.reset();
+  EXPECT_EQ(encode(write_spec(spec)).size(), size_without_layout);
+  const auto invalid_field_of = [&](const Value& layout) {
+    Value::Map fields = *write_spec(spec).map();
+    fields.emplace_back("layout", layout);
+    InvalidField invalid_field;
+    EXPECT_FALSE(read_spec(fields, &invalid_field));
+    return invalid_field.field;
   };
-  EXPECT_EQ(fault("rack"), "layout");
-  EXPECT_EQ(fault(Value::Map{{"spred", 1}}), "layout");
-  EXPECT_EQ(fault(Value::Map{{"spread", Value::Map{{"level", "rack"}}}}), "layout.spread");
-  EXPECT_EQ(fault(Value::Map{{"spread", Value::Map{{"level", "rack"}, {"most", 2}, {"share", 0.5}}}}),
-            "layout.spread");
-  EXPECT_EQ(fault(Value::Map{{"spread", Value::Map{{"level", "rack"}, {"most", 2}, {"must", "no"}}}}),
-            "layout.spread");
-  EXPECT_EQ(fault(Value::Map{{"together", Value::Map{{"must", true}}}}), "layout.together");
-  EXPECT_EQ(fault(Value::Map{{"devices", Value::Map{{"signer", 0}}}}), "layout.devices");
+  EXPECT_EQ(invalid_field_of("rack"), "layout");
+  EXPECT_EQ(invalid_field_of(Value::Map{{"spred", 1}}), "layout");
+  EXPECT_EQ(invalid_field_of(Value::Map{{"spread", Value::Map{{"level", "rack"}}}}), "layout.spread");
+  EXPECT_EQ(
+      invalid_field_of(Value::Map{{"spread", Value::Map{{"level", "rack"}, {"most", 2}, {"share", 0.5}}}}),
+      "layout.spread");
+  EXPECT_EQ(
+      invalid_field_of(Value::Map{{"spread", Value::Map{{"level", "rack"}, {"most", 2}, {"must", "no"}}}}),
+      "layout.spread");
+  EXPECT_EQ(invalid_field_of(Value::Map{{"together", Value::Map{{"must", true}}}}), "layout.together");
+  EXPECT_EQ(invalid_field_of(Value::Map{{"devices", Value::Map{{"signer", 0}}}}), "layout.devices");
 }
--- a/tests/golden_test.cpp
+++ b/tests/golden_test.cpp
@@ -52,7 +52,7 @@
 
 /// One controller's leadership; the test supplies the responses of the state service.
 struct Candidate {
-  ByHand runtime;
+  ManualRuntime runtime;
   settings::Settings settings;
   kv_client::KvClient store{runtime, settings};
   membership::Leadership leadership{runtime, settings, store};
@@ -71,7 +71,7 @@
     for (const Instant end = runtime.at + from_seconds(3); runtime.at < end; runtime.pass(from_millis(10))) {
       for (auto call = runtime.calls.begin(); call != runtime.calls.end(); ++call) {
         if (!(call->request.method + " " + call->request.target).starts_with(prefix)) continue;
-        const ByHand::Call taken_call = std::move(*call);
+        const ManualRuntime::Call taken_call = std::move(*call);
         runtime.calls.erase(call);
         taken_call.done({true, true, {200, encode(body), 0}});
         return;
@@ -91,7 +91,7 @@
 
 /// A controller that receives heartbeats, and everything that it decodes from them.
 struct Receiver {
-  ByHand runtime;
+  ManualRuntime runtime;
   settings::Settings settings = golden::settings_of("c1");
   membership::Peer peer{runtime, settings};
   std::vector<events::PeerStatus> statuses;
@@ -119,7 +119,7 @@
 /// A controller's standby, with the hints that it passes on when its term begins and the attachments that it
 /// sends.
 struct StandbyFixture {
-  ByHand runtime;
+  ManualRuntime runtime;
   settings::Settings settings = golden::settings_of("c1");
   kv_client::KvClient store{runtime, settings};
   replica::StandbyReplica standby{runtime, settings, store};
@@ -479,7 +479,7 @@
 
 TEST(GoldenHintTest, StandbyKeepsHintsWhileLeaderReportsNoChanges) {
   // The golden message is addressed to the incarnation of the standby that was used to write the files.
-  ByHand runtime;
+  ManualRuntime runtime;
   runtime.random().discard(1);
   const settings::Settings settings = golden::settings_of("c1");
   kv_client::KvClient store(runtime, settings);
--- a/tests/golden_values.cpp
+++ b/tests/golden_values.cpp
@@ -14,11 +14,11 @@
 
 /// Removes and returns the next call whose method and target begin with the prefix. Advances the clock until
 /// there is one, by at most 3 s.
-ByHand::Call take_call(ByHand& node, const std::string& prefix) {
+ManualRuntime::Call take_call(ManualRuntime& node, const std::string& prefix) {
   for (const Instant end = node.at + from_seconds(3); node.at < end; node.pass(from_millis(10))) {
     for (auto call = node.calls.begin(); call != node.calls.end(); ++call) {
       if (!(call->request.method + " " + call->request.target).starts_with(prefix)) continue;
-      ByHand::Call result = std::move(*call);
+      ManualRuntime::Call result = std::move(*call);
       node.calls.erase(call);
       return result;
     }
@@ -26,13 +26,13 @@
   throw std::logic_error("golden values: no call " + prefix);
 }
 
-void respond(const ByHand::Call& call, const Value& body) {
+void respond(const ManualRuntime::Call& call, const Value& body) {
   call.done({true, true, {200, encode(body), 0}});
 }
 
 /// Returns the transaction with which a candidate begins a term after epoch 4, as sent to the state service.
 std::string new_term_transaction(bool with_topology) {
-  ByHand runtime;
+  ManualRuntime runtime;
   const settings::Settings settings = settings_of("c0");
   kv_client::KvClient store(runtime, settings);
   membership::Leadership leadership(runtime, settings, store);
@@ -110,7 +110,7 @@
 
 /// A controller's standby, and the heartbeat attachments that it sends to its peers.
 struct HintEndpoint {
-  ByHand runtime;
+  ManualRuntime runtime;
   settings::Settings settings;
   kv_client::KvClient store;
   replica::StandbyReplica standby;
@@ -166,7 +166,7 @@
 }
 
 void add_heartbeats(std::map<std::string, std::string>& files) {
-  ByHand runtime;
+  ManualRuntime runtime;
   const settings::Settings settings = settings_of("c0");
   membership::Peer peer(runtime, settings);
   // Returns the body of the first call that the action causes, which goes to c1, the first peer.
--- a/tests/job_api_fixture.hpp
+++ b/tests/job_api_fixture.hpp
@@ -9,7 +9,7 @@
 
 namespace wrenusher::testbed {
 
-using runtime::ByHand;
+using runtime::ManualRuntime;
 
 /// A JobApi on one node. The test supplies each reply of the state service.
 struct JobApiFixture {
@@ -18,7 +18,7 @@
     result.state_rps = 1e6;  // so that no call is delayed by the rate limit
     return result;
   }();
-  ByHand runtime;
+  ManualRuntime runtime;
   wrenusher::kv_client::KvClient store{runtime, settings};
   std::unique_ptr<wrenusher::job_api::JobApi> owned_api;
   wrenusher::job_api::JobApi& api;
@@ -58,14 +58,14 @@
     send({"POST", "/submissions", encode(write_spec(spec))});
   }
   /// Returns the only call in progress. The caller answers it later with `answer`.
-  ByHand::Call take_call() {
+  ManualRuntime::Call take_call() {
     for (int i = 0; i < 50 && runtime.calls.empty(); ++i) runtime.pass(from_millis(10));
     EXPECT_EQ(runtime.calls.size(), 1U);
-    ByHand::Call call = std::move(runtime.calls.front());
+    ManualRuntime::Call call = std::move(runtime.calls.front());
     runtime.calls.clear();
     return call;
   }
-  static void answer(const ByHand::Call& call, int status, const Value& body) {
+  static void answer(const ManualRuntime::Call& call, int status, const Value& body) {
     call.done({true, true, {status, encode(body), 0}});
   }
   Value live_record_body(std::uint64_t mod_revision, bool cancelled) const {
--- a/tests/job_index_test.cpp
+++ b/tests/job_index_test.cpp
@@ -115,7 +115,7 @@
     result.state_rps = 1e6;
     return result;
   }();
-  ByHand runtime;
+  ManualRuntime runtime;
   KvClient store{runtime, settings};
   JobIndex index{runtime, store};
   FakeStateService service;
@@ -128,7 +128,7 @@
       ended[job_id] = state;
     };
   }
-  void answer(const ByHand::Call& call) { call.done({true, true, service.answer(call.request)}); }
+  void answer(const ManualRuntime::Call& call) { call.done({true, true, service.answer(call.request)}); }
   /// Advances the clock, and stores the state service's revision at each time at which a request may be sent.
   void pass(Micros time) {
     runtime.pass(time);
@@ -138,7 +138,7 @@
   void answer_all_calls() {
     for (int i = 0; i < 100; ++i) {
       pass(from_millis(10));
-      for (const ByHand::Call& call : std::exchange(runtime.calls, {})) {
+      for (const ManualRuntime::Call& call : std::exchange(runtime.calls, {})) {
         ++requests;
         answer(call);
       }
@@ -253,7 +253,7 @@
                          });
     }
     fixture.runtime.pass(from_millis(10));
-    for (const ByHand::Call& call : std::exchange(fixture.runtime.calls, {})) {
+    for (const ManualRuntime::Call& call : std::exchange(fixture.runtime.calls, {})) {
       ++fixture.requests;
       fixture.answer(call);
     }
@@ -305,7 +305,7 @@
     }
     fixture.pass(from_millis(*rc::gen::element(1, 10, 30, 800)));
     auto calls = std::exchange(fixture.runtime.calls, {});
-    for (const ByHand::Call& call : calls) {
+    for (const ManualRuntime::Call& call : calls) {
       const int outcome = *rc::gen::inRange(0, 10);
       if (outcome == 0) {
         call.done({false, true, {}});
--- a/tests/kv_client_test.cpp
+++ b/tests/kv_client_test.cpp
@@ -29,7 +29,7 @@
     site.state_write_rps = 10;
     return site;
   }();
-  ByHand runtime;
+  ManualRuntime runtime;
   KvClient store{runtime, settings};
   int reads = 0;    ///< number of reads that reached the service
   int commits = 0;  ///< number of commits that reached the service
@@ -43,7 +43,7 @@
   void reply_to_calls() {
     while (!runtime.calls.empty()) {
       const auto calls = std::exchange(runtime.calls, {});
-      for (const ByHand::Call& call : calls) {
+      for (const ManualRuntime::Call& call : calls) {
         (call.request.method == "GET" ? reads : commits) += 1;
         call.done({true, true, {200, encode(Value::Map{{"ledger_rev", 5}, {"value", 1}}), 0}});
       }
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -17,7 +17,7 @@
 using namespace wrenusher::testbed;
 using namespace wrenusher::protocol;
 using wrenusher::job_table::TaskState;
-using wrenusher::runtime::ByHand;
+using wrenusher::runtime::ManualRuntime;
 
 namespace {
 
@@ -264,7 +264,7 @@
 
 /// A job table with one job, and the reconciler that applies reports to it, without a simulation.
 struct ReconcilerFixture {
-  ByHand runtime;
+  ManualRuntime runtime;
   wrenusher::estimates::Estimator estimator;
   wrenusher::machine_inventory::MachineInventory machines{runtime, estimator};
   wrenusher::job_table::JobTable jobs{runtime, machines};
--- a/tests/lost_answers_test.cpp
+++ b/tests/lost_answers_test.cpp
@@ -13,7 +13,7 @@
 
 using namespace wrenusher::testbed;
 using namespace wrenusher::protocol;
-using wrenusher::runtime::ByHand;
+using wrenusher::runtime::ManualRuntime;
 namespace records = wrenusher::records;
 
 namespace {
@@ -466,7 +466,7 @@
 /// A candidate for leadership; the test supplies the responses of the state service.
 struct ManualCandidate {
   Settings settings = World::small_site();
-  ByHand runtime;
+  ManualRuntime runtime;
   std::unique_ptr<wrenusher::kv_client::KvClient> store;
   std::unique_ptr<wrenusher::membership::Leadership> leadership;
   std::vector<wrenusher::events::TermChanged> terms;
@@ -483,11 +483,11 @@
   }
   /// Removes and returns the next call whose method and target begin with the prefix. Advances the clock
   /// until there is one, but by `within` at most.
-  ByHand::Call take_call(const std::string& prefix, Micros within = from_seconds(3)) {
+  ManualRuntime::Call take_call(const std::string& prefix, Micros within = from_seconds(3)) {
     for (Micros waited{}; waited <= within; waited += from_millis(10)) {
       for (auto call_it = runtime.calls.begin(); call_it != runtime.calls.end(); ++call_it) {
         if (!(call_it->request.method + " " + call_it->request.target).starts_with(prefix)) continue;
-        ByHand::Call call = std::move(*call_it);
+        ManualRuntime::Call call = std::move(*call_it);
         runtime.calls.erase(call_it);
         return call;
       }
@@ -502,11 +502,11 @@
           return (call.request.method + " " + call.request.target).starts_with(prefix);
         }));
   }
-  static void respond(const ByHand::Call& call, int status, const Value& body) {
+  static void respond(const ManualRuntime::Call& call, int status, const Value& body) {
     call.done({true, true, {status, encode(body), 0}});
   }
   /// Advances the clock by the timeout of the call and fails the call.
-  void time_out(const ByHand::Call& call) {
+  void time_out(const ManualRuntime::Call& call) {
     runtime.pass(from_seconds(1.5));
     call.done({false, true, {}});
   }
@@ -515,8 +515,8 @@
   }
   /// Responds to a campaign up to its commit, which it returns. `fencing_token` and `mod_revision` are those
   /// of the stored `epoch` record (0: there is none).
-  ByHand::Call campaign_until_commit(std::uint64_t fencing_token, std::uint64_t mod_revision,
-                                     std::uint64_t lease_id) {
+  ManualRuntime::Call campaign_until_commit(std::uint64_t fencing_token, std::uint64_t mod_revision,
+                                            std::uint64_t lease_id) {
     respond(take_call("POST /holds"), 200, Value::Map{{"tenancy", lease_id}});
     const auto epoch_read = take_call("GET /store/epoch");
     if (fencing_token == 0) {
@@ -537,7 +537,7 @@
 };
 
 /// Returns the revision that a commit requires of the key, or UINT64_MAX if it has no condition for the key.
-std::uint64_t expected_revision(const ByHand::Call& call, const std::string& key) {
+std::uint64_t expected_revision(const ManualRuntime::Call& call, const std::string& key) {
   // There is no body if the call was never sent; `take_call` has then reported a failure.
   const auto body = decode(call.request.body);
   const Value::List* when = body ? (*body)["when"].list() : nullptr;
@@ -562,7 +562,7 @@
     EXPECT_EQ(candidate.terms_led(), 0U);
     EXPECT_FALSE(candidate.leadership->lease_valid());
     const auto lease_release = candidate.take_call("DELETE /holds/7");
-    ByHand::Call second_commit{{}, {}};
+    ManualRuntime::Call second_commit{{}, {}};
     if (release_answered) {
       ManualCandidate::respond(lease_release, 200, Value::Map{});
       candidate.list_no_leader();
@@ -605,7 +605,7 @@
   EXPECT_NE(candidate.activated_topologies.back().version, topology->version());
   Value::Map record{{"epoch", std::uint64_t{1}}};
   wrenusher::membership::write_topology_version(record, "topology", topology->version());
-  const auto respond_conflict = [](const ByHand::Call& call) {
+  const auto respond_conflict = [](const ManualRuntime::Call& call) {
     ManualCandidate::respond(call, 409,
                              Value::Map{{"failed", Value::List{"epoch"}}, {"ledger_rev", std::uint64_t{6}}});
   };
@@ -648,12 +648,12 @@
   void assign_task(wrenusher::job_table::Job& job, std::uint32_t task) {
     job_table.assign(job, task, machines.get_or_add("m-1"), 1, wrenusher::job_table::TaskState::assigned);
   }
-  ByHand::Call flush() {
+  ManualRuntime::Call flush() {
     runtime.pass(from_seconds(1));
     batcher.flush();
     return take_call("POST /multi", from_seconds(1));
   }
-  static std::string shard_key_of(const ByHand::Call& call) {
+  static std::string shard_key_of(const ManualRuntime::Call& call) {
     const auto body = decode(call.request.body);
     const Value::List* mutations = body ? (*body)["apply"].list() : nullptr;
     for (const Value& mutation : mutations == nullptr ? Value::List{} : *mutations) {
--- a/tests/manual_runtime.hpp
+++ b/tests/manual_runtime.hpp
@@ -1,5 +1,6 @@
 #pragma once
-// A node without a world: its clock stands until it is moved, and its calls are answered by hand.
+// A runtime for tests of a single node: the clock moves only when the test moves it, and the test itself
+// answers the node's calls.
 
 #include <map>
 #include <vector>
@@ -8,7 +9,8 @@
 
 namespace wrenusher::runtime {
 
-class ByHand : public Runtime {
+/// Collects the calls of the node under test in `calls` instead of sending them. Posted actions run at once.
+class ManualRuntime : public Runtime {
  public:
   struct Call {
     Request request;
@@ -20,14 +22,15 @@
   time::Instant now() const override { return at; }
   time::WallTime wall_time() const override { return time::WallTime{} + time::from_seconds(50); }
   std::mt19937_64& random() override { return random_; }
-  void post(std::function<void()> f) override { f(); }
-  void after(time::Micros delay, std::function<void()> f) override {
-    timers_.emplace(at + delay, std::move(f));
+  void post(std::function<void()> action) override { action(); }
+  void after(time::Micros delay, std::function<void()> action) override {
+    timers_.emplace(at + delay, std::move(action));
   }
-  void call(const Endpoint&, Request r, time::Micros, CallHandler done) override {
-    calls.push_back({std::move(r), std::move(done)});
+  void call(const Endpoint&, Request request, time::Micros, CallHandler done) override {
+    calls.push_back({std::move(request), std::move(done)});
   }
-  /// Moves the clock at one go, as for a node that stood still, and then runs what was due.
+  /// Advances the clock in one step, as after a pause of the whole process, and then runs all timers that are
+  /// due.
   void pass(time::Micros time) {
     at += time;
     while (!timers_.empty() && timers_.begin()->first <= at) timers_.extract(timers_.begin()).mapped()();
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -11,7 +11,7 @@
 
 using namespace wrenusher::testbed;
 using namespace wrenusher::protocol;
-using wrenusher::runtime::ByHand;
+using wrenusher::runtime::ManualRuntime;
 
 namespace {
 
@@ -253,7 +253,7 @@
   Settings settings = World::small_site();
   settings.node = "c0";
   settings.peers = {{"c1", "a", "10.0.0.2:8081"}};
-  ByHand runtime;
+  ManualRuntime runtime;
   wrenusher::membership::Peer peer(runtime, settings);
   std::vector<wrenusher::events::PeerStatus> applied;
   peer.peer_status.connect(runtime,
@@ -294,7 +294,7 @@
   Settings settings = World::small_site();
   settings.node = "c0";
   settings.peers = {{"c1", "a", "10.0.0.2:8081"}};
-  ByHand runtime;
+  ManualRuntime runtime;
   wrenusher::membership::Peer peer(runtime, settings);
   wrenusher::time::Instant through{};
   std::vector<std::string> cancelled;
@@ -343,7 +343,7 @@
   Settings settings = World::small_site();
   settings.peers = {{"c1", "a", "10.0.0.2:8081"}};
   settings.tunables.warm_standby = false;
-  ByHand runtime;
+  ManualRuntime runtime;
   wrenusher::kv_client::KvClient kv_client(runtime, settings);
   wrenusher::provisioner::Provisioner provisioner(runtime, settings, kv_client);
   const auto return_requests = [&] {
