--- a/src/provisioner/catalog_source.cpp
+++ b/src/provisioner/catalog_source.cpp
@@ -18,25 +18,27 @@
 namespace {
 
 constexpr Micros kCatalogInterval = from_seconds(30);
-/// While no catalog is known.
+/// Time between reads of the key `catalog` while this node has no catalog.
 constexpr Micros kRecordRetryInterval = from_seconds(3);
+/// Time until the next read after a failed call to the cloud.
 constexpr Micros kCloudRetryInterval = from_seconds(2);
 
-/// What decides which jobs can run at all. Only a change of it is worth a write: prices change often.
-std::string digest(const protocol::Catalog& catalog) {
-  std::string out;
+/// Returns a digest of the fields that decide which jobs can run at all. The catalog is written only when the
+/// digest changes, because prices change often.
+std::string catalog_digest(const protocol::Catalog& catalog) {
+  std::string text;
   for (const auto& [name, machine_type] : catalog) {
-    out += name + ' ' + std::to_string(machine_type.capacity.cores) + ' ' +
-           std::to_string(machine_type.capacity.gpus) + ' ' + std::to_string(machine_type.capacity.memory) +
-           ' ' + std::to_string(machine_type.zones.size()) + ';';
+    text += name + ' ' + std::to_string(machine_type.capacity.cores) + ' ' +
+            std::to_string(machine_type.capacity.gpus) + ' ' + std::to_string(machine_type.capacity.memory) +
+            ' ' + std::to_string(machine_type.zones.size()) + ';';
   }
-  return out;
+  return text;
 }
 
 }  // namespace
 
 void CatalogSource::begin_term() {
-  written_digest_.clear();  // another leader may have written a different one since
+  written_digest_.clear();  // another leader may have written a different catalog since
   next_read_ = services_.runtime.now();
 }
 
@@ -70,7 +72,7 @@
     if (reply.result != ReadReply::Result::ok) return;
     const bool leading = services_.term.leading();
     if (!reply.rows.empty()) {
-      // The leader's own, from the cloud, is newer.
+      // On the leader, a catalog read from the cloud is newer than this record.
       if (!catalog_ || !leading) set_catalog(reply.rows[0].value);
     } else if (!catalog_ && !leading) {
       request_catalog();
@@ -82,18 +84,20 @@
   auto catalog = protocol::read_catalog(value);
   if (!catalog || catalog->empty()) return;
   if (!catalog_)
-    log::info("machine_types_known", "{types} machine types are known", log::with("types", catalog->size()));
+    log::info("machine_types_known", "catalog read: {types} machine types are known",
+              log::with("types", catalog->size()));
   catalog_ = std::make_shared<const protocol::Catalog>(std::move(*catalog));
-  updated_(catalog_);
+  on_updated_(catalog_);
 }
 
 void CatalogSource::write_catalog_record(const Value& value) {
-  std::string written = digest(*catalog_);
-  if (written == written_digest_) return;
+  std::string new_digest = catalog_digest(*catalog_);
+  if (new_digest == written_digest_) return;
   services_.kv_client.commit({{"leader", services_.term.mod_revision()}}, {{"catalog", value, 0}},
                              KvClient::RequestClass::scheduling,
-                             [this, written = std::move(written)](const CommitReply& reply) {
-                               if (reply.result == CommitReply::Result::committed) written_digest_ = written;
+                             [this, new_digest = std::move(new_digest)](const CommitReply& reply) {
+                               if (reply.result == CommitReply::Result::committed)
+                                 written_digest_ = new_digest;
                              });
 }
 
--- a/src/provisioner/cloud_client.cpp
+++ b/src/provisioner/cloud_client.cpp
@@ -16,15 +16,15 @@
 namespace {
 
 constexpr Micros kCallTimeout = time::from_seconds(5);
-/// Time between two attempts while its first call may not be sent.
+/// Time between two attempts to send queued calls while none may be sent.
 constexpr Micros kQueueRetryInterval = from_millis(50);
-/// So many failed calls in a row are an outage.
-constexpr int kOutageFailures = 3;
-/// The back-off grows by one step, and up to as much again at random, with each failure in a row.
+/// Number of consecutive failed calls from which on the cloud counts as unreachable.
+constexpr int kMinOutageFailures = 3;
+/// The back-off is one step for each consecutive failure, plus a random jitter of up to the same length.
 constexpr Micros kBackoffStep = from_millis(300);
 constexpr int kMaxBackoffSteps = 5;
-/// The part of the cloud's rate limit that is used, since its clock and ours differ.
-constexpr double kRateShare = 0.9;
+/// Share of the cloud's rate limit that is used; the rest is a margin for differences between the two clocks.
+constexpr double kUsedRateShare = 0.9;
 
 CloudReply::Result classify(const CallResult& result) {
   if (!result.answered) return CloudReply::Result::failed;
@@ -35,7 +35,7 @@
   return CloudReply::Result::failed;
 }
 
-/// Whether the call shows that the cloud is overloaded or cannot be reached.
+/// Returns whether the result indicates that the cloud is overloaded or unreachable.
 bool indicates_outage(const CallResult& result) {
   return !result.answered || result.response.status == 429 ||
          (result.response.status == 503 && classify(result) != CloudReply::Result::no_capacity);
@@ -48,7 +48,7 @@
     : runtime_(runtime),
       settings_(settings),
       term_(term),
-      rate_limiter_(settings.cloud_rps * kRateShare, runtime.now()) {}
+      rate_limiter_(settings.cloud_rps * kUsedRateShare, runtime.now()) {}
 
 void CloudClient::get(std::string target, ReplyHandler done) {
   enqueue({"GET", std::move(target), {}}, QueuePosition::back, std::move(done));
@@ -59,7 +59,7 @@
 }
 
 bool CloudClient::unreachable() const {
-  return consecutive_failures_ >= kOutageFailures;
+  return consecutive_failures_ >= kMinOutageFailures;
 }
 
 void CloudClient::enqueue(Request request, QueuePosition position, ReplyHandler done) {
@@ -105,13 +105,13 @@
 
 void CloudClient::record_result(const CallResult& result) {
   if (!indicates_outage(result)) {
-    if (unreachable()) log::info("cloud_reachable", "the cloud answers again");
+    if (unreachable()) log::info("cloud_reachable", "the cloud is reachable again");
     consecutive_failures_ = 0;
     return;
   }
   consecutive_failures_ = std::min(consecutive_failures_ + 1, kMaxBackoffSteps);
-  if (consecutive_failures_ == kOutageFailures)
-    log::warn("cloud_unreachable", "the cloud does not answer: {failures} calls in a row failed",
+  if (consecutive_failures_ == kMinOutageFailures)
+    log::warn("cloud_unreachable", "the cloud is unreachable: {failures} calls in a row failed",
               log::with("failures", consecutive_failures_));
   const Micros step = kBackoffStep * consecutive_failures_;
   backoff_until_ = runtime_.now() + step + runtime_.jitter(step);
--- a/src/provisioner/include/wrenusher/provisioner/catalog_source.hpp
+++ b/src/provisioner/include/wrenusher/provisioner/catalog_source.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// The catalog of machine types: read from the cloud, and its copy in the state service.
+// Reads the catalog of machine types from the cloud, and keeps a copy of it in the state service.
 
 #include <functional>
 #include <memory>
@@ -11,30 +11,31 @@
 
 namespace wrenusher::provisioner {
 
-/// Keeps the newest catalog. The leader reads it from the cloud and writes changes of it to the key
-/// `catalog`, so that a node that starts during an outage of the cloud can still tell which jobs can never
-/// run; other nodes read that key. Single-threaded: used from the runtime's loop only; what it is given must
-/// outlive it.
+/// Keeps the newest catalog of machine types. The leader reads it from the cloud and writes changes to the
+/// key `catalog`. Other nodes read that key, so that a node that starts during a cloud outage can still
+/// determine which jobs can never run. Single-threaded: used from the runtime's loop only. The objects passed
+/// to the constructor must outlive it.
 class CatalogSource {
  public:
   using CatalogPtr = std::shared_ptr<const protocol::Catalog>;
 
-  /// Where the catalog comes from, and under whose term it is written.
+  /// The services that the catalog is read from and written to, and the term that writes are conditional on.
   struct Services {
     runtime::Runtime& runtime;
     kv_client::KvClient& kv_client;
     CloudClient& cloud;
     const LeaderTerm& term;
   };
-  /// `updated` is called with each catalog that was read.
-  CatalogSource(const Services& services, std::function<void(const CatalogPtr&)> updated)
-      : services_(services), updated_(std::move(updated)) {}
+  /// `on_updated` is called with each catalog that is read.
+  CatalogSource(const Services& services, std::function<void(const CatalogPtr&)> on_updated)
+      : services_(services), on_updated_(std::move(on_updated)) {}
 
-  /// A term of this node begins: reads the catalog anew, and writes it even if it is as before.
+  /// Starts a term of this node: the catalog is read from the cloud at the next tick and then written, even
+  /// if it has not changed.
   void begin_term();
-  /// Reads the catalog if that is due.
+  /// Requests the catalog if the next read is due. To be called periodically.
   void tick();
-  /// Null until a catalog was read.
+  /// Returns the newest catalog; null until one has been read.
   const CatalogPtr& catalog() const { return catalog_; }
 
  private:
@@ -44,9 +45,9 @@
   void write_catalog_record(const value::Value& value);
 
   Services services_;
-  std::function<void(const CatalogPtr&)> updated_;
+  std::function<void(const CatalogPtr&)> on_updated_;
   CatalogPtr catalog_;
-  std::string written_digest_;  ///< of the catalog last written in this term
+  std::string written_digest_;  ///< digest of the catalog last written in this term
   time::Instant next_read_{};
 };
 
--- a/src/provisioner/include/wrenusher/provisioner/cloud_client.hpp
+++ b/src/provisioner/include/wrenusher/provisioner/cloud_client.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Calls to the cloud's rental interface: their queue, rate limit, and back-off during an outage.
+// Calls to the cloud's rental interface, with a queue, a rate limit, and back-off during an outage.
 
 #include <deque>
 #include <functional>
@@ -12,23 +12,23 @@
 
 namespace wrenusher::provisioner {
 
-/// How a call to the cloud ended.
+/// Outcome of a call to the cloud.
 struct CloudReply {
   enum class Result {
     ok,           ///< status 200
-    no_capacity,  ///< the cloud has no such machine at present; nothing was rented
-    invalid,      ///< status 400: the same request will never succeed
-    failed        ///< no answer, throttled, or another error; it may have been executed all the same
+    no_capacity,  ///< no such machine is available at present; nothing was rented
+    invalid,      ///< status 400: the same request can never succeed
+    failed        ///< no response, throttled, or another error; the call may have been executed
   };
   Result result = Result::failed;
-  /// The decoded body of an `ok` reply; nothing where it is malformed.
+  /// Decoded body of an `ok` reply; nullopt if the body is malformed.
   std::optional<value::Value> body;
 };
 
-/// Client of the cloud. Calls wait in one queue until the rate limit and a back-off after failures let them
-/// out. Calls that change something are sent only while the lease is valid: this node may have stood still
-/// since they were queued. Single-threaded: used from the runtime's loop only. `runtime`, `settings` and
-/// `term` must outlive it.
+/// Client of the cloud. Calls wait in one queue until the rate limit and the back-off after failures allow
+/// them. Calls that change something are sent only while the leader's lease is valid, because the process may
+/// have been paused since they were queued. Single-threaded: used from the runtime's loop only. `runtime`,
+/// `settings` and `term` must outlive it.
 class CloudClient {
  public:
   using ReplyHandler = std::function<void(const CloudReply&)>;
@@ -36,13 +36,14 @@
 
   CloudClient(runtime::Runtime& runtime, const settings::Settings& settings, const LeaderTerm& term);
 
-  /// Queues a read of `target`, a path with its query.
+  /// Queues a read of `target`, which is a path with an optional query.
   void get(std::string target, ReplyHandler done);
-  /// Queues a change; `body` is encoded CBOR. `front`: what frees stuck work goes before all others.
+  /// Queues a change; `body` is encoded CBOR. With `front` the call goes ahead of all queued calls; this is
+  /// for calls that other work is blocked on.
   void post(std::string target, std::string body, QueuePosition position, ReplyHandler done);
-  /// Drops what waits, without a reply. Calls already sent still get theirs.
+  /// Drops all queued calls without calling their handlers. Calls already sent still get their replies.
   void drop_queued_calls() { queue_.clear(); }
-  /// Whether several calls in a row have failed.
+  /// Returns whether several consecutive calls have failed.
   bool unreachable() const;
 
  private:
--- a/src/provisioner/include/wrenusher/provisioner/inherited_machines.hpp
+++ b/src/provisioner/include/wrenusher/provisioner/inherited_machines.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Machines that reported to the last leader, until they report to this one.
+// Tracks which machines of the previous leader have not reported to this leader yet.
 
 #include <cstddef>
 #include <set>
@@ -8,35 +8,39 @@
 
 namespace wrenusher::provisioner {
 
-/// Tells when nearly all machines of the last leader have reported to this one: from then on a shortage is
-/// real, and nothing more is to be waited for before machines are rented. Pure state. Single-threaded.
+/// Detects when nearly all machines that reported to the previous leader have reported to this one. From then
+/// on a shortage of machines is real, and renting need not be delayed any longer. Pure state, without clock
+/// or calls. Single-threaded.
 class InheritedMachines {
  public:
+  /// Removes all machines.
   void clear() {
-    awaited_.clear();
-    total_ = 0;
+    unreported_.clear();
+    expected_count_ = 0;
   }
-  /// Machines that reported to the last leader: waits for these as well.
-  void await(std::set<std::string> hosts) {
-    awaited_.merge(std::move(hosts));
-    total_ = awaited_.size();
+  /// Adds machines that reported to the previous leader and are expected to report to this one.
+  void add(std::set<std::string> hosts) {
+    unreported_.merge(std::move(hosts));
+    expected_count_ = unreported_.size();
   }
-  /// The machine has reported, or was returned.
-  void settle(const std::string& host) { awaited_.erase(host); }
-  /// True once, as soon as few enough machines have not reported.
-  [[nodiscard]] bool complete_now() {
-    if (total_ == 0) return false;
-    if (static_cast<double>(awaited_.size()) > kAwaitedShare * static_cast<double>(total_)) return false;
+  /// Removes a machine that has reported or has been returned.
+  void remove(const std::string& host) { unreported_.erase(host); }
+  /// Returns true, and removes all machines, if the share of machines that have not reported is small enough.
+  /// Returns false if no machines were added since it last returned true.
+  [[nodiscard]] bool finish_if_complete() {
+    if (expected_count_ == 0) return false;
+    if (static_cast<double>(unreported_.size()) > kMaxUnreportedShare * static_cast<double>(expected_count_))
+      return false;
     clear();
     return true;
   }
 
  private:
-  /// A few machines may have failed together with the last leader.
-  static constexpr double kAwaitedShare = 0.1;
+  /// Some machines may have failed together with the previous leader.
+  static constexpr double kMaxUnreportedShare = 0.1;
 
-  std::set<std::string> awaited_;
-  std::size_t total_ = 0;  ///< 0: nothing was inherited, or it is complete
+  std::set<std::string> unreported_;
+  std::size_t expected_count_ = 0;  ///< 0 if no machines were added, or after completion
 };
 
 }  // namespace wrenusher::provisioner
--- a/src/provisioner/include/wrenusher/provisioner/layout_backoff.hpp
+++ b/src/provisioner/include/wrenusher/provisioner/layout_backoff.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Rentals for jobs with a layout, less and less often where they do not help.
+// Back-off for rentals for jobs with a layout, when earlier rentals did not help.
 
 #include <cstdint>
 #include <map>
@@ -10,23 +10,25 @@
 
 namespace wrenusher::provisioner {
 
-/// Where a layout is short of machines, those that are rented may turn out to stand in the wrong failure
-/// domain. What was rented for a job gets the time to boot and be used before more is rented for it, and
-/// longer each time it was of no use. Pure state, without clock or calls. Single-threaded.
+/// Limits how often machines are rented for a job with a layout. Rented machines may turn out to be in a
+/// failure domain that the layout cannot use. After a rental, nothing more is rented for the job until the
+/// machines have had time to boot and be used; the delay grows each time a rental did not help. Pure state,
+/// without clock or calls. Single-threaded.
 class LayoutBackoff {
  public:
-  /// Whether machines may be rented for the demand now; always true for a job that was rented nothing for.
+  /// Returns whether machines may be rented for the demand now; always true without an earlier rental.
   bool may_rent(const events::Workload::Demand& demand, time::Instant now) const;
-  /// Machines are rented now for the demand, which has a layout. `boot_timeout`: until all of them report.
+  /// Records that machines are rented now for the demand, which must have a layout. `boot_timeout` is the
+  /// time within which all of these machines report.
   void record_rental(const events::Workload::Demand& demand, time::Instant now, time::Micros boot_timeout);
 
  private:
   struct Attempt {
-    std::uint32_t tasks = 0;  ///< that were short when machines were last rented
+    std::uint32_t waiting_tasks = 0;  ///< tasks without a machine at the last rental
     time::Instant not_before{};
-    time::Micros pause{};
+    time::Micros extra_delay{};
   };
-  std::map<std::string, Attempt> attempts_;  ///< by job
+  std::map<std::string, Attempt> attempts_;  ///< last rental of each job, by job ID
 };
 
 }  // namespace wrenusher::provisioner
--- a/src/provisioner/include/wrenusher/provisioner/leader_term.hpp
+++ b/src/provisioner/include/wrenusher/provisioner/leader_term.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Whether this node leads, as the parts of the provisioner need to know it.
+// Leadership state of this node, shared by the components of the provisioner.
 
 #include <cstdint>
 
@@ -8,13 +8,13 @@
 
 namespace wrenusher::provisioner {
 
-/// This node's leadership: the term, and until when its lease is certainly valid. Owned by the Provisioner,
-/// read by its parts. Single-threaded: used from the runtime's loop only.
+/// Leadership of this node: the current term, and until when its lease is certain to be valid. Owned by the
+/// Provisioner and read by its components. Single-threaded: used from the runtime's loop only.
 class LeaderTerm {
  public:
   explicit LeaderTerm(runtime::Runtime& runtime) : runtime_(runtime) {}
 
-  /// Takes over a change of term. Returns whether a term of this node begins with it.
+  /// Stores the new state. Returns whether a new term of this node begins with it.
   [[nodiscard]] bool update(const events::TermChanged& term) {
     const bool begins = term.leading && !is_current(term.fencing_token);
     term_ = term;
@@ -24,11 +24,11 @@
 
   bool leading() const { return term_.leading; }
   std::uint64_t fencing_token() const { return term_.fencing_token; }
-  /// Modification revision of the `leader` key, a condition of every scheduling write.
+  /// Modification revision of the `leader` key, the compare-and-swap condition of every scheduling write.
   std::uint64_t mod_revision() const { return term_.mod_revision; }
-  /// Whether this node is certain to be the only leader at this moment.
+  /// Returns whether this node is certain to be the only leader at this moment.
   bool lease_valid() const { return term_.leading && runtime_.now() < lease_valid_until_; }
-  /// Whether this node leads and with this fencing token: replies to calls of an earlier term are dropped.
+  /// Returns whether this node leads with this fencing token. Used to drop replies to calls of earlier terms.
   bool is_current(std::uint64_t fencing_token) const {
     return term_.leading && term_.fencing_token == fencing_token;
   }
--- a/src/provisioner/include/wrenusher/provisioner/machine_class.hpp
+++ b/src/provisioner/include/wrenusher/provisioner/machine_class.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// What can be rented, and what is asked of the cloud.
+// Classes of machines that can be rented, and requests to rent them.
 
 #include <compare>
 #include <cstdint>
@@ -7,8 +7,8 @@
 
 namespace wrenusher::provisioner {
 
-/// Machines that are rented alike. Ordered by type, zone and then on-demand before spot: rentals are
-/// requested in this order.
+/// Class of interchangeable machines in a rental request. Ordered by type, then zone, then on-demand before
+/// spot; rentals are requested in this order.
 struct MachineClass {
   std::string machine_type;
   std::string zone;
@@ -17,9 +17,9 @@
   auto operator<=>(const MachineClass&) const = default;
 };
 
-/// A rental that the cloud was asked for and has not settled yet.
+/// Request to rent machines of one class, until the cloud has accepted or refused it or it is abandoned.
 struct RentalRequest {
-  std::string name;  ///< idempotency key: repeated with the same name, it rents nothing more
+  std::string name;  ///< idempotency key: a retry with the same name rents no further machines
   MachineClass machine_class;
   std::uint32_t count = 0;
   int failed_attempts = 0;
--- a/src/provisioner/include/wrenusher/provisioner/machine_returns.hpp
+++ b/src/provisioner/include/wrenusher/provisioner/machine_returns.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Machines on their way back to the cloud.
+// Returns rented machines to the cloud.
 
 #include <functional>
 #include <set>
@@ -11,23 +11,25 @@
 
 namespace wrenusher::provisioner {
 
-/// Returns machines in batches, each repeated until the cloud confirms it. Single-threaded: used from the
-/// runtime's loop only; what it is given must outlive it.
+/// Returns machines in batches. A machine is sent again with a later batch until the cloud confirms its
+/// return. Single-threaded: used from the runtime's loop only. `cloud` and `term` must outlive it.
 class MachineReturns {
  public:
-  /// `returned` is called for each host whose return is confirmed.
-  MachineReturns(CloudClient& cloud, const LeaderTerm& term, std::function<void(const std::string&)> returned)
-      : cloud_(cloud), term_(term), on_returned_(std::move(returned)) {}
+  /// `on_returned` is called for each host whose return is confirmed.
+  MachineReturns(CloudClient& cloud, const LeaderTerm& term,
+                 std::function<void(const std::string&)> on_returned)
+      : cloud_(cloud), term_(term), on_returned_(std::move(on_returned)) {}
 
-  /// A term of this node begins: forgets what an earlier one returned.
+  /// Starts a term of this node: clears all pending and confirmed returns.
   void begin_term();
+  /// Queues the machine for the next batch.
   void add(const std::string& host) { pending_.insert(host); }
-  /// Sends the next batch, unless one is under way or nothing is pending.
+  /// Sends the next batch, unless one is in flight or nothing is pending.
   void send_batch();
-  /// Whether the machine's return is not confirmed yet.
-  bool pending(const std::string& host) const { return pending_.contains(host); }
-  /// Whether its return was confirmed in this term. The cloud's list may still name it.
-  bool returned(const std::string& host) const { return returned_.contains(host); }
+  /// Returns whether the machine has been queued for return and the cloud has not confirmed it yet.
+  bool is_pending(const std::string& host) const { return pending_.contains(host); }
+  /// Returns whether the machine's return was confirmed in this term. The cloud's list may still contain it.
+  bool is_returned(const std::string& host) const { return returned_.contains(host); }
 
  private:
   void on_confirmed(const std::vector<std::string>& hosts);
@@ -37,7 +39,7 @@
   std::function<void(const std::string&)> on_returned_;
   std::set<std::string> pending_;
   std::set<std::string> returned_;
-  bool batch_under_way_ = false;
+  bool batch_in_flight_ = false;
 };
 
 }  // namespace wrenusher::provisioner
--- a/src/provisioner/include/wrenusher/provisioner/provisioner.hpp
+++ b/src/provisioner/include/wrenusher/provisioner/provisioner.hpp
@@ -1,9 +1,10 @@
 #pragma once
-// Package provisioner: rents machines for the work that waits, and returns those that are idle, silent,
-// faulty or do not boot. It owns what the leader knows of the cloud: the catalog of machine types, the rented
-// machines, the rental requests under way, and what was refused. What to rent is decided in
-// rental_planner.hpp. It may depend on time, value, runtime, settings, protocol, kv_client, events,
-// placement, usage_metrics and log.
+// Package provisioner: rents machines for waiting tasks, and returns machines that are idle, silent, faulty
+// or fail to boot. It owns the leader's view of the cloud: the catalog of machine types, the rented machines,
+// the open rental requests and the refused machine classes. rental_planner.hpp decides what to rent.
+//
+// The package may depend on time, value, runtime, settings, protocol, kv_client, events, placement,
+// usage_metrics and log.
 
 #include <memory>
 #include <string>
@@ -28,26 +29,26 @@
 
 namespace wrenusher::provisioner {
 
-/// The actor that scales the leader's machines out and in. A node that does not lead only keeps the catalog.
-/// Single-threaded: called from the runtime's loop only; `runtime`, `settings` and `kv_client` must outlive
-/// it.
+/// Actor that rents and returns machines while this node leads. A node that does not lead only keeps the
+/// catalog up to date. Single-threaded: called from the runtime's loop only. `runtime`, `settings` and
+/// `kv_client` must outlive it.
 class Provisioner {
  public:
   Provisioner(runtime::Runtime& runtime, const settings::Settings& settings, kv_client::KvClient& kv_client);
-  /// Begins the periodic work; to be called once.
+  /// Starts the periodic work. To be called once.
   void start();
 
   // Events received.
   void on_term(const events::TermChanged& term);
   void on_lease_validity(const events::LeaseValidity& event) { term_.set_lease_valid_until(event.until); }
-  /// Reviews the machines by what runs on them, and rents for the demand.
+  /// Updates the state of each machine from its load, and rents machines for the demand.
   void on_workload(const std::shared_ptr<const events::Workload>& workload);
-  /// Takes over the rentals of the last leader. The cloud's list shows them only after its lag, and until
-  /// then they would be rented twice.
+  /// Takes over the rentals and open rental requests of the previous leader. The cloud's list shows these
+  /// machines only after its lag; without the hints they would be rented twice in the meantime.
   void on_hints_inherited(const std::shared_ptr<const events::InheritedHints>& hints);
-  /// Returns the machine.
+  /// Returns the machine, whose worker has stopped reporting, to the cloud.
   void on_worker_silent(const events::WorkerSilent& event);
-  /// Returns the machine.
+  /// Returns the machine, which is unreachable or suspected to be faulty, to the cloud.
   void on_machine_suspect(const events::MachineCordoned& event);
 
   // Events sent.
@@ -62,7 +63,7 @@
   void begin_term();
   void tick();
 
-  // Machines that came or went.
+  // Rented and returned machines.
   void on_listed(const protocol::Rental& rental);
   void on_rented(const MachineClass& machine_class, const std::vector<std::string>& hosts);
   void on_returned(const std::string& host);
@@ -82,7 +83,7 @@
   void publish_capacity();
   void publish_hints();
 
-  // Times.
+  // Timeouts.
   time::Micros boot_timeout(const std::string& machine_type) const;
   time::Micros longest_boot_timeout() const;
   time::Micros adoption_window() const;
@@ -101,7 +102,7 @@
   LayoutBackoff layout_backoff_;
   InheritedMachines inherited_;
   usage_metrics::CostMetrics costs_;
-  time::Instant term_began_{};
+  time::Instant term_start_{};
   time::Instant rent_not_before_{};
   time::Instant on_demand_not_before_{};
 };
--- a/src/provisioner/include/wrenusher/provisioner/rental_planner.hpp
+++ b/src/provisioner/include/wrenusher/provisioner/rental_planner.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// What to rent for the work that waits: a pure function of the workload and of what is rented.
+// Decides which machines to rent for waiting tasks: a pure function of the workload and the rented machines.
 
 #include <cstdint>
 #include <functional>
@@ -14,31 +14,34 @@
 
 namespace wrenusher::provisioner {
 
-/// What a rental plan rests on. All of it is borrowed for the call.
+/// Input of a rental plan. The referenced objects must stay valid during the call and, for `demands`, as long
+/// as the plan is used.
 struct RentalPlanInput {
   const protocol::Catalog& catalog;
   const RentedMachines::ByHost& machines;
   const RentalRequests::ByName& open_requests;
-  /// In the order in which they are served.
+  /// Tasks that wait for a machine, in the order in which they are served.
   const std::vector<events::Workload::Demand>& demands;
-  /// False shortly after a term began: on-demand machines that an earlier leader rented may not be known yet.
+  /// False shortly after a term has started, when on-demand machines that an earlier leader rented may be
+  /// missing from `machines`.
   bool on_demand_allowed = true;
-  /// Whether machines of a class cannot be had at present.
+  /// Returns whether machines of the class cannot be rented at present.
   std::function<bool(const MachineClass&)> is_refused;
-  /// Whether machines may be rented for a demand at present, see LayoutBackoff.
+  /// Returns whether machines may be rented for the demand at present, see LayoutBackoff.
   std::function<bool(const events::Workload::Demand&)> may_rent;
 };
 
-/// What to rent.
+/// Machines to rent.
 struct RentalPlan {
-  std::map<MachineClass, std::uint32_t> machines;  ///< to be requested, in this order
-  /// Demands with a layout for which machines are rented; they point into the input.
+  std::map<MachineClass, std::uint32_t> machines;  ///< counts by class, to be requested in this order
+  /// Demands with a layout for which machines are rented; these point into `RentalPlanInput::demands`.
   std::vector<const events::Workload::Demand*> layouts_served;
 };
 
-/// Covers each demand, in order, with the room of machines that are on their way and then with new machines
-/// of the class that costs least for the time that the tasks hold it. On-demand machines are not rented for
-/// array tasks that are expected to start soon enough on machines that there are.
+/// Returns the machines to rent. Assigns each demand, in order, to free resources of starting machines and
+/// then to new machines of the class with the lowest cost per task, from boot to the end of the tasks. No
+/// on-demand machine is rented for tasks of a demand that allows spot machines if these tasks are expected to
+/// start early enough on existing machines.
 [[nodiscard]] RentalPlan plan_rentals(const RentalPlanInput& input);
 
 }  // namespace wrenusher::provisioner
--- a/src/provisioner/include/wrenusher/provisioner/rental_requests.hpp
+++ b/src/provisioner/include/wrenusher/provisioner/rental_requests.hpp
@@ -1,6 +1,5 @@
 #pragma once
-// Requests for machines: made, repeated until they are settled, and refused for a while where the cloud has
-// no capacity.
+// Sends rental requests to the cloud, retries them, and tracks the machine classes without capacity.
 
 #include <functional>
 #include <map>
@@ -13,39 +12,41 @@
 
 namespace wrenusher::provisioner {
 
-/// Rental requests of this term. Single-threaded: used from the runtime's loop only; what it is given must
-/// outlive it.
+/// Open rental requests of this term. A failed request is retried under the same name until the cloud accepts
+/// or refuses it, or it is abandoned after several attempts. Single-threaded: used from the runtime's loop
+/// only. `runtime`, `cloud` and `term` must outlive it.
 class RentalRequests {
  public:
-  /// Called with the hosts that a request has rented.
+  /// Called with the hosts rented by a request.
   using RentedHandler = std::function<void(const MachineClass&, const std::vector<std::string>& hosts)>;
   using ByName = std::map<std::string, RentalRequest>;
 
-  RentalRequests(runtime::Runtime& runtime, CloudClient& cloud, const LeaderTerm& term, RentedHandler rented)
-      : runtime_(runtime), cloud_(cloud), term_(term), rented_(std::move(rented)) {}
+  RentalRequests(runtime::Runtime& runtime, CloudClient& cloud, const LeaderTerm& term,
+                 RentedHandler rented_handler)
+      : runtime_(runtime), cloud_(cloud), term_(term), rented_handler_(std::move(rented_handler)) {}
 
-  /// A term of this node begins: forgets the requests of earlier ones.
+  /// Starts a term of this node: clears the requests and refusals of earlier terms.
   void begin_term();
-  /// Requests up to `count` machines, at most one page of the cloud's interface.
+  /// Requests `count` machines, or the largest number that the cloud allows in one request if that is less.
   void request(const MachineClass& machine_class, std::uint32_t count);
-  /// Repeats a request of the last leader under its name, so that nothing is rented twice.
+  /// Repeats a request of the previous leader under its original name, so that nothing is rented twice.
   void resume(const RentalRequest& request);
-  /// Whether the cloud had no capacity for such machines a short while ago.
+  /// Returns whether the cloud recently had no capacity for machines of the class.
   bool is_refused(const MachineClass& machine_class) const;
-  /// Requests that are not settled yet.
+  /// Returns the requests that are neither accepted, refused nor abandoned yet.
   const ByName& open() const { return open_; }
 
  private:
   void send(const RentalRequest& request);
   void on_reply(const std::string& name, const CloudReply& reply);
   void on_rented(const RentalRequest& request, const CloudReply& reply);
-  void refuse_for_a_while(const MachineClass& machine_class);
+  void mark_refused(const MachineClass& machine_class);
 
   runtime::Runtime& runtime_;
   CloudClient& cloud_;
   const LeaderTerm& term_;
-  RentedHandler rented_;
-  std::uint64_t requests_made_ = 0;  ///< in this term; part of the names
+  RentedHandler rented_handler_;
+  std::uint64_t request_count_ = 0;  ///< number of requests made in this term; part of their names
   ByName open_;
   std::map<MachineClass, time::Instant> refused_until_;
 };
--- a/src/provisioner/include/wrenusher/provisioner/zone_loss_detector.hpp
+++ b/src/provisioner/include/wrenusher/provisioner/zone_loss_detector.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Zones that cannot be reached: nothing is rented in them.
+// Detects unreachable zones, in which no machines should be rented.
 
 #include <deque>
 #include <map>
@@ -10,26 +10,29 @@
 
 namespace wrenusher::provisioner {
 
-/// Takes a zone for lost once several of its machines fell silent within a short time and none reports. What
-/// is rented there would be paid for and could not report until the partition ends. The silent machines are
-/// returned all the same: nothing else proves their tasks gone, which cancelled jobs need in time. Pure
-/// state, without clock or calls. Single-threaded.
+/// Considers a zone lost once several of its machines have become silent within a short time and none
+/// reports. Machines rented there would be charged for, but could not report until the partition ends. The
+/// silent machines are still returned: only a confirmed return proves that their tasks have stopped, and
+/// cancelled jobs need this proof in time. Pure state, without clock or calls. Single-threaded.
 class ZoneLossDetector {
  public:
+  /// Removes all recorded silent machines and lost zones.
   void clear();
-  /// A machine of the zone has fallen silent.
-  void record_silence(const std::string& zone, time::Instant now) { silences_[zone].push_back(now); }
-  /// Judges each zone with silent machines by which machines report.
+  /// Records that a machine of the zone has become silent.
+  void record_silent_machine(const std::string& zone, time::Instant now) {
+    silence_times_[zone].push_back(now);
+  }
+  /// Marks zones with silent machines as lost or reachable, depending on which machines are usable.
   void update(const events::Workload& workload, time::Instant now);
-  /// Whether the zone is lost and not to be probed yet.
+  /// Returns whether the zone is lost and its next probe is not due yet.
   bool is_lost(const std::string& zone, time::Instant now) const;
-  /// To be called when something is rented in the zone. True where the zone was lost: one machine is enough
-  /// to find out whether it can be reached, and the next probe is put off.
+  /// Returns whether the zone is lost, and if so schedules its next probe. To be called before machines are
+  /// rented in the zone: in a lost zone one machine is enough to check whether it is reachable again.
   [[nodiscard]] bool begin_probe(const std::string& zone, time::Instant now);
 
  private:
-  std::map<std::string, std::deque<time::Instant>> silences_;  ///< by zone, in rising order
-  std::map<std::string, time::Instant> lost_until_;            ///< by zone: when it may be probed
+  std::map<std::string, std::deque<time::Instant>> silence_times_;  ///< by zone, in ascending order
+  std::map<std::string, time::Instant> next_probe_;  ///< by lost zone: earliest time of the next probe
 };
 
 }  // namespace wrenusher::provisioner
--- a/src/provisioner/layout_backoff.cpp
+++ b/src/provisioner/layout_backoff.cpp
@@ -11,9 +11,9 @@
 
 namespace {
 
-/// Pause after a rental that was of no use; doubled each time.
-constexpr Micros kMinPause = from_seconds(60);
-constexpr Micros kMaxPause = from_seconds(600);
+/// Bounds of the extra delay after a rental that had no effect. The delay doubles each time.
+constexpr Micros kMinExtraDelay = from_seconds(60);
+constexpr Micros kMaxExtraDelay = from_seconds(600);
 
 }  // namespace
 
@@ -24,12 +24,13 @@
 
 void LayoutBackoff::record_rental(const Workload::Demand& demand, Instant now, Micros boot_timeout) {
   Attempt& attempt = attempts_[demand.spec.job_id];
-  // As short as before: what was rented went to other jobs.
-  const bool useless = attempt.tasks > 0 && demand.tasks >= attempt.tasks;
-  attempt.pause = useless ? std::clamp(attempt.pause * 2, kMinPause, kMaxPause) : Micros{0};
-  attempt.tasks = demand.tasks;
-  attempt.not_before = now + boot_timeout + attempt.pause;
-  std::erase_if(attempts_, [&](const auto& entry) { return now - entry.second.not_before > kMaxPause; });
+  // If as many tasks wait as at the last rental, its machines were used by other jobs.
+  const bool had_no_effect = attempt.waiting_tasks > 0 && demand.tasks >= attempt.waiting_tasks;
+  attempt.extra_delay =
+      had_no_effect ? std::clamp(attempt.extra_delay * 2, kMinExtraDelay, kMaxExtraDelay) : Micros{0};
+  attempt.waiting_tasks = demand.tasks;
+  attempt.not_before = now + boot_timeout + attempt.extra_delay;
+  std::erase_if(attempts_, [&](const auto& entry) { return now - entry.second.not_before > kMaxExtraDelay; });
 }
 
 }  // namespace wrenusher::provisioner
--- a/src/provisioner/machine_returns.cpp
+++ b/src/provisioner/machine_returns.cpp
@@ -13,12 +13,12 @@
 void MachineReturns::begin_term() {
   pending_.clear();
   returned_.clear();
-  batch_under_way_ = false;
+  batch_in_flight_ = false;
 }
 
 void MachineReturns::send_batch() {
-  if (batch_under_way_ || pending_.empty()) return;
-  batch_under_way_ = true;
+  if (batch_in_flight_ || pending_.empty()) return;
+  batch_in_flight_ = true;
   Value::List batch;
   std::vector<std::string> hosts;
   for (const std::string& host : pending_) {
@@ -26,13 +26,14 @@
     hosts.push_back(host);
     batch.emplace_back(host);
   }
-  // Before all rentals: a machine's return proves its tasks gone, and those may hold up others.
+  // Returns go ahead of rentals: a confirmed return proves that the machine's tasks have stopped, and other
+  // tasks may be waiting for that proof.
   cloud_.post("/rentals/return", value::encode(Value::Map{{"hosts", std::move(batch)}}),
               CloudClient::QueuePosition::front,
               [this, hosts = std::move(hosts), token = term_.fencing_token()](const CloudReply& reply) {
                 if (!term_.is_current(token)) return;
-                batch_under_way_ = false;
-                // Otherwise the next call of `send_batch` repeats it.
+                batch_in_flight_ = false;
+                // After a failure the hosts stay pending, and the next `send_batch` retries them.
                 if (reply.result == CloudReply::Result::ok) on_confirmed(hosts);
               });
 }
--- a/src/provisioner/provisioner.cpp
+++ b/src/provisioner/provisioner.cpp
@@ -20,12 +20,13 @@
 namespace {
 
 constexpr Micros kTickInterval = time::from_millis(500);
-/// Assumed for a machine type that is not in the catalog.
+/// Boot time assumed for a machine type that is not in the catalog.
 constexpr Micros kDefaultBootTime = from_seconds(60);
-/// A returned machine is charged for at least this time, so it is kept for it.
-constexpr Micros kMinCharge = from_seconds(60);
-/// A worker waits this long for a reply to its heartbeat, and this long before it tries the next node.
+/// The cloud charges for at least this time, so a machine is not returned for idleness earlier.
+constexpr Micros kMinChargedTime = from_seconds(60);
+/// Time that a worker waits for a reply to its heartbeat.
 constexpr Micros kWorkerReplyTimeout = from_seconds(4);
+/// Time that a worker waits before it sends its heartbeat to the next node.
 constexpr Micros kWorkerRetryInterval = from_seconds(1);
 
 }  // namespace
@@ -52,7 +53,7 @@
 
 void Provisioner::on_term(const events::TermChanged& term) {
   const bool begins = term_.update(term);
-  // What is queued was decided by a leader, or in an earlier term.
+  // Queued calls belong to an earlier term, or to a time when this node still led.
   if (begins || !term.leading) cloud_.drop_queued_calls();
   if (begins) begin_term();
 }
@@ -66,10 +67,11 @@
   catalog_source_.begin_term();
   rental_list_.begin_term();
   const Instant now = runtime_.now();
-  term_began_ = now;
+  term_start_ = now;
   costs_.begin(now);
-  // Machines that run report first. What an earlier leader rented shows only after the list's lag; before
-  // that it would be rented twice, which is cheap with spot machines only.
+  // Running machines need time to report to this leader before a shortage is certain. Machines rented by an
+  // earlier leader appear in the cloud's list only after its lag. Until then they would be rented twice,
+  // which is cheap only for spot machines.
   const bool first_term = term_.fencing_token() <= 1;
   rent_not_before_ =
       now + (first_term ? Micros{0} : settings_.report_interval * 5 / 4 + kWorkerRetryInterval);
@@ -84,29 +86,30 @@
   runtime_.after(kTickInterval, [this] { tick(); });
 }
 
-// ---------------------------------------------------------------- machines that came or went
+// ---------------------------------------------------------------- rented and returned machines
 
 void Provisioner::on_listed(const protocol::Rental& rental) {
-  // The list lags: what was returned may still be in it.
-  if (machine_returns_.pending(rental.host) || machine_returns_.returned(rental.host)) return;
+  // The list lags, so it may still contain returned machines.
+  if (machine_returns_.is_pending(rental.host) || machine_returns_.is_returned(rental.host)) return;
   const bool added = !machines_.contains(rental.host);
   const bool running = rental.status == "running";
   RentedMachine& machine = machines_.add(rental.host);
   machine.machine_class = {rental.machine_type, rental.zone, rental.spot};
-  // Its worker may still report to a former leader that is cut off together with it: others are to call it.
+  // The worker may be in a network partition with a former leader and still report to it. Publishing the
+  // machine lets other components call the worker.
   if (running && !std::exchange(machine.published, true) && !machine.up)
     machine_listed(events::MachineListed{rental.host, rental.address});
   if (added) {
     machine.rented_at = runtime_.now() - rental.age;
     machine.report_due = std::max(machine.report_due, machine.rented_at + boot_timeout(rental.machine_type));
-    log::debug("machine_listed", "machine {machine} ({type}) is in the cloud's list",
+    log::debug("machine_listed", "machine {machine} ({type}) appeared in the cloud's list",
                log::with("machine", rental.host), log::with("type", rental.machine_type));
   }
   if (running && !std::exchange(machine.running, true) && !machine.up) {
-    const Micros patience = std::max(settings_.worker_lease, settings_.report_interval * 4);
-    machine.report_due = std::min(machine.report_due, runtime_.now() + patience);
+    const Micros report_timeout = std::max(settings_.worker_lease, settings_.report_interval * 4);
+    machine.report_due = std::min(machine.report_due, runtime_.now() + report_timeout);
   }
-  if (rental.status == "failed") return_machine(rental.host, "it has failed");
+  if (rental.status == "failed") return_machine(rental.host, "the cloud reports it as failed");
 }
 
 void Provisioner::on_rented(const MachineClass& machine_class, const std::vector<std::string>& hosts) {
@@ -118,7 +121,7 @@
 }
 
 void Provisioner::on_returned(const std::string& host) {
-  inherited_.settle(host);
+  inherited_.remove(host);
   machines_.erase(host);
   machine_departed(events::MachineDeparted{host});
 }
@@ -136,24 +139,24 @@
 void Provisioner::return_silent_machine(const std::string& host, const std::string& reason) {
   const RentedMachine& machine = machines_.add(host);
   if (machine.returning) return;
-  zone_loss_.record_silence(machine.machine_class.zone, runtime_.now());
+  zone_loss_.record_silent_machine(machine.machine_class.zone, runtime_.now());
   return_machine(host, reason);
 }
 
 void Provisioner::on_worker_silent(const events::WorkerSilent& event) {
-  if (term_.leading()) return_silent_machine(event.host, "it is silent");
+  if (term_.leading()) return_silent_machine(event.host, "its worker is silent");
 }
 
 void Provisioner::on_machine_suspect(const events::MachineCordoned& event) {
   if (term_.leading()) return_machine(event.host, event.reason);
 }
 
-// ---------------------------------------------------------------- hints from leader to leader
+// ---------------------------------------------------------------- hints between leaders
 
 void Provisioner::on_hints_inherited(const std::shared_ptr<const events::InheritedHints>& hints) {
   if (!term_.is_current(hints->term)) return;
   for (const events::RentalHint& hint : hints->rentals.rentals) {
-    if (hint.report_due.count() < 0) continue;  // overdue: the list tells what became of it
+    if (hint.report_due.count() < 0) continue;  // overdue: its state is taken from the cloud's list
     RentedMachine& machine = machines_.add(hint.host);
     machine.machine_class = {hint.machine_type, hint.zone, hint.spot};
     machine.rented_at = runtime_.now() - hint.age;
@@ -162,11 +165,11 @@
   for (const events::RentalRequestHint& hint : hints->rentals.requests)
     rental_requests_.resume({hint.name, {hint.machine_type, hint.zone, hint.spot}, hint.count});
   if (!hints->complete) return;
-  std::set<std::string> reporting;
+  std::set<std::string> reporting_hosts;
   for (const auto& [host, machine] : hints->machines) {
-    if (!machine.silent) reporting.insert(host);
+    if (!machine.silent) reporting_hosts.insert(host);
   }
-  inherited_.await(std::move(reporting));
+  inherited_.add(std::move(reporting_hosts));
 }
 
 void Provisioner::publish_hints() {
@@ -192,7 +195,7 @@
   if (!term_.leading()) return;
   record_costs();
   for (const Workload::MachineLoad& load : workload->machines) {
-    if (!machine_returns_.pending(load.host)) update_machine(load);
+    if (!machine_returns_.is_pending(load.host)) update_machine(load);
   }
   zone_loss_.update(*workload, runtime_.now());
   review_inherited();
@@ -204,15 +207,15 @@
   RentedMachine& machine = machines_.add(load.host);
   if (!load.machine_type.empty()) machine.machine_class = {load.machine_type, load.zone, load.spot};
   if (load.assignments > 0 || (load.usable && !machine.up))
-    machine.idle_since = now;  // booting is not idling
+    machine.idle_since = now;  // idle time starts at the first report, so boot time does not count
   if (load.usable) {
     machine.up = true;
-    inherited_.settle(load.host);
+    inherited_.remove(load.host);
   }
-  // It was up under an earlier leader, and a worker that still runs finds this one within one heartbeat and a
-  // lost reply.
-  if (!machine.up && load.assignments > 0 && now - term_began_ > adoption_window())
-    return_silent_machine(load.host, "it has not reported in this term");
+  // Its tasks show that it was up under an earlier leader. A worker that still runs reports to this leader
+  // within the adoption window, even if one reply to it is lost.
+  if (!machine.up && load.assignments > 0 && now - term_start_ > adoption_window())
+    return_silent_machine(load.host, "its worker has not reported in this term");
   machine.reserved = load.reserved;
   machine.working = load.running;
   machine.service_load = load.service_load;
@@ -225,10 +228,11 @@
   for (auto& [host, machine] : machines_.by_host()) {
     if (machine.returning) continue;
     if (!machine.up) {
-      if (now > machine.report_due) return_machine(host, "it does not boot in time");
-    } else if (!machine.draining && !machine.has_named_device && now - machine.rented_at > kMinCharge &&
+      if (now > machine.report_due) return_machine(host, "it did not boot in time");
+    } else if (!machine.draining && !machine.has_named_device && now - machine.rented_at > kMinChargedTime &&
                now - machine.idle_since > max_idle_time(machine.machine_class)) {
-      // First the leader stops placing tasks on it; it is returned once the leader shows it empty.
+      // Cordoned first, so that no new tasks are placed on it. It is returned once the workload shows it
+      // without assigned tasks.
       machine.draining = true;
       machine_cordoned(events::MachineCordoned{host, "idle"});
     }
@@ -237,12 +241,12 @@
 }
 
 void Provisioner::review_inherited() {
-  if (!inherited_.complete_now()) return;
+  if (!inherited_.finish_if_complete()) return;
   rent_not_before_ = std::min(rent_not_before_, runtime_.now());
   on_demand_not_before_ = std::min(on_demand_not_before_, runtime_.now());
 }
 
-/// Adds what the machines cost since the last call, by what they were used for.
+/// Adds the cost of the machines since the last call to the cost metrics, by their use.
 void Provisioner::record_costs() {
   const double hours = costs_.elapse(runtime_.now());
   const auto& catalog = catalog_source_.catalog();
@@ -271,9 +275,9 @@
   for (const Workload::Demand* demand : plan.layouts_served)
     layout_backoff_.record_rental(*demand, now, longest_boot_timeout());
   for (const auto& [machine_class, count] : plan.machines) {
-    // In a zone that cannot be reached one machine is enough to find out whether it still is so.
-    const bool probe = zone_loss_.begin_probe(machine_class.zone, now);
-    rental_requests_.request(machine_class, probe ? 1 : count);
+    // In a lost zone one machine is enough to check whether the zone is reachable again.
+    const bool is_probe = zone_loss_.begin_probe(machine_class.zone, now);
+    rental_requests_.request(machine_class, is_probe ? 1 : count);
   }
 }
 
@@ -281,7 +285,7 @@
   return zone_loss_.is_lost(machine_class.zone, runtime_.now()) || rental_requests_.is_refused(machine_class);
 }
 
-/// Whether no machine of the type can be had at present.
+/// Returns whether all zones refuse machines of the type at present.
 bool Provisioner::is_exhausted(const std::string& name, const MachineType& machine_type) const {
   return std::all_of(machine_type.zones.begin(), machine_type.zones.end(), [&](const std::string& zone) {
     return is_refused({name, zone, true}) && is_refused({name, zone, false});
@@ -291,7 +295,7 @@
 void Provisioner::publish_capacity() {
   events::CapacityChanged capacity;
   for (const auto& [name, machine_type] : *catalog_source_.catalog()) {
-    // While the cloud does not answer nothing can be had from it either.
+    // While the cloud is unreachable no machine type is available.
     if (is_exhausted(name, machine_type) || cloud_.unreachable()) capacity.exhausted.insert(name);
   }
   for (const auto& [host, machine] : machines_.by_host()) {
@@ -302,16 +306,16 @@
   capacity_changed(capacity);
 }
 
-// ---------------------------------------------------------------- times
+// ---------------------------------------------------------------- timeouts
 
-/// How long after its rental a machine must have reported.
+/// Returns the time after its rental within which a machine of the type must report.
 Micros Provisioner::boot_timeout(const std::string& machine_type) const {
-  Micros boot = kDefaultBootTime;
+  Micros boot_time = kDefaultBootTime;
   if (const auto& catalog = catalog_source_.catalog()) {
-    if (const auto it = catalog->find(machine_type); it != catalog->end()) boot = it->second.boot_time;
+    if (const auto it = catalog->find(machine_type); it != catalog->end()) boot_time = it->second.boot_time;
   }
   return std::max(settings_.worker_lease,
-                  from_seconds(to_seconds(boot) * settings_.tunables.slow_boot_factor));
+                  from_seconds(to_seconds(boot_time) * settings_.tunables.slow_boot_factor));
 }
 
 Micros Provisioner::longest_boot_timeout() const {
@@ -321,19 +325,21 @@
   return longest;
 }
 
-/// Within this time of a term's start every worker that still runs has reported to the new leader.
+/// Returns the time after the start of a term within which every running worker reports to the new leader:
+/// one report interval with a margin, the timeout of one lost reply, and two retry intervals.
 Micros Provisioner::adoption_window() const {
   return settings_.report_interval * 5 / 4 + kWorkerReplyTimeout + kWorkerRetryInterval * 2;
 }
 
-/// How long a machine may idle: an on-demand one for as much money as a spot one, which is used first.
+/// Returns how long a machine may be idle. An on-demand machine may cost as much while idle as a spot machine
+/// of its type, so its time is shorter. Spot machines are preferred for new tasks.
 Micros Provisioner::max_idle_time(const MachineClass& machine_class) const {
-  const Micros spot_time = settings_.tunables.idle_return;
+  const Micros spot_idle_time = settings_.tunables.idle_return;
   const auto& catalog = catalog_source_.catalog();
-  if (machine_class.spot || !catalog) return spot_time;
+  if (machine_class.spot || !catalog) return spot_idle_time;
   const auto it = catalog->find(machine_class.machine_type);
-  if (it == catalog->end() || it->second.price <= it->second.spot_price) return spot_time;
-  return from_seconds(to_seconds(spot_time) * it->second.spot_price / it->second.price);
+  if (it == catalog->end() || it->second.price <= it->second.spot_price) return spot_idle_time;
+  return from_seconds(to_seconds(spot_idle_time) * it->second.spot_price / it->second.price);
 }
 
 }  // namespace wrenusher::provisioner
--- a/src/provisioner/rental_list.cpp
+++ b/src/provisioner/rental_list.cpp
@@ -7,28 +7,28 @@
 namespace {
 
 constexpr time::Micros kListInterval = time::from_seconds(4);
-/// The largest page that the cloud gives.
+/// Requests pages of 500 machines, the largest that the cloud returns.
 constexpr const char* kPageTarget = "/rentals?limit=500";
 
 }  // namespace
 
 void RentalList::begin_term() {
-  under_way_ = false;
-  next_ = runtime_.now();
+  request_in_flight_ = false;
+  next_request_ = runtime_.now();
 }
 
 void RentalList::tick() {
-  if (runtime_.now() >= next_ && !under_way_) request_page({});
+  if (runtime_.now() >= next_request_ && !request_in_flight_) request_page({});
 }
 
-void RentalList::request_page(const std::string& from) {
-  under_way_ = true;
-  next_ = runtime_.now() + kListInterval;
+void RentalList::request_page(const std::string& from_host) {
+  request_in_flight_ = true;
+  next_request_ = runtime_.now() + kListInterval;
   std::string target = kPageTarget;
-  if (!from.empty()) target += "&from=" + from;
+  if (!from_host.empty()) target += "&from=" + from_host;
   cloud_.get(std::move(target), [this, token = term_.fencing_token()](const CloudReply& reply) {
     if (!term_.is_current(token)) return;
-    under_way_ = false;
+    request_in_flight_ = false;
     if (reply.body) on_page(*reply.body);
   });
 }
@@ -36,14 +36,14 @@
 void RentalList::on_page(const Value& page) {
   const Value::List* hosts = page["hosts"].list();
   if (hosts == nullptr) return;
-  std::string last;
+  std::string last_host;
   for (const Value& item : *hosts) {
     if (const auto rental = protocol::read_rental(item)) {
-      listed_(*rental);
-      last = rental->host;
+      on_listed_(*rental);
+      last_host = rental->host;
     }
   }
-  if (page["truncated"].boolean().value_or(false) && !last.empty()) request_page(last);
+  if (page["truncated"].boolean().value_or(false) && !last_host.empty()) request_page(last_host);
 }
 
 }  // namespace wrenusher::provisioner
--- a/src/provisioner/rental_planner.cpp
+++ b/src/provisioner/rental_planner.cpp
@@ -19,30 +19,30 @@
 
 namespace {
 
-/// No on-demand machine is rented for a task that is predicted to start within this part of the time that it
-/// may wait, of which no more than `kMaxWait` counts.
+/// No on-demand machine is rented for a task that is predicted to start on an existing machine within this
+/// share of the time that it may wait. That time is capped at `kMaxCountedWait`.
 constexpr double kPredictedWaitShare = 0.4;
-constexpr Micros kMaxWait = from_seconds(90);
+constexpr Micros kMaxCountedWait = from_seconds(90);
 
-/// Room on a machine that is on its way.
+/// Free resources of a machine that is rented or requested and has not reported yet.
 struct StartingMachine {
   MachineClass machine_class;
   Resources free;
 };
 
-/// The machines of a type, here or on their way, against the work that waits for them.
+/// Cores of the existing, starting and requested machines of a type, and the work that waits for these.
 struct TypeBacklog {
-  double cores = 0;         ///< less what services keep
-  double core_seconds = 0;  ///< of the demands looked at so far
+  double cores = 0;         ///< without those used by services
+  double core_seconds = 0;  ///< waiting work of the demands processed so far
 };
 
-/// A machine to rent, and how many tasks of the demand it takes.
+/// A machine to rent, and the number of tasks of the demand that fit on it.
 struct Offer {
   MachineClass machine_class;
   std::uint32_t tasks = 0;
 };
 
-/// One run of `plan_rentals`. Single-threaded; lives for that call only.
+/// State of one call of `plan_rentals`. Single-threaded.
 class RentalPlanner {
  public:
   explicit RentalPlanner(const RentalPlanInput& input) : input_(input) {
@@ -66,7 +66,7 @@
   void add_cores(const std::string& machine_type, std::uint32_t machines);
   bool can_run_on(const Workload::Demand& demand, const std::string& machine_type) const;
   TypeBacklog combined_backlog(const Workload::Demand& demand) const;
-  double add_to_backlogs(const Workload::Demand& demand, double cores);
+  double add_to_backlogs(const Workload::Demand& demand, double total_cores);
   std::uint32_t tasks_startable_in_time(const Workload::Demand& demand);
   std::uint32_t place_on_starting_machines(const Workload::Demand& demand);
   std::optional<Offer> cheapest_offer(const Workload::Demand& demand, std::uint32_t unserved,
@@ -82,7 +82,7 @@
   RentalPlan plan_;
 };
 
-/// Whether a machine of the class could serve the demand's layout, as far as is known.
+/// Returns whether a machine of the class may satisfy the demand's layout; true for a demand without one.
 bool fits_layout(const Workload::Demand& demand, const MachineClass& machine_class) {
   return !demand.eligible_placements ||
          demand.eligible_placements->contains({machine_class.machine_type, machine_class.zone});
@@ -112,8 +112,8 @@
 }
 
 void RentalPlanner::add_cores(const std::string& machine_type, std::uint32_t machines) {
-  if (const MachineType* found = find_type(machine_type); found != nullptr)
-    backlogs_[machine_type].cores += machines * from_amount(found->capacity.cores);
+  if (const MachineType* catalog_entry = find_type(machine_type); catalog_entry != nullptr)
+    backlogs_[machine_type].cores += machines * from_amount(catalog_entry->capacity.cores);
 }
 
 bool RentalPlanner::can_run_on(const Workload::Demand& demand, const std::string& machine_type) const {
@@ -121,51 +121,54 @@
          placement::fits_machine_type(demand.spec, input_.catalog.at(machine_type));
 }
 
-/// Of all types that the demand can run on.
+/// Returns the total backlog of all machine types that the demand can run on.
 TypeBacklog RentalPlanner::combined_backlog(const Workload::Demand& demand) const {
-  TypeBacklog sum;
+  TypeBacklog combined;
   for (const auto& [machine_type, backlog] : backlogs_) {
     if (!can_run_on(demand, machine_type)) continue;
-    sum.cores += backlog.cores;
-    sum.core_seconds += backlog.core_seconds;
+    combined.cores += backlog.cores;
+    combined.core_seconds += backlog.core_seconds;
   }
-  return sum;
+  return combined;
 }
 
-/// Spreads the demand over the types that it can run on, in proportion to their `cores` of the total. Returns
-/// the core seconds of one task; 0 for a service, which takes its cores away for good.
-double RentalPlanner::add_to_backlogs(const Workload::Demand& demand, double cores) {
-  double per_task = 0;
+/// Distributes the demand over the machine types that it can run on, in proportion to their share of
+/// `total_cores`. Returns the core seconds of one task. For a service, which occupies its cores permanently,
+/// reduces the cores of the types instead and returns 0.
+double RentalPlanner::add_to_backlogs(const Workload::Demand& demand, double total_cores) {
+  double core_seconds_per_task = 0;
   for (auto& [machine_type, backlog] : backlogs_) {
-    if (!can_run_on(demand, machine_type) || cores <= 0) continue;
+    if (!can_run_on(demand, machine_type) || total_cores <= 0) continue;
     const double task_cores =
         from_amount(placement::core_equivalents(demand.spec.resources, input_.catalog.at(machine_type)));
     if (demand.spec.type == protocol::JobType::service) {
-      backlog.cores = std::max(0.0, backlog.cores - demand.tasks * task_cores * backlog.cores / cores);
+      backlog.cores = std::max(0.0, backlog.cores - demand.tasks * task_cores * backlog.cores / total_cores);
       continue;
     }
-    const double work = task_cores * to_seconds(demand.estimate) * backlog.cores / cores;
-    per_task += work;
-    backlog.core_seconds += demand.tasks * work;
+    const double core_seconds = task_cores * to_seconds(demand.estimate) * backlog.cores / total_cores;
+    core_seconds_per_task += core_seconds;
+    backlog.core_seconds += demand.tasks * core_seconds;
   }
-  return per_task;
+  return core_seconds_per_task;
 }
 
-/// How many of the tasks can wait for machines that there are: what ends on those makes room in time. Enters
-/// the demand into the backlogs.
+/// Returns how many of the tasks are expected to start in time on the machines counted in the backlogs, as
+/// earlier tasks end there. For array jobs this is predicted from the backlogs; for all jobs it is at least
+/// `expected_on_existing`. Adds the demand to the backlogs.
 std::uint32_t RentalPlanner::tasks_startable_in_time(const Workload::Demand& demand) {
-  const TypeBacklog ahead = combined_backlog(demand);
-  const double per_task = add_to_backlogs(demand, ahead.cores);
+  const TypeBacklog backlog_ahead = combined_backlog(demand);
+  const double core_seconds_per_task = add_to_backlogs(demand, backlog_ahead.cores);
   std::uint32_t tasks = 0;
-  if (demand.spec.type == protocol::JobType::array && per_task > 0) {
-    const double wait = to_seconds(std::min(demand.slack, kMaxWait)) * kPredictedWaitShare;
-    tasks = static_cast<std::uint32_t>(std::clamp((ahead.cores * wait - ahead.core_seconds) / per_task, 0.0,
-                                                  static_cast<double>(demand.tasks)));
+  if (demand.spec.type == protocol::JobType::array && core_seconds_per_task > 0) {
+    const double wait_seconds = to_seconds(std::min(demand.slack, kMaxCountedWait)) * kPredictedWaitShare;
+    tasks = static_cast<std::uint32_t>(
+        std::clamp((backlog_ahead.cores * wait_seconds - backlog_ahead.core_seconds) / core_seconds_per_task,
+                   0.0, static_cast<double>(demand.tasks)));
   }
   return std::max(tasks, demand.expected_on_existing);
 }
 
-/// Returns how many of the tasks find no room on machines that are on their way.
+/// Assigns tasks of the demand to the free resources of starting machines. Returns how many tasks do not fit.
 std::uint32_t RentalPlanner::place_on_starting_machines(const Workload::Demand& demand) {
   std::uint32_t unserved = demand.tasks;
   for (StartingMachine& machine : starting_) {
@@ -188,7 +191,8 @@
          (machine_class.spot || may_use_on_demand);
 }
 
-/// The class of machines that costs least for each task; of equals the first by type and zone, spot first.
+/// Returns the machine class with the lowest cost per task, or nullopt if none may be rented. Ties are
+/// resolved by type, then zone, then spot before on-demand.
 std::optional<Offer> RentalPlanner::cheapest_offer(const Workload::Demand& demand, std::uint32_t unserved,
                                                    bool may_use_on_demand) const {
   std::optional<Offer> best;
@@ -197,15 +201,15 @@
     const std::uint32_t tasks =
         placement::count_fitting(demand.spec.resources, machine_type.capacity, unserved);
     if (tasks == 0 || demand.excluded_types.contains(name)) continue;
-    // A machine is paid from its boot to the end of the tasks.
-    const double run = to_seconds(demand.estimate);
-    const double paid =
-        to_seconds(machine_type.boot_time) + demand.spec.image_gb / machine_type.fetch_gb_per_s + run;
+    // A machine is charged from the start of its boot to the end of its tasks.
+    const double run_seconds = to_seconds(demand.estimate);
+    const double paid_seconds =
+        to_seconds(machine_type.boot_time) + demand.spec.image_gb / machine_type.fetch_gb_per_s + run_seconds;
     for (const std::string& zone : machine_type.zones) {
       for (const bool spot : {true, false}) {
         const MachineClass machine_class{name, zone, spot};
         if (!may_offer(demand, machine_class, may_use_on_demand)) continue;
-        const double cost = (spot ? machine_type.spot_price : machine_type.price) * paid / tasks;
+        const double cost = (spot ? machine_type.spot_price : machine_type.price) * paid_seconds / tasks;
         if (cost < best_cost) {
           best_cost = cost;
           best = Offer{machine_class, tasks};
@@ -225,14 +229,15 @@
 }
 
 void RentalPlanner::serve(const Workload::Demand& demand) {
-  const std::uint32_t in_time = tasks_startable_in_time(demand);
+  const std::uint32_t startable_in_time = tasks_startable_in_time(demand);
   std::uint32_t unserved = place_on_starting_machines(demand);
   if (unserved == 0 || !input_.may_rent(demand)) return;
   const std::uint32_t unserved_before = unserved;
   while (unserved > 0) {
-    // The last tasks of a demand that accepts spot machines can wait where they start in time anyway.
+    // For a demand that allows spot machines, the tasks that are expected to start in time on existing
+    // machines get no on-demand machine.
     const bool may_use_on_demand =
-        input_.on_demand_allowed && (!demand.spec.spot_allowed || unserved > in_time);
+        input_.on_demand_allowed && (!demand.spec.spot_allowed || unserved > startable_in_time);
     const std::optional<Offer> offer = cheapest_offer(demand, unserved, may_use_on_demand);
     if (!offer) break;
     rent(demand, *offer);
--- a/src/provisioner/rental_requests.cpp
+++ b/src/provisioner/rental_requests.cpp
@@ -10,25 +10,25 @@
 
 namespace {
 
-/// Largest number of machines that one request may ask for.
+/// Largest number of machines in one request.
 constexpr std::uint32_t kMaxMachinesPerRequest = 50;
 constexpr int kMaxFailedAttempts = 8;
-/// How long a class of machines is not requested after the cloud had no capacity for it.
-constexpr time::Micros kRefusalTime = time::from_seconds(8);
+/// Time for which a machine class is not requested after the cloud had no capacity for it.
+constexpr time::Micros kRefusalDuration = time::from_seconds(8);
 
 const char* pricing(const MachineClass& machine_class) {
   return machine_class.spot ? "spot" : "on-demand";
 }
 
-/// The hosts that the cloud names in its reply; none where it is malformed.
+/// Returns the hosts listed in the cloud's reply; none if the reply is malformed.
 std::vector<std::string> rented_hosts(const CloudReply& reply) {
-  std::vector<std::string> out;
+  std::vector<std::string> host_names;
   const Value::List* hosts = reply.body ? (*reply.body)["hosts"].list() : nullptr;
-  if (hosts == nullptr) return out;
+  if (hosts == nullptr) return host_names;
   for (const Value& host : *hosts) {
-    if (host.text() != nullptr) out.push_back(*host.text());
+    if (host.text() != nullptr) host_names.push_back(*host.text());
   }
-  return out;
+  return host_names;
 }
 
 }  // namespace
@@ -36,13 +36,13 @@
 void RentalRequests::begin_term() {
   open_.clear();
   refused_until_.clear();
-  requests_made_ = 0;
+  request_count_ = 0;
 }
 
 void RentalRequests::request(const MachineClass& machine_class, std::uint32_t count) {
   RentalRequest request;
-  // Unique for ever: a fencing token has one leader, and a leader counts its requests.
-  request.name = "r-" + std::to_string(term_.fencing_token()) + "-" + std::to_string(++requests_made_);
+  // Unique across all terms: each fencing token belongs to one leader, which numbers its requests.
+  request.name = "r-" + std::to_string(term_.fencing_token()) + "-" + std::to_string(++request_count_);
   request.machine_class = machine_class;
   request.count = std::min(count, kMaxMachinesPerRequest);
   open_[request.name] = request;
@@ -86,11 +86,11 @@
       log::info("no_capacity", "the cloud has no capacity for {pricing} {type} in {zone}",
                 log::with("pricing", pricing(machine_class)), log::with("type", machine_class.machine_type),
                 log::with("zone", machine_class.zone));
-      refuse_for_a_while(machine_class);
+      mark_refused(machine_class);
       break;
     case CloudReply::Result::failed:
       if (++request.failed_attempts < kMaxFailedAttempts) {
-        // It may have been executed: repeated under its name it names the same machines.
+        // The request may have been executed. A retry under the same name returns the same machines.
         send(request);
         return;
       }
@@ -106,16 +106,16 @@
 void RentalRequests::on_rented(const RentalRequest& request, const CloudReply& reply) {
   const MachineClass& machine_class = request.machine_class;
   const std::vector<std::string> hosts = rented_hosts(reply);
-  rented_(machine_class, hosts);
+  rented_handler_(machine_class, hosts);
   log::info("machines_rented", "rented {machines} of {requested} {pricing} {type} in {zone}",
             log::with("machines", hosts.size()), log::with("requested", request.count),
             log::with("pricing", pricing(machine_class)), log::with("type", machine_class.machine_type),
             log::with("zone", machine_class.zone));
-  if (hosts.size() < request.count) refuse_for_a_while(machine_class);
+  if (hosts.size() < request.count) mark_refused(machine_class);
 }
 
-void RentalRequests::refuse_for_a_while(const MachineClass& machine_class) {
-  refused_until_[machine_class] = runtime_.now() + kRefusalTime;
+void RentalRequests::mark_refused(const MachineClass& machine_class) {
+  refused_until_[machine_class] = runtime_.now() + kRefusalDuration;
 }
 
 }  // namespace wrenusher::provisioner
