--- a/testbed/models/checker.cpp
+++ b/testbed/models/checker.cpp
@@ -6,14 +6,14 @@
 
 namespace {
 
-/// Once all troubles are over a job must be answered within this time.
-constexpr Micros kForgottenAfter = from_seconds(75);
-/// The largest jobs of a class must begin within this time.
-constexpr Micros kLateStart = from_seconds(240);
-/// A job of which nothing runs must be started where there is room for so long.
+/// Maximum time without an answer for a job after the last fault has ended.
+constexpr Micros kMaxTimeWithoutAnswer = from_seconds(75);
+/// Maximum time until the first task of one of the largest jobs of a class starts.
+constexpr Micros kMaxStartDelay = from_seconds(240);
+/// Maximum time that a job without running tasks may wait while there is room for it.
 constexpr Micros kMaxWaitAfterFaults = from_seconds(60);
-/// A class's largest jobs: one in so many.
-constexpr std::size_t kLargestOf = 10;
+/// One in this many jobs of a class counts as one of its largest jobs.
+constexpr std::size_t kLargestDivisor = 10;
 
 }  // namespace
 
@@ -36,14 +36,14 @@
     answered(now, job_id);
   }
   if ((status == 400 || status == 422) && accepted_.contains(job_id))
-    record_broken_rule("forgotten", job_id + " submitted again");
+    record_broken_rule("forgotten", job_id + " was rejected when submitted again");
 }
 
-void Checker::final_state(Instant now, const std::string& job_id, const std::string& state) {
+void Checker::record_final_state(Instant now, const std::string& job_id, const std::string& state) {
   const auto it = final_.find(job_id);
   if (it != final_.end() && it->second != state)
     record_broken_rule("went_back", job_id + " from " + it->second + " to " + state);
-  if (state == "withdrawn" && !asked_.contains(job_id))
+  if (state == "withdrawn" && !cancel_requested_.contains(job_id))
     record_broken_rule("went_back", job_id + " was not cancelled by its user");
   if (state == "done" && completed_[job_id].size() != specs_.at(job_id).task_count)
     record_broken_rule("not_done", job_id);
@@ -55,17 +55,17 @@
 }
 
 void Checker::answered_cancel(Instant now, const std::string& job_id, int status, const std::string& state,
-                              Instant asked) {
-  if (status == 200) final_state(now, job_id, state);
-  // It may have been accepted while this answer was on its way.
-  if (status == 404 && accepted_.contains(job_id) && *jobs_[job_id].accepted < asked)
-    record_broken_rule("forgotten", job_id + " when withdrawn");
+                              Instant sent_at) {
+  if (status == 200) record_final_state(now, job_id, state);
+  // The job may have been accepted while this answer was in transit.
+  if (status == 404 && accepted_.contains(job_id) && *jobs_[job_id].accepted < sent_at)
+    record_broken_rule("forgotten", job_id + " was unknown when withdrawn");
 }
 
 void Checker::answered_poll(Instant now, const std::string& job_id, int status, const std::string& state,
-                            Instant asked) {
+                            Instant sent_at) {
   if (status == 404 && accepted_.contains(job_id))
-    record_broken_rule("forgotten", job_id + " when asked for");
+    record_broken_rule("forgotten", job_id + " was unknown when polled");
   if (status == 200) {
     if (!specs_.contains(job_id)) {
       record_broken_rule("invented", job_id);
@@ -73,9 +73,10 @@
     }
     answered(now, job_id);
     const bool live = state == "pending" || state == "running";
-    if (const auto told = final_at_.find(job_id); live && told != final_at_.end() && asked < told->second)
+    if (const auto ended = final_at_.find(job_id);
+        live && ended != final_at_.end() && sent_at < ended->second)
       return;
-    final_state(now, job_id, state);
+    record_final_state(now, job_id, state);
   }
 }
 
@@ -85,8 +86,8 @@
   const auto body = decode(response.body);
   const std::string* state = body ? (*body)["status"].text() : nullptr;
   std::string job_id;
-  bool submits = request.target == kBase;
-  if (submits) {
+  bool is_submission = request.target == kBase;
+  if (is_submission) {
     const auto spec = decode(request.body);
     if (const std::string* r = spec ? (*spec)["ref"].text() : nullptr) job_id = *r;
   } else {
@@ -98,14 +99,16 @@
   if (response.status == 200 || response.status == 201) {
     if (state == nullptr) return;
     level = *state == "done" || *state == "withdrawn" ? 2 : 1;
-  } else if (response.status != 404 && !(submits && (response.status == 400 || response.status == 422))) {
+  } else if (response.status != 404 &&
+             !(is_submission && (response.status == 400 || response.status == 422))) {
     return;
   }
   const std::string what = (level > 0 ? *state : std::to_string(response.status)) + " by " + node + " at " +
                            std::to_string(to_seconds(now.time_since_epoch())) + " s";
-  Answered& told = answered_[job_id];
-  if (level < told.stage) record_broken_rule("older_answer", job_id + ": " + what + ", after " + told.what);
-  if (level > told.stage) told = {level, what};
+  Answered& latest = answered_[job_id];
+  if (level < latest.stage)
+    record_broken_rule("older_answer", job_id + ": " + what + ", after " + latest.what);
+  if (level > latest.stage) latest = {level, what};
 }
 
 void Checker::started(Instant now, const std::string& job_id, std::uint32_t task, const std::string& host,
@@ -119,16 +122,16 @@
   Job& job = jobs_[job_id];
   if (!job.began) job.began = now;
   job.started.insert(task);
-  auto& places = tasks_on_machines_[{job_id, task}];
-  for (const Location& other : places) {
+  auto& locations = tasks_on_machines_[{job_id, task}];
+  for (const Location& other : locations) {
     if (other.host != host)
       record_broken_rule("ran_twice", task_name(job_id, task) + " on " + other.host + " and " + host);
   }
   if (!spec->second.allows(machine_type, site, standby))
     record_broken_rule("wrong_place", task_name(job_id, task) + " on " + host);
-  places.push_back(
+  locations.push_back(
       {host, site, topology_ ? topology_->find(host, "", machine_type, site) : topology::MachineLocation{}});
-  if (topology_) check_layout(spec->second, places.back());
+  if (topology_) check_layout(spec->second, locations.back());
   Resources& used = used_[spec->second.team];
   used += spec->second.resources;
   check_zones(spec->second, site);
@@ -152,10 +155,10 @@
   if (spec.single_zone && zones.size() > 1)
     record_broken_rule("wrong_place", spec.job_id + " is in two zones");
   if (spec.spread_zones && zones[site] > (spec.task_count + 1) / 2)
-    record_broken_rule("wrong_place", spec.job_id + " is not scattered");
+    record_broken_rule("wrong_place", spec.job_id + " has more than half of its tasks in one zone");
 }
 
-/// Calls `f` for each task of the job that was ever on a machine, with where it is now.
+/// Calls `f` for each task of the job that was ever on a machine, with its current locations.
 void Checker::for_tasks_of(const std::string& job_id,
                            const std::function<void(std::uint32_t, const std::vector<Location>&)>& f) const {
   for (auto it = tasks_on_machines_.lower_bound({job_id, 0});
@@ -163,11 +166,12 @@
     f(it->first.second, it->second);
 }
 
-/// What a layout insists on holds at every moment, old attempts included; a device serves one task at a time.
+/// Checks that the required parts of a layout hold at this moment, old attempts included, and that no device
+/// serves two tasks at a time.
 void Checker::check_layout(const JobSpec& spec, const Location& here) {
   std::map<topology::DomainId, std::uint32_t> leaves;
   std::map<topology::DomainId, std::uint32_t> spread;
-  std::set<topology::DomainId> together;
+  std::set<topology::DomainId> colocation_domains;
   std::map<std::string, std::uint32_t> devices;
   const auto level = [&](const auto& part) { return topology_->level(part.level); };
   for_tasks_of(spec.job_id, [&](std::uint32_t, const std::vector<Location>& where) {
@@ -175,7 +179,7 @@
       ++leaves[o.place.leaf];
       if (spec.layout && spec.layout->spread) ++spread[o.place.domain_at(level(*spec.layout->spread))];
       if (spec.layout && spec.layout->colocation)
-        together.insert(o.place.domain_at(level(*spec.layout->colocation)));
+        colocation_domains.insert(o.place.domain_at(level(*spec.layout->colocation)));
     }
   });
   if (!spec.devices().empty()) {
@@ -187,8 +191,8 @@
     }
   }
   for (const auto& [id, n] : leaves) {
-    double& most = most_in_one_[spec.job_id];
-    most = std::max(most, static_cast<double>(n) / spec.task_count);
+    double& largest_share = max_domain_share_[spec.job_id];
+    largest_share = std::max(largest_share, static_cast<double>(n) / spec.task_count);
   }
   if (!spec.layout) return;
   if (const auto& s = spec.layout->spread; s && s->required) {
@@ -198,8 +202,8 @@
                            spec.job_id + " has " + std::to_string(n) + " tasks in " + topology_->path(id));
     }
   }
-  if (const auto& t = spec.layout->colocation; t && t->required && together.size() > 1)
-    record_broken_rule("layout", spec.job_id + " is not together in one " + t->level);
+  if (const auto& t = spec.layout->colocation; t && t->required && colocation_domains.size() > 1)
+    record_broken_rule("layout", spec.job_id + " is spread over more than one " + t->level);
   for (const auto& [name, n] : spec.devices()) {
     const auto there = here.place.devices.find(name);
     if (there == here.place.devices.end() || devices[name] > there->second)
@@ -208,8 +212,8 @@
 }
 
 double Checker::most_in_one(const std::string& job_id) const {
-  const auto it = most_in_one_.find(job_id);
-  return it == most_in_one_.end() ? 0 : it->second;
+  const auto it = max_domain_share_.find(job_id);
+  return it == max_domain_share_.end() ? 0 : it->second;
 }
 
 std::set<std::pair<std::string, std::uint32_t>> Checker::on_any_machine(
@@ -223,9 +227,9 @@
 }
 
 void Checker::task_left(const std::string& job_id, std::uint32_t task, const std::string& host) {
-  const auto gone =
+  const auto removed =
       std::erase_if(tasks_on_machines_[{job_id, task}], [&](const Location& o) { return o.host == host; });
-  for (std::size_t i = 0; i < gone; ++i) used_[specs_.at(job_id).team] -= specs_.at(job_id).resources;
+  for (std::size_t i = 0; i < removed; ++i) used_[specs_.at(job_id).team] -= specs_.at(job_id).resources;
 }
 
 void Checker::check(Instant now) {
@@ -236,26 +240,27 @@
         record_broken_rule("ran_cancelled", task_name(job_id, task) + " is still on " + where.front().host);
     });
   }
-  if (!troubles_over_) return;
+  if (!faults_ended_) return;
   for (auto& [ref, j] : jobs_) {
-    if (!j.answered || !j.asks || asked_.contains(ref)) continue;
-    if (now - std::max(*j.answered, *troubles_over_) <= kForgottenAfter) continue;
-    record_broken_rule("forgotten", ref + " is not answered for");
-    j.asks = false;  // said once
+    if (!j.answered || !j.polled || cancel_requested_.contains(ref)) continue;
+    if (now - std::max(*j.answered, *faults_ended_) <= kMaxTimeWithoutAnswer) continue;
+    record_broken_rule("forgotten", ref + " gets no more answers");
+    j.polled = false;  // recorded only once per job
   }
 }
 
-// ---------------------------------------------------------------- the operators' addition
+// ---------------------------------------------------------------- the operators' rules
 
-bool Checker::counts(const std::string& job_id) const {
+bool Checker::is_counted(const std::string& job_id) const {
   const auto it = jobs_.find(job_id);
-  return accepted_.contains(job_id) && it != jobs_.end() && !it->second.hopeless && !asked_.contains(job_id);
+  return accepted_.contains(job_id) && it != jobs_.end() && !it->second.always_fails &&
+         !cancel_requested_.contains(job_id);
 }
 
 std::vector<std::string> Checker::open() const {
   std::vector<std::string> out;
   for (const std::string& job_id : accepted_) {
-    if (counts(job_id) && !final_.contains(job_id)) out.push_back(job_id);
+    if (is_counted(job_id) && !final_.contains(job_id)) out.push_back(job_id);
   }
   return out;
 }
@@ -275,8 +280,8 @@
     return;
   }
   if (!j.room_since) j.room_since = now;
-  if (troubles_over_ && now - std::max(*j.room_since, *troubles_over_) > kMaxWaitAfterFaults) {
-    record_broken_rule("left_waiting", job_id + " is not run though there is room for it");
+  if (faults_ended_ && now - std::max(*j.room_since, *faults_ended_) > kMaxWaitAfterFaults) {
+    record_broken_rule("left_waiting", job_id + " has no running task although there is room for it");
     j.room_since = now;
   }
 }
@@ -284,14 +289,14 @@
 std::set<std::string> Checker::largest(const std::string& queue) const {
   std::vector<std::pair<double, std::string>> all;
   for (const auto& [ref, j] : jobs_) {
-    if (!counts(ref) || specs_.at(ref).job_class != queue) continue;
+    if (!is_counted(ref) || specs_.at(ref).job_class != queue) continue;
     const JobSpec& s = specs_.at(ref);
     const double cores = from_amount(s.resources.cores) + 8 * from_amount(s.resources.gpus);
     all.emplace_back(s.task_count * cores * std::max(1.0, to_seconds(s.expected_runtime)), ref);
   }
   std::sort(all.rbegin(), all.rend());
   std::set<std::string> out;
-  for (std::size_t i = 0; i < all.size() && i < (all.size() + kLargestOf - 1) / kLargestOf; ++i)
+  for (std::size_t i = 0; i < all.size() && i < (all.size() + kLargestDivisor - 1) / kLargestDivisor; ++i)
     out.insert(all[i].second);
   return out;
 }
@@ -300,7 +305,7 @@
   std::map<std::string, std::vector<std::string>> groups;
   std::set<std::string> queues;
   for (const auto& [ref, j] : jobs_) {
-    if (!counts(ref) || (now - *j.accepted < kLateStart && !final_.contains(ref))) continue;
+    if (!is_counted(ref) || (now - *j.accepted < kMaxStartDelay && !final_.contains(ref))) continue;
     groups["class " + specs_.at(ref).job_class].push_back(ref);
     groups["team " + specs_.at(ref).team].push_back(ref);
     queues.insert(specs_.at(ref).job_class);
@@ -324,12 +329,12 @@
 }
 
 Micros Checker::longest_wait(const std::string& queue, Instant now) const {
-  Micros most{};
+  Micros longest{};
   for (const std::string& job_id : largest(queue)) {
     const Job& j = jobs_.at(job_id);
-    most = std::max(most, j.began.value_or(now) - *j.accepted);
+    longest = std::max(longest, j.began.value_or(now) - *j.accepted);
   }
-  return most;
+  return longest;
 }
 
 void Checker::judge(Instant now) {
@@ -343,8 +348,8 @@
   for (const std::string& queue : queues) {
     for (const std::string& job_id : largest(queue)) {
       const Job& j = jobs_.at(job_id);
-      if (j.began.value_or(now) - *j.accepted <= kLateStart) continue;
-      record_broken_rule("late_start", job_id + ", one of the largest of " + queue + ", began after " +
+      if (j.began.value_or(now) - *j.accepted <= kMaxStartDelay) continue;
+      record_broken_rule("late_start", job_id + ", one of the largest of " + queue + ", started after " +
                                            std::to_string(to_seconds(j.began.value_or(now) - *j.accepted)) +
                                            " s");
     }
--- a/testbed/models/cloud.cpp
+++ b/testbed/models/cloud.cpp
@@ -10,15 +10,15 @@
 
 namespace {
 
-constexpr Micros kListEvery = from_seconds(1);
+constexpr Micros kListInterval = from_seconds(1);
 constexpr std::uint64_t kMaxPerBooking = 50;
 constexpr std::size_t kMaxPerReturn = 100;
 constexpr std::size_t kMaxListed = 500;
-/// One machine in so many never comes up.
-constexpr int kNeverUp = 20;
+/// One in this many machines never finishes booting.
+constexpr int kNeverBootsOneIn = 20;
 
-/// "m-17" by its number, for the order of creation.
-long number_of(const std::string& host) {
+/// Returns 17 for "m-17". The numbers give the order of creation.
+long machine_number(const std::string& host) {
   return host.starts_with("m-") ? std::strtol(host.c_str() + 2, nullptr, 10) : 0;
 }
 
@@ -30,7 +30,7 @@
       machines_(machines),
       scale_(scale),
       rate_limiter_(site.settings.cloud_rps, 2, transport.now()) {
-  note_list();
+  record_list();
 }
 
 void Cloud::provide_now() {
@@ -40,12 +40,12 @@
     machines_.rent(f.name, f.zones[static_cast<std::size_t>(i) % f.zones.size()], false, Micros{0});
 }
 
-/// What the list would say now; requests see it later.
-void Cloud::note_list() {
+/// Records the current list of rentals, which requests see after the list lag.
+void Cloud::record_list() {
   lists_.emplace_back(transport_.now(), machines_.list());
   while (lists_.size() > 2 && transport_.now() - lists_[1].first > site_.settings.list_lag * 2)
     lists_.pop_front();
-  transport_.at(kListEvery, [this] { note_list(); });
+  transport_.at(kListInterval, [this] { record_list(); });
 }
 
 void Cloud::serve(const std::string&, const Request& r, const Responder& answer) {
@@ -79,7 +79,7 @@
     const MachineType& f = t.type;
     Value::List sites;
     for (const std::string& z : f.zones) sites.emplace_back(z);
-    // Spot prices swing by up to a third around the nominal one.
+    // Spot prices vary by up to a third around the nominal price.
     const double swing = 1 + std::sin(to_seconds(transport_.now().time_since_epoch()) / 90 + phase++) / 3;
     types.emplace_back(Value::Map{{"name", f.name},
                                   {"cores", from_amount(f.capacity.cores)},
@@ -107,14 +107,15 @@
     return malformed("booking, flavor, site, standby or count (1 to 50) is missing or wrong");
   auto& names = requests_by_name_[*booking];
   if (names.empty()) {
-    const bool sold =
+    const bool zone_offered =
         std::find(type->type.zones.begin(), type->type.zones.end(), *zone) != type->type.zones.end();
-    const int most = sold ? scale_ * (*standby ? type->spot : type->ordinary) : 0;
-    while (names.size() < *count && machines_.is_present(*machine_type, *zone, *standby) < most) {
-      const bool never =
-          transport_.pick(kNeverUp) == 0 || (boot_never_ > 0 && transport_.uniform(0, 1) < boot_never_);
-      const double times = never ? 0 : transport_.uniform(0.6, 1.5) * boot_factor_;
-      const Micros boot = never ? from_seconds(1e6) : from_seconds(to_seconds(type->type.boot_time) * times);
+    const int max_machines = zone_offered ? scale_ * (*standby ? type->spot : type->ordinary) : 0;
+    while (names.size() < *count && machines_.is_present(*machine_type, *zone, *standby) < max_machines) {
+      const bool never_boots = transport_.pick(kNeverBootsOneIn) == 0 ||
+                               (never_boots_share_ > 0 && transport_.uniform(0, 1) < never_boots_share_);
+      const double boot_scale = never_boots ? 0 : transport_.uniform(0.6, 1.5) * boot_factor_;
+      const Micros boot =
+          never_boots ? from_seconds(1e6) : from_seconds(to_seconds(type->type.boot_time) * boot_scale);
       const std::string host = machines_.rent(*machine_type, *zone, *standby, boot);
       if (host.empty()) break;
       names.push_back(host);
@@ -122,7 +123,7 @@
     }
   }
   if (names.empty()) {
-    requests_by_name_.erase(*booking);  // after a 503 the same request may be sent again
+    requests_by_name_.erase(*booking);  // the client may retry the same booking after a 503
     return reply(503, Value::Map{{"error", "no capacity"}});
   }
   Value::List hosts;
@@ -146,13 +147,13 @@
   for (const auto& [when, list] : lists_) {
     if (transport_.now() - when >= lag) seen = &list;
   }
-  const long after = number_of(query(target, "from"));
-  const std::size_t asked = std::strtoull(query(target, "limit").c_str(), nullptr, 10);
-  const std::size_t limit = asked == 0 ? kMaxListed : std::min(asked, kMaxListed);
+  const long after = machine_number(query(target, "from"));
+  const std::size_t requested_limit = std::strtoull(query(target, "limit").c_str(), nullptr, 10);
+  const std::size_t limit = requested_limit == 0 ? kMaxListed : std::min(requested_limit, kMaxListed);
   Value::List rows;
   bool more = false;
   for (std::size_t i = 0; seen != nullptr && i < seen->size() && !more; ++i) {
-    if (number_of(*(*seen)[i]["ref"].text()) <= after) continue;
+    if (machine_number(*(*seen)[i]["ref"].text()) <= after) continue;
     more = rows.size() == limit;
     if (!more) rows.push_back((*seen)[i]);
   }
--- a/testbed/models/include/wrenusher/testbed/answers.hpp
+++ b/testbed/models/include/wrenusher/testbed/answers.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Small things that every model's server needs.
+// Helper functions for the request handlers of the models.
 
 #include <string>
 
@@ -16,7 +16,7 @@
   return reply(400, value::Value::Map{{"error", error}});
 }
 
-/// The value of a name in the query of a target; empty when it is not there.
+/// Returns the value of a parameter in the query string of a request target; empty if it is absent.
 inline std::string query(const std::string& target, const std::string& name) {
   for (auto at = target.find('?'); at != std::string::npos; at = target.find('&', at + 1)) {
     if (target.compare(at + 1, name.size() + 1, name + "=") != 0) continue;
--- a/testbed/models/include/wrenusher/testbed/checker.hpp
+++ b/testbed/models/include/wrenusher/testbed/checker.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Watches a simulated day and names every rule of the protocol that is broken.
+// Checks a simulated day against the rules of the protocol and records each broken rule.
 
 #include <functional>
 #include <map>
@@ -28,67 +28,72 @@
       : settings_(settings), topology_(std::move(topology)) {}
 
   void submitted(const JobSpec& spec) { specs_.emplace(spec.job_id, spec); }
-  /// The job can't be served, whatever is done: it fails wherever it is put.
-  void hopeless(const std::string& job_id) { jobs_[job_id].hopeless = true; }
-  /// Its user has all the answers it wants.
-  void stopped_asking(const std::string& job_id) { jobs_[job_id].asks = false; }
+  /// Marks a job that cannot be served because its tasks fail on every machine.
+  void hopeless(const std::string& job_id) { jobs_[job_id].always_fails = true; }
+  /// Records that the user of the job has stopped polling it.
+  void stopped_asking(const std::string& job_id) { jobs_[job_id].polled = false; }
   void answered_submit(Instant now, const std::string& job_id, int status);
-  void asked_cancel(const std::string& job_id) { asked_.insert(job_id); }
-  /// Its user has asked to cancel it.
-  bool asked(const std::string& job_id) const { return asked_.contains(job_id); }
+  void asked_cancel(const std::string& job_id) { cancel_requested_.insert(job_id); }
+  /// Returns whether the user has requested the cancellation of the job.
+  bool asked(const std::string& job_id) const { return cancel_requested_.contains(job_id); }
   void answered_cancel(Instant now, const std::string& job_id, int status, const std::string& state,
-                       Instant asked);
-  /// `asked`: when the question went out. An answer that was on its way while another one told of the end is
-  /// not older than what its node had told.
+                       Instant sent_at);
+  /// `sent_at`: when the request was sent. A request that was sent before an answer reported the final state
+  /// may still return an earlier state; that does not break a rule.
   void answered_poll(Instant now, const std::string& job_id, int status, const std::string& state,
-                     Instant asked);
+                     Instant sent_at);
 
-  /// A node gives an answer to a user: the order is kept by when that is, over all nodes, whoever asked and
-  /// however long the answer then takes.
+  /// Records that a node answers a user's request. Answers of all nodes to all users are ordered by the time
+  /// at which the node sends them, regardless of their transit time.
   void given(Instant now, const std::string& node, const Request& request, const Response& response);
-  /// The job can never run, or its description lacks a field: it must not be accepted.
+  /// Marks a job that can never run or whose description lacks a field, so that no node may accept it.
   void never_submitted(const std::string& job_id) { never_submitted_.insert(job_id); }
 
-  /// A task is on its machine from the moment it has its image until it exits or the machine is gone.
+  /// Records that a task occupies its machine: from the completed image fetch until the task exits or the
+  /// machine is lost.
   void started(Instant now, const std::string& job_id, std::uint32_t task, const std::string& host,
                const std::string& machine_type, const std::string& site, bool standby);
   void task_left(const std::string& job_id, std::uint32_t task, const std::string& host);
   void completed(const std::string& job_id, std::uint32_t task) { completed_[job_id].insert(task); }
-  /// Not a rule of the protocol, but what several rules rest on.
+  /// Checks that at most one node is certain to be the leader. This is not a rule of the protocol, but
+  /// several rules depend on it.
   void leaders(int certain) {
     if (certain > 1)
       record_broken_rule("two_leaders", std::to_string(certain) + " nodes are certain to lead");
   }
-  /// Nor is this: what a controller keeps up step by step must be what it would reckon anew.
+  /// Checks that the state which a controller updates incrementally equals a full recomputation. This is not
+  /// a rule of the protocol either.
   void check_agreement(const std::string& disagreement) {
     if (!disagreement.empty()) record_broken_rule("disagreement", disagreement);
   }
-  /// To be called now and then: finds what lasts too long.
+  /// Checks for conditions that exceed their time limit. To be called periodically.
   void check(Instant now);
 
-  // The operators' addition to the rules.
-  /// Nothing goes wrong any more from now on: each job by itself is to be answered, and run where there is
-  /// room.
-  void troubles_over(Instant now) { troubles_over_ = now; }
-  bool all_finished() const { return troubles_over_.has_value(); }
-  /// Whether there was room for a task of the job at this moment though none of it is on a machine.
+  // Additional rules for operators.
+  /// Records that no fault is active from now on. Every job must then be answered individually, and must run
+  /// where there is room.
+  void troubles_over(Instant now) { faults_ended_ = now; }
+  bool all_finished() const { return faults_ended_.has_value(); }
+  /// Records whether there is room now for a task of a job that has no task on a machine.
   void waits(Instant now, const std::string& job_id, bool room);
-  /// Jobs that count as served: done, or of a service at least half begun; those that were withdrawn, are
-  /// hopeless or came within the last four minutes aside.
+  /// Number of served jobs in a group. A job is served when it is done or, for a service, when at least half
+  /// of its tasks have started. Jobs that were withdrawn, that fail everywhere, or that were accepted
+  /// within the last four minutes and have not ended are not counted.
   struct Served {
     std::string what;  ///< "class x", "team x" or "largest of x"
     int jobs = 0;
     int served = 0;
   };
   std::vector<Served> served(Instant now) const;
-  /// A class's largest jobs: the tenth of them, at least one, that takes the most (tasks times cores, cards
-  /// counted as eight, times the owner's estimate).
+  /// Returns the largest tenth of the jobs of a class, at least one. The size of a job is its tasks times
+  /// cores (a card counts as eight cores) times the owner's estimate.
   std::set<std::string> largest(const std::string& queue) const;
-  /// The longest that one of a class's largest jobs waited for its first task, so far.
+  /// Returns the longest time so far that one of the largest jobs of a class waited for its first task.
   Micros longest_wait(const std::string& queue, Instant now) const;
-  /// The end of a day: less than half served, and largest jobs that began too late.
+  /// Checks at the end of a day for groups with less than half of their jobs served and for largest jobs that
+  /// started too late.
   void judge(Instant now);
-  /// What accepted jobs there are that are neither done, withdrawn nor hopeless.
+  /// Returns the accepted jobs that are not done, were not withdrawn and do not fail everywhere.
   std::vector<std::string> open() const;
   const JobSpec& spec(const std::string& job_id) const { return specs_.at(job_id); }
   bool on_a_machine(const std::string& job_id) const;
@@ -105,9 +110,9 @@
   const std::vector<std::string>& notes() const { return notes_; }
   std::size_t starts() const { return starts_; }
   bool accepted(const std::string& job_id) const { return accepted_.contains(job_id); }
-  /// The largest part of the job's tasks that was ever in one innermost domain; 0 before any start.
+  /// Returns the largest share of the job's tasks that was ever in one innermost domain; 0 before any start.
   double most_in_one(const std::string& job_id) const;
-  /// What is on any of these machines.
+  /// Returns the tasks that are on any of these machines.
   std::set<std::pair<std::string, std::uint32_t>> on_any_machine(const std::set<std::string>& hosts) const;
 
  private:
@@ -116,26 +121,26 @@
     std::string zone;
     topology::MachineLocation place;
   };
-  /// What the addition looks at.
+  /// State of a job for the operators' rules.
   struct Job {
     std::optional<Instant> accepted;
-    std::optional<Instant> answered;  ///< last
+    std::optional<Instant> answered;  ///< time of the last answer
     std::optional<Instant> began;
     std::optional<Instant> room_since;
     std::set<std::uint32_t> started;
-    bool asks = true;
-    bool hopeless = false;
+    bool polled = true;
+    bool always_fails = false;
   };
   void answered(Instant now, const std::string& job_id);
-  bool counts(const std::string& job_id) const;
+  bool is_counted(const std::string& job_id) const;
   void check_layout(const JobSpec& spec, const Location& here);
   void check_zones(const JobSpec& spec, const std::string& site);
   void for_tasks_of(const std::string& job_id,
                     const std::function<void(std::uint32_t, const std::vector<Location>&)>& f) const;
   void record_broken_rule(const std::string& rule, const std::string& note);
-  void final_state(Instant now, const std::string& job_id, const std::string& state);
+  void record_final_state(Instant now, const std::string& job_id, const std::string& state);
 
-  /// The most that any node has told of a job: 0 not known, 1 accepted, 2 over.
+  /// The most advanced stage of a job that any node has answered: 0 unknown, 1 accepted, 2 ended.
   struct Answered {
     int stage = 0;
     std::string what;
@@ -144,18 +149,18 @@
   std::set<std::string> never_submitted_;
   const Settings& settings_;
   std::shared_ptr<const topology::Topology> topology_;
-  std::map<std::string, double> most_in_one_;
+  std::map<std::string, double> max_domain_share_;
   std::map<std::string, JobSpec> specs_;
   std::map<std::string, Job> jobs_;
-  std::optional<Instant> troubles_over_;
+  std::optional<Instant> faults_ended_;
   std::set<std::string> accepted_;
-  std::set<std::string> asked_;
+  std::set<std::string> cancel_requested_;
   std::map<std::string, std::string> final_;
   std::map<std::string, Instant> final_at_;
   std::map<std::string, Instant> cancelled_at_;
   std::map<std::string, std::set<std::uint32_t>> completed_;
   std::map<std::pair<std::string, std::uint32_t>, std::vector<Location>> tasks_on_machines_;
-  std::map<std::string, Resources> used_;  ///< by team, of all that is on machines
+  std::map<std::string, Resources> used_;  ///< per team, by all tasks on machines
   std::set<std::string> broken_;
   std::vector<std::string> notes_;
   std::size_t starts_ = 0;
--- a/testbed/models/include/wrenusher/testbed/cloud.hpp
+++ b/testbed/models/include/wrenusher/testbed/cloud.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// The cloud of PROTOCOL: types and moving prices, bookings, returns, a list that lags, capacity that runs
-// out.
+// Model of the cloud API in PROTOCOL: machine types and changing prices, bookings, returns, a delayed list of
+// rentals, and limited capacity.
 
 #include <deque>
 
@@ -11,17 +11,18 @@
 
 class Cloud {
  public:
-  /// `scale`: how many times the site's capacity there is.
+  /// `scale`: factor on the capacity of the site.
   Cloud(Transport& transport, const Site& site, Machines& machines, int scale = 1);
 
   void serve(const std::string& from, const Request& r, const Responder& answer);
   void outage(bool on) { down_ = on; }
-  /// From now on boots take so many times as long, and this share of machines never comes up.
+  /// Multiplies the boot time of machines rented from now on by `factor`. The share `never` of them never
+  /// finishes booting.
   void boots(double factor, double never) {
     boot_factor_ = factor;
-    boot_never_ = never;
+    never_boots_share_ = never;
   }
-  /// The machines that are up from the start.
+  /// Rents the machines that are up from the start.
   void provide_now();
   std::uint64_t requests() const { return requests_; }
   std::uint64_t rented() const { return rented_; }
@@ -31,7 +32,7 @@
   Response rent(const Value& body);
   Response return_machines(const Value& body);
   Response list(const std::string& target);
-  void note_list();
+  void record_list();
 
   Transport& transport_;
   const Site& site_;
@@ -39,7 +40,7 @@
   int scale_;
   bool down_ = false;
   double boot_factor_ = 1;
-  double boot_never_ = 0;
+  double never_boots_share_ = 0;
   std::map<std::string, std::vector<std::string>> requests_by_name_;
   std::deque<std::pair<Instant, Value::List>> lists_;
   RateLimiter rate_limiter_;
--- a/testbed/models/include/wrenusher/testbed/durable_storage.hpp
+++ b/testbed/models/include/wrenusher/testbed/durable_storage.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Where a state service keeps what it must not lose.
+// Durable storage of the state service: in memory or in an SQLite database.
 
 #include <cstdint>
 #include <deque>
@@ -21,31 +21,32 @@
 struct KvEntry {
   Value value;
   std::uint64_t mod_revision = 0;
-  std::uint64_t lease_id = 0;  ///< 0: attached to no hold
+  std::uint64_t lease_id = 0;  ///< 0: attached to no lease
 };
 
-/// One change, as /follow tells it.
+/// One change, as /follow returns it.
 struct PastChange {
   std::uint64_t revision = 0;
   std::string key;
   std::optional<Value> value;  ///< nothing: deleted
 };
 
-/// The changes that /follow still tells.
+/// Maximum number of past changes that /follow can return.
 inline constexpr std::size_t kMaxPastChanges = 10000;
 
-/// All that a state service knows but how long its holds still live: after a start each has its full time.
+/// The whole state of the service, except for the remaining time of its leases: after a restart each lease
+/// has its full time to live again.
 struct SavedState {
   std::uint64_t revision = 0;
   std::uint64_t leases_made = 0;
   std::map<std::string, KvEntry> keys;
-  std::map<std::uint64_t, Micros> leases;  ///< id -> life
+  std::map<std::uint64_t, Micros> leases;  ///< id -> time to live
   std::deque<PastChange> past;
-  /// Changes up to this revision are no longer in `past`.
+  /// Changes up to and including this revision are no longer in `past`.
   std::uint64_t past_before = 0;
 };
 
-/// What one request changes, all of it or nothing.
+/// The changes of one request, which are applied atomically.
 struct WriteBatch {
   std::uint64_t revision = 0;
   struct Put {
@@ -58,8 +59,8 @@
   std::optional<std::uint64_t> ended_lease;
 };
 
-/// What is kept is damaged or cannot be read; what() says where and what to do. Nothing may be answered from
-/// it.
+/// The stored data is damaged or cannot be read. what() names the file and the remedy. The service must not
+/// answer any request from this data.
 struct StorageDamaged : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
@@ -71,24 +72,24 @@
   DurableStorage& operator=(const DurableStorage&) = delete;
   virtual ~DurableStorage() = default;
 
-  /// Throws StorageDamaged.
+  /// Returns the stored state. Throws StorageDamaged.
   virtual SavedState load() = 0;
-  /// Once this returns true the batch outlives the process. False: certainly nothing of it was kept (the disk
-  /// is full, say), and `trouble` tells why. Throws StorageDamaged where it cannot be told.
+  /// Returns true once the batch is durable. Returns false if nothing of it was stored, for example because
+  /// the disk is full; error() then returns the reason. Throws StorageDamaged if the outcome is unknown.
   virtual bool save(const WriteBatch& b) = 0;
   virtual std::string error() const { return {}; }
 };
 
-/// Keeps nothing: for what need not outlive the process.
+/// Stores nothing, for state that need not outlive the process.
 class MemoryStorage : public DurableStorage {
  public:
   SavedState load() override { return {}; }
   bool save(const WriteBatch&) override { return true; }
 };
 
-/// An SQLite database in a folder of its own. One transaction a batch, on the disk before it is answered;
-/// every row carries a checksum. `most_pages`: the size that it may grow to, in pages of 4 KiB; 0: as the
-/// disk allows.
-std::unique_ptr<DurableStorage> open_sqlite(const std::string& folder, std::uint32_t most_pages = 0);
+/// Opens an SQLite database in a folder of its own. Each batch is one transaction, which is on disk before
+/// the request is answered, and every row carries a checksum. `max_pages` limits the size of the database, in
+/// pages of 4 KiB; 0 means no limit but the disk. Throws StorageDamaged.
+std::unique_ptr<DurableStorage> open_sqlite(const std::string& folder, std::uint32_t max_pages = 0);
 
 }  // namespace wrenusher::testbed
--- a/testbed/models/include/wrenusher/testbed/kv_service.hpp
+++ b/testbed/models/include/wrenusher/testbed/kv_service.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// The state service of PROTOCOL, whole: keys with revisions, conditional transactions, holds, /follow,
-// limits.
+// Complete implementation of the state service in PROTOCOL: keys with revisions, conditional transactions,
+// leases, watches and limits.
 
 #include <memory>
 
@@ -17,39 +17,40 @@
   double value_kb = 0;
   std::size_t txn_ops = 0;
 };
-/// What a cluster's settings say of its state service.
+/// Returns the limits of the state service in a cluster's settings.
 KvLimits limits_of(const settings::Settings& s);
 
 class KvService {
  public:
-  /// Throws StorageDamaged.
-  KvService(Transport& transport, const KvLimits& limits, std::unique_ptr<DurableStorage> keep);
+  /// Loads the stored state. Throws StorageDamaged.
+  KvService(Transport& transport, const KvLimits& limits, std::unique_ptr<DurableStorage> storage);
 
   void serve(const std::string& from, const Request& r, const Responder& answer);
 
-  /// Told of each change once it is durable, before it is visible.
+  /// Called for each batch when it is durable and before it is visible.
   std::function<void(const WriteBatch&)> on_saved;
 
-  // Troubles
+  // Faults
   void outage(bool on);
-  /// Only this party gets 503.
+  /// Answers requests of this client, and only these, with 503 while on.
   void refuse(const std::string& who, bool on);
-  /// Every answer takes this much longer.
-  void slow(Micros by) { slow_ = by; }
-  /// Changes so far can't be followed any more: who asks for older ones is told so.
+  /// Delays every answer by this time.
+  void slow(Micros by) { answer_delay_ = by; }
+  /// Drops all past changes. A watch from an older revision is answered with 410.
   void forget_past() {
     past_before_ = revision_;
     past_.clear();
   }
 
-  /// What it knows, for whoever looks from outside the world.
+  // Direct access to the state for tests and drivers, which bypasses the transport.
+  /// Returns the entry of a key; null if there is none.
   const KvEntry* find(const std::string& key) const;
   std::size_t count(const std::string& prefix) const;
   const std::map<std::string, KvEntry>& keys() const { return keys_; }
   const std::map<std::string, std::uint64_t>& requests() const { return requests_; }
   std::uint64_t writes() const { return writes_; }
   std::uint64_t refusals() const { return refusals_; }
-  /// Why nothing can be kept at present; empty while it can.
+  /// Returns why the last batch could not be stored; empty if it was stored.
   std::string storage_error() const { return storage_error_; }
 
  private:
@@ -75,8 +76,8 @@
   bool apply(WriteBatch& b);
   bool end_lease(std::uint64_t id);
   void expire();
-  void wake();
-  bool answers(const std::string& who) const { return !down_ && !refused_.contains(who); }
+  void answer_watches();
+  bool is_available_to(const std::string& who) const { return !down_ && !refused_.contains(who); }
 
   Transport& transport_;
   KvLimits limits_;
@@ -84,15 +85,15 @@
   std::uint64_t revision_ = 0;
   std::map<std::string, KvEntry> keys_;
   std::map<std::uint64_t, Lease> leases_;
-  std::uint64_t leases_made_ = 0;
+  std::uint64_t last_lease_id_ = 0;
   std::deque<PastChange> past_;
   std::uint64_t past_before_ = 0;
   std::vector<Watch> watches_;
   bool down_ = false;
   std::set<std::string> refused_;
-  Micros slow_{};
-  RateLimiter pace_;
-  RateLimiter write_pace_;
+  Micros answer_delay_{};
+  RateLimiter rate_limiter_;
+  RateLimiter write_rate_limiter_;
   std::map<std::string, std::uint64_t> requests_;
   std::uint64_t writes_ = 0;
   std::uint64_t refusals_ = 0;
--- a/testbed/models/include/wrenusher/testbed/site.hpp
+++ b/testbed/models/include/wrenusher/testbed/site.hpp
@@ -1,5 +1,6 @@
 #pragma once
-// A site: what machines there are to be had, whose jobs come, and which troubles. Read from a YAML file.
+// A site: the machines that can be rented, the classes of jobs that arrive, and the faults. Read from a YAML
+// file.
 
 #include <memory>
 #include <optional>
@@ -20,7 +21,7 @@
 using namespace protocol;
 using settings::Settings;
 
-/// A lognormal distribution by its median and 95th percentile; a fixed value where both are equal.
+/// A lognormal distribution, given by its median and 95th percentile; a fixed value if both are equal.
 struct Distribution {
   double median = 0;
   double p95 = 0;
@@ -29,72 +30,72 @@
 
 struct MachineSupply {
   MachineType type;
-  int spot = 0;      ///< to be had in each zone
-  int ordinary = 0;  ///< likewise
+  int spot = 0;      ///< number available in each zone
+  int ordinary = 0;  ///< number available in each zone
 };
 
-/// A class of jobs: `queue` of PROTOCOL.
+/// A class of jobs, named by `queue` in PROTOCOL.
 struct JobClass {
   std::string name;
-  std::string team;  ///< empty: drawn anew for each job
+  std::string team;  ///< empty: drawn for each job
   JobType type = JobType::array;
   Priority priority = Priority::normal;
   double per_minute = 0;
   int at_start = 0;
   Distribution tasks{1, 1};
   Distribution run_s{30, 30};
-  /// What owners say a task takes, as a multiple of what it does; drawn for each job.
+  /// The owner's estimate as a multiple of the actual run time; drawn for each job.
   Distribution estimate{1, 1};
   Resources resources;
   Distribution image_gb{1, 1};
-  int images = 1;  ///< how many different ones the class uses
+  int images = 1;  ///< number of different images of the class
   bool spot_allowed = false;
   bool single_zone = false;
   bool spread_zones = false;
   Micros checkpoint_interval{};
   Micros checkpoint_time{};
-  double deadline_factor = 0;  ///< due after so many times the estimate and `due_plus`; 0: no deadline
+  double deadline_factor = 0;  ///< deadline = factor * estimate + `deadline_extra`; 0: no deadline
   Micros deadline_extra{};
-  double cancelled_share = 0;  ///< share of jobs that their users cancel
+  double cancelled_share = 0;  ///< share of the jobs that their users cancel
   std::optional<Layout> layout;
 };
 
-/// Something that goes wrong, once or again and again.
+/// A fault that occurs once or periodically.
 struct FaultSpec {
-  std::string what;  ///< one of `trouble_names`
+  std::string what;  ///< one of fault_names()
   Micros at{};
   Micros lasts{};
   Micros every{};    ///< 0: once
-  std::string whom;  ///< controller, zone, domain, machine or beginning of keys; empty: drawn
-  double share = 0;  ///< of the machines or messages, where it strikes several
-  int count = 0;     ///< of the jobs, where it strikes some; 0: as its line of help says
+  std::string whom;  ///< controller, zone, domain, machine or key prefix; empty: drawn
+  double share = 0;  ///< of the affected machines or messages, for faults that affect several
+  int count = 0;     ///< of the affected jobs; 0: the default in its help text
 };
-/// The troubles that a site may name, each with a line of help.
+/// Returns the faults that a site file may name, each with a help text.
 const std::vector<std::pair<std::string, std::string>>& fault_names();
 
 struct Site {
   std::string name;
-  Settings settings;  ///< of the cluster; addresses and names are the driver's
+  Settings settings;  ///< of the cluster; the driver sets addresses and names
   std::vector<MachineSupply> types;
   int controllers = 3;  ///< in simulated days
-  int machines = 0;     ///< up at the start, ordinary ones of the first type, spread over its zones
+  int machines = 0;     ///< running at the start: on-demand machines of the first type, spread over its zones
   std::vector<JobClass> classes;
   std::vector<FaultSpec> faults;
   Micros length = from_seconds(600);
-  std::string topology_text;  ///< as the controllers read it; empty: none
+  std::string topology_text;  ///< in the form that the controllers read; empty: none
   std::shared_ptr<const topology::Topology> topology;
 
   const MachineSupply* type(const std::string& machine_type) const;
 };
 
-/// A mistake in a site file; what() is one line: file, line, field, what is wrong.
+/// An error in a site file. what() is one line with the file, the line, the field and the reason.
 using SiteError = config_reader::ConfigError;
 using config_reader::parse_duration;
 using config_reader::read_text;
 
 Site parse_site(const std::string& yaml, const std::string& file);
 Site load_site(const std::string& path);
-/// What is used where no file is named: two types of machine, two zones, two teams, four classes of jobs.
+/// Returns the default site, with two machine types, two zones, two teams and four classes of jobs.
 const char* small_site_yaml();
 
 }  // namespace wrenusher::testbed
--- a/testbed/models/include/wrenusher/testbed/transport.hpp
+++ b/testbed/models/include/wrenusher/testbed/transport.hpp
@@ -1,9 +1,12 @@
 #pragma once
-// Package lab models: one model of the state service, the cloud, the workers, the users and their balancer,
-// for every use: tests and experiments in simulated time, and a lab on loopback in real time. It owns the
-// models' state and the checker of the rules; what time it is and how messages travel comes from whoever
-// drives it, through Wires. It may depend on base, settings, protocol and records, never on the daemon's
-// rooms.
+// The interface between the testbed models and the program that drives them: clock, random numbers and
+// messages, and the links that can be cut.
+//
+// The models package contains the state service, the cloud, the workers, the users and their load balancer.
+// Tests and experiments in simulated time and the live testbed on loopback all use the same models. The
+// package owns the state of the models and the checker of the rules; the driver provides the Transport. The
+// package may depend on the time, value, runtime, settings, protocol and topology packages, but never on the
+// packages of the daemon.
 
 #include <functional>
 #include <map>
@@ -20,35 +23,36 @@
 using namespace time;
 using namespace runtime;
 
-/// What a broken link does with what is sent over it.
+/// What a broken link does with the messages sent over it.
 enum class LinkCut {
   none,
-  hold,  ///< delivered when the link is whole again, however late
-  reset  ///< refused at once
+  hold,  ///< delivered when the link is healed, without a time limit
+  reset  ///< refused immediately
 };
 
-/// Which parties cannot reach which. Parties have names: "c0", "state", "cloud", "user", "m-7".
+/// The links that are cut between named parties, such as "c0", "state", "cloud", "user" and "m-7".
 class Links {
  public:
-  /// Both ways, until healed.
+  /// Cuts both directions until heal().
   void cut(const std::string& a, const std::string& b, LinkCut how);
-  /// What goes from one to the other, and not back.
+  /// Cuts only the direction from `from` to `to`.
   void cut_one_way(const std::string& from, const std::string& to, LinkCut how) {
     one_way_[{from, to}] = how;
   }
-  /// What one asks of the other; its answers to what the other asks still go back.
+  /// Cuts the requests from `from` to `to`. Requests in the other direction and their answers still arrive.
   void cut_requests(const std::string& from, const std::string& to, LinkCut how) {
     requests_[{from, to}] = how;
   }
-  /// A zone with all that is and comes up in it, from everything outside.
+  /// Cuts a zone off from everything outside, including machines that boot in it later.
   void cut_zone(const std::string& zone, LinkCut how);
-  /// Likewise all parties of which `inside` is true.
+  /// Cuts the parties for which `inside` returns true off from all others.
   void cut_group(std::function<bool(const std::string&)> inside, LinkCut how);
   void heal();
-  /// Tells the zone of a party; empty for what belongs to none.
+  /// Returns the zone of a party; empty for a party without a zone.
   std::function<std::string(const std::string&)> zone_of;
+  /// Returns how messages from `from` to `to` are cut.
   LinkCut between(const std::string& from, const std::string& to) const;
-  /// What becomes of a request.
+  /// Returns how requests from `from` to `to` are cut.
   LinkCut asking(const std::string& from, const std::string& to) const;
 
  private:
@@ -58,7 +62,7 @@
   std::vector<std::pair<std::function<bool(const std::string&)>, LinkCut>> groups_;
 };
 
-/// A clock, chance, and messages between named parties.
+/// Provides a clock, random numbers, and messages between named parties.
 class Transport {
  public:
   using Handler = std::function<void(const std::string& from, const Request&, const Responder&)>;
@@ -71,10 +75,10 @@
   virtual Instant now() const = 0;
   virtual void at(Micros delay, std::function<void()> f) = 0;
   virtual std::mt19937_64& random() = 0;
-  /// One request, answered within the time or not at all.
+  /// Sends a request. `done` gets the answer, or an unanswered result at the latest after `timeout`.
   virtual void send(const std::string& from, const Endpoint& to, Request request, Micros timeout,
                     CallHandler done) = 0;
-  /// A new party that can be asked; gives the address at which, or nothing where none is to be had.
+  /// Registers a party that serves requests. Returns its address, or nothing if no address is available.
   virtual std::optional<Endpoint> serve(const std::string& who, Handler handler) = 0;
   virtual void unserve(const Endpoint& at) = 0;
 
--- a/testbed/models/include/wrenusher/testbed/verdict.hpp
+++ b/testbed/models/include/wrenusher/testbed/verdict.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// What a run came to, in the end: every job's fate, and whether anything is wrong.
+// The result of a run: the outcome of every job, and whether any rule was broken.
 
 #include "wrenusher/testbed/users.hpp"
 
@@ -10,19 +10,19 @@
     std::string job_id;
     std::string job_class;
     std::uint32_t tasks = 0;
-    std::string state;  ///< done, withdrawn, refused, or where it stands if it is not over
-    Micros took{};      ///< from submission to the answer that said so; 0 while it is not over
-    bool lost = false;  ///< accepted and not over
+    std::string state;  ///< done, withdrawn or refused; the current state if the job has not ended
+    Micros took{};      ///< from submission to the answer with the final state; 0 if the job has not ended
+    bool lost = false;  ///< neither refused nor ended
   };
   std::vector<Row> rows;
-  std::vector<std::string> broken;  ///< rules, a line each
+  std::vector<std::string> broken;  ///< broken rules, one line each
   std::size_t lost = 0;
-  /// Nothing lost, no rule broken, and anything was run at all.
+  /// No job was lost, no rule was broken, and at least one task was started.
   bool good = false;
 };
 
 Verdict judge(const Users& users, const Machines& machines, const Checker& checker);
-/// A table for people.
+/// Returns a human-readable table of the jobs and the broken rules.
 std::string table(const Verdict& v);
 
 }  // namespace wrenusher::testbed
--- a/testbed/models/kv_service.cpp
+++ b/testbed/models/kv_service.cpp
@@ -9,13 +9,13 @@
 
 namespace {
 
-constexpr Micros kTick = from_millis(100);
+constexpr Micros kTickInterval = from_millis(100);
 constexpr std::size_t kMaxRows = 1000;
-constexpr std::size_t kMaxListed = 512 * 1024;
-constexpr std::size_t kMaxTransaction = 64 * 1024;
-constexpr std::uint64_t kMinLife = 100;
-constexpr std::uint64_t kMaxLife = 600000;
-constexpr std::uint64_t kMaxWatch = 60000;
+constexpr std::size_t kMaxListBytes = 512 * 1024;
+constexpr std::size_t kMaxTransactionBytes = 64 * 1024;
+constexpr std::uint64_t kMinLifeMs = 100;
+constexpr std::uint64_t kMaxLifeMs = 600000;
+constexpr std::uint64_t kMaxWatchMs = 60000;
 
 bool valid_key(const std::string* k) {
   return k != nullptr && !k->empty() && k->size() <= 200 && k->find(' ') == std::string::npos;
@@ -27,29 +27,29 @@
   return {s.state_rps, s.state_write_rps, s.value_kb, s.txn_ops};
 }
 
-KvService::KvService(Transport& transport, const KvLimits& limits, std::unique_ptr<DurableStorage> keep)
+KvService::KvService(Transport& transport, const KvLimits& limits, std::unique_ptr<DurableStorage> storage)
     : transport_(transport),
       limits_(limits),
-      storage_(std::move(keep)),
-      pace_(limits.rps, 1, transport.now()),
-      write_pace_(limits.write_rps, 1, transport.now()) {
+      storage_(std::move(storage)),
+      rate_limiter_(limits.rps, 1, transport.now()),
+      write_rate_limiter_(limits.write_rps, 1, transport.now()) {
   SavedState s = storage_->load();
   revision_ = s.revision;
   keys_ = std::move(s.keys);
-  leases_made_ = s.leases_made;
+  last_lease_id_ = s.leases_made;
   past_ = std::move(s.past);
   past_before_ = s.past_before;
-  // Every hold has its full time again, as after an outage: how long each still had is not kept.
+  // As after an outage, every lease has its full time to live again: its remaining time is not stored.
   for (const auto& [id, life] : s.leases) leases_[id] = {life, transport_.now() + life};
   struct Ticker {
     KvService* s;
     void operator()() const {
       s->expire();
-      s->wake();
-      s->transport_.at(kTick, *this);
+      s->answer_watches();
+      s->transport_.at(kTickInterval, *this);
     }
   };
-  transport_.at(kTick, Ticker{this});
+  transport_.at(kTickInterval, Ticker{this});
 }
 
 const KvEntry* KvService::find(const std::string& key) const {
@@ -68,7 +68,7 @@
   down_ = on;
   if (on) return;
   for (auto& [id, h] : leases_) h.ends = transport_.now() + h.ttl;
-  wake();
+  answer_watches();
 }
 
 void KvService::refuse(const std::string& who, bool on) {
@@ -76,19 +76,20 @@
     refused_.insert(who);
   } else {
     refused_.erase(who);
-    wake();
+    answer_watches();
   }
 }
 
 void KvService::respond(const Responder& answer, Response r) {
-  if (slow_.count() == 0) {
+  if (answer_delay_.count() == 0) {
     answer(std::move(r));
   } else {
-    transport_.at(slow_, [answer, r = std::move(r)] { answer(r); });
+    transport_.at(answer_delay_, [answer, r = std::move(r)] { answer(r); });
   }
 }
 
-/// Makes a change durable and then visible; false where it could not be kept, and then nothing has changed.
+/// Makes a batch durable and then visible. Returns false and changes nothing if the batch could not be
+/// stored.
 bool KvService::apply(WriteBatch& b) {
   if (!storage_->save(b)) {
     storage_error_ = storage_->error();
@@ -108,11 +109,12 @@
     past_before_ = past_.front().revision;
     past_.pop_front();
   }
-  if (b.new_lease) leases_made_ = b.new_lease->first;
+  if (b.new_lease) last_lease_id_ = b.new_lease->first;
   return true;
 }
 
-/// The hold and the keys attached to it are gone.
+/// Deletes a lease and the keys attached to it. Returns false and changes nothing if that could not be
+/// stored.
 bool KvService::end_lease(std::uint64_t id) {
   WriteBatch b;
   b.ended_lease = id;
@@ -128,19 +130,19 @@
 
 void KvService::expire() {
   if (down_) return;
-  std::vector<std::uint64_t> over;
+  std::vector<std::uint64_t> expired;
   for (const auto& [id, h] : leases_) {
-    if (transport_.now() >= h.ends) over.push_back(id);
+    if (transport_.now() >= h.ends) expired.push_back(id);
   }
-  for (const std::uint64_t id : over) end_lease(id);
+  for (const std::uint64_t id : expired) end_lease(id);
 }
 
-void KvService::wake() {
+void KvService::answer_watches() {
   if (down_) return;
   auto waiting = std::move(watches_);
   watches_.clear();
   for (Watch& f : waiting) {
-    if (!answers(f.who)) {
+    if (!is_available_to(f.who)) {
       watches_.push_back(std::move(f));
       continue;
     }
@@ -169,11 +171,11 @@
 void KvService::serve(const std::string& from, const Request& r, const Responder& answer) {
   ++requests_[from];
   expire();
-  if (!answers(from)) {
+  if (!is_available_to(from)) {
     respond(answer, {503, {}, 0});
     return;
   }
-  if (!pace_.take(1, transport_.now())) {
+  if (!rate_limiter_.take(1, transport_.now())) {
     ++refusals_;
     respond(answer, {429, {}, 0});
     return;
@@ -185,7 +187,7 @@
     list(r.target, answer);
   } else if (r.method == "GET" && r.target.starts_with("/follow?")) {
     watch(from, r.target, answer);
-  } else if (r.method == "POST" && r.target == "/multi" && body && r.body.size() <= kMaxTransaction) {
+  } else if (r.method == "POST" && r.target == "/multi" && body && r.body.size() <= kMaxTransactionBytes) {
     transact(*body, answer);
   } else if (r.method == "POST" && r.target == "/holds" && body) {
     grant_lease(*body, answer);
@@ -211,8 +213,8 @@
 void KvService::list(const std::string& target, const Responder& answer) {
   const std::string prefix = query(target, "starts");
   const std::string after = query(target, "from");
-  const std::size_t asked = std::strtoull(query(target, "limit").c_str(), nullptr, 10);
-  const std::size_t limit = asked == 0 ? kMaxRows : std::min(asked, kMaxRows);
+  const std::size_t requested_limit = std::strtoull(query(target, "limit").c_str(), nullptr, 10);
+  const std::size_t limit = requested_limit == 0 ? kMaxRows : std::min(requested_limit, kMaxRows);
   Value::List rows;
   std::size_t bytes = 0;
   bool more = false;
@@ -221,7 +223,7 @@
     if (it->first == after && !after.empty()) continue;
     Value row = Value::Map{{"k", it->first}, {"value", it->second.value}, {"stamp", it->second.mod_revision}};
     bytes += row.json_size() + 1;
-    if (rows.size() == limit || (!rows.empty() && bytes > kMaxListed)) {
+    if (rows.size() == limit || (!rows.empty() && bytes > kMaxListBytes)) {
       more = true;
       break;
     }
@@ -232,15 +234,15 @@
 }
 
 void KvService::watch(const std::string& from, const std::string& target, const Responder& answer) {
-  const std::uint64_t hold = std::strtoull(query(target, "hold_ms").c_str(), nullptr, 10);
+  const std::uint64_t hold_ms = std::strtoull(query(target, "hold_ms").c_str(), nullptr, 10);
   watches_.push_back(
       {from, query(target, "starts"), std::strtoull(query(target, "from").c_str(), nullptr, 10),
-       transport_.now() + from_millis(static_cast<std::int64_t>(std::min(hold, kMaxWatch))), answer});
-  wake();
+       transport_.now() + from_millis(static_cast<std::int64_t>(std::min(hold_ms, kMaxWatchMs))), answer});
+  answer_watches();
 }
 
-/// The changes of a transaction; of two to one key the later counts. Nothing, and the reason, when they
-/// cannot be taken.
+/// Returns the changes of a transaction; the last of several changes to one key wins. If a change is invalid,
+/// returns nothing and sets `error` to the reason.
 std::optional<WriteBatch> KvService::read_changes(const Value::List& apply, std::string& error) const {
   std::map<std::string, std::optional<KvEntry>> last;
   for (const Value& c : apply) {
@@ -278,9 +280,9 @@
 }
 
 void KvService::transact(const Value& body, const Responder& answer) {
-  static const Value::List kNone;
-  const Value::List& when = body["when"].list() != nullptr ? *body["when"].list() : kNone;
-  const Value::List& changes = body["apply"].list() != nullptr ? *body["apply"].list() : kNone;
+  static const Value::List kEmptyList;
+  const Value::List& when = body["when"].list() != nullptr ? *body["when"].list() : kEmptyList;
+  const Value::List& changes = body["apply"].list() != nullptr ? *body["apply"].list() : kEmptyList;
   if (when.size() > 4 * limits_.txn_ops || changes.size() > limits_.txn_ops) {
     respond(answer, malformed("more than " + std::to_string(limits_.txn_ops) +
                               " changes or four times as many conditions"));
@@ -304,7 +306,7 @@
     return;
   }
   writes_ += changes.size();
-  if (!changes.empty() && !write_pace_.take(static_cast<double>(changes.size()), transport_.now())) {
+  if (!changes.empty() && !write_rate_limiter_.take(static_cast<double>(changes.size()), transport_.now())) {
     ++refusals_;
     respond(answer, {429, {}, 0});
     return;
@@ -318,24 +320,24 @@
     return;
   }
   respond(answer, reply(200, Value::Map{{"ledger_rev", revision_}}));
-  if (!changes.empty()) wake();
+  if (!changes.empty()) answer_watches();
 }
 
 void KvService::grant_lease(const Value& body, const Responder& answer) {
   const auto life = body["life_ms"].count();
-  if (!life || *life < kMinLife || *life > kMaxLife) {
+  if (!life || *life < kMinLifeMs || *life > kMaxLifeMs) {
     respond(answer, malformed("life_ms: must be between 100 and 600000"));
     return;
   }
   WriteBatch b;
   b.revision = revision_;
-  b.new_lease = {leases_made_ + 1, from_millis(static_cast<std::int64_t>(*life))};
+  b.new_lease = {last_lease_id_ + 1, from_millis(static_cast<std::int64_t>(*life))};
   if (!apply(b)) {
     respond(answer, reply(503, Value::Map{{"error", storage_error_}}));
     return;
   }
-  leases_[leases_made_] = {b.new_lease->second, transport_.now() + b.new_lease->second};
-  respond(answer, reply(200, Value::Map{{"tenancy", leases_made_}}));
+  leases_[last_lease_id_] = {b.new_lease->second, transport_.now() + b.new_lease->second};
+  respond(answer, reply(200, Value::Map{{"tenancy", last_lease_id_}}));
 }
 
 void KvService::serve_lease(const Request& r, const Responder& answer) {
@@ -351,7 +353,7 @@
       return;
     }
     respond(answer, {200, {}, 0});
-    wake();
+    answer_watches();
   } else if (r.method == "POST" && rest == "/extend") {
     it->second.ends = transport_.now() + it->second.ttl;
     respond(answer, reply(200, Value::Map{{"tenancy", id}}));
--- a/testbed/models/machines.cpp
+++ b/testbed/models/machines.cpp
@@ -11,10 +11,10 @@
 namespace {
 
 constexpr Micros kStep = from_millis(100);
-constexpr Micros kMinPaid = from_seconds(60);
-constexpr Micros kReportGap = from_millis(500);
-/// A machine that died is listed as running for so long.
-constexpr Micros kDeadListedFor = from_seconds(20);
+constexpr Micros kMinBilledTime = from_seconds(60);
+constexpr Micros kMinReportGap = from_millis(500);
+/// The cloud lists a dead machine as running for this long.
+constexpr Micros kDeadListedTime = from_seconds(20);
 
 Micros scaled(Micros d, double by) {
   return Micros{static_cast<std::int64_t>(static_cast<double>(d.count()) * by)};
@@ -32,9 +32,9 @@
   step();
 }
 
-void Machines::describe(SimulatedJob truth) {
-  const std::string job_id = truth.spec.job_id;
-  jobs_.emplace(job_id, std::move(truth));
+void Machines::describe(SimulatedJob simulated_job) {
+  const std::string job_id = simulated_job.spec.job_id;
+  jobs_.emplace(job_id, std::move(simulated_job));
 }
 
 const SimulatedJob* Machines::job(const std::string& job_id) const {
@@ -51,17 +51,17 @@
   return m.up && !m.dead && transport_.now() >= m.hung_until;
 }
 
-// ---------------------------------------------------------------- the cloud's side
+// ---------------------------------------------------------------- rental
 
 std::string Machines::rent(const std::string& machine_type, const std::string& zone, bool standby,
                            Micros boot) {
   auto m = std::make_unique<Machine>();
-  m->name = "m-" + std::to_string(made_ + 1);
+  m->name = "m-" + std::to_string(machines_created_ + 1);
   const auto addr =
       transport_.serve(m->name, [this, host = m->name](const std::string&, const Request& r,
                                                        const Responder& a) { serve_commands(host, r, a); });
   if (!addr) return {};
-  ++made_;
+  ++machines_created_;
   m->address = *addr;
   m->machine_type = machine_type;
   m->type = site_.type(machine_type);
@@ -80,10 +80,10 @@
 void Machines::return_machine(const std::string& host) {
   Machine* m = find(host);
   if (m == nullptr) return;
-  lose_tasks(*m);
+  drop_tasks(*m);
   const Instant end = m->dead ? m->died : transport_.now();
   const double price = m->spot ? m->type->type.spot_price : m->type->type.price;
-  cost_ += price * to_seconds(std::max(end - m->rented, kMinPaid)) / 3600;
+  cost_ += price * to_seconds(std::max(end - m->rented, kMinBilledTime)) / 3600;
   transport_.unserve(m->address);
   machines_.erase(host);
 }
@@ -95,7 +95,7 @@
 }
 
 Value::List Machines::list() const {
-  // In the order of their creation, which is that of their names as the protocol has them.
+  // In the order of creation, which the protocol defines as the order of the numbers in the names.
   std::vector<const Machine*> all;
   for (const auto& [ref, m] : machines_) all.push_back(m.get());
   std::sort(all.begin(), all.end(), [](const Machine* a, const Machine* b) {
@@ -103,9 +103,9 @@
   });
   Value::List out;
   for (const Machine* m : all) {
-    const char* status = m->dead && transport_.now() - m->died > kDeadListedFor ? "failed"
-                         : m->up                                                ? "running"
-                                                                                : "starting";
+    const char* status = m->dead && transport_.now() - m->died > kDeadListedTime ? "failed"
+                         : m->up                                                 ? "running"
+                                                                                 : "starting";
     out.emplace_back(Value::Map{{"ref", m->name},
                                 {"addr", m->address},
                                 {"flavor", m->machine_type},
@@ -126,11 +126,11 @@
   return sum;
 }
 
-// ---------------------------------------------------------------- troubles
+// ---------------------------------------------------------------- faults
 
-void Machines::lose_tasks(Machine& m) {
+void Machines::drop_tasks(Machine& m) {
   for (Task& t : m.tasks) {
-    if (t.on()) checker_.task_left(t.job_id, t.task, m.name);
+    if (t.occupies_machine()) checker_.task_left(t.job_id, t.task, m.name);
     if (t.status == "running") {
       const auto it = saved_.find({t.job_id, t.task});
       const Micros kept = it == saved_.end() ? Micros{0} : it->second;
@@ -147,19 +147,19 @@
   if (m == nullptr || m->dead) return;
   m->dead = true;
   m->died = transport_.now();
-  lose_tasks(*m);
+  drop_tasks(*m);
   transport_.unserve(m->address);
 }
 
 void Machines::restart_worker(const std::string& host) {
   Machine* m = find(host);
   if (m == nullptr || !m->up || m->dead) return;
-  lose_tasks(*m);
+  drop_tasks(*m);
   m->images.clear();
   m->incarnation = 1;
   m->sequence = m->fencing_token = 0;
   m->token_reported.reset();
-  ++m->life;
+  ++m->restarts;
   m->reporting = false;
   m->lease_from = m->next_report = transport_.now();
 }
@@ -171,10 +171,10 @@
       if (!t.ended() && t.job->spec.team == spec.team) team += t.job->spec.resources;
     }
   }
-  const settings::Team* its = settings_.team(spec.team);
-  const Resources with{team.cores + spec.resources.cores, team.gpus + spec.resources.gpus, 0};
-  if (its == nullptr || (its->cores_max > 0 && with.cores > to_amount(its->cores_max)) ||
-      (its->gpus_max > 0 && with.gpus > to_amount(its->gpus_max)))
+  const settings::Team* quota = settings_.team(spec.team);
+  const Resources team_with_task{team.cores + spec.resources.cores, team.gpus + spec.resources.gpus, 0};
+  if (quota == nullptr || (quota->cores_max > 0 && team_with_task.cores > to_amount(quota->cores_max)) ||
+      (quota->gpus_max > 0 && team_with_task.gpus > to_amount(quota->gpus_max)))
     return false;
   return std::any_of(machines_.begin(), machines_.end(), [&](const auto& e) {
     const Machine& m = *e.second;
@@ -189,8 +189,9 @@
   });
 }
 
-/// The moment at which it goes on is looked at before what was sent meanwhile is executed: a cancelled task
-/// that is still there has outlived the hang, however soon it is stopped after it.
+/// The checker runs at the end of the hang, before the commands that arrived meanwhile are executed. A
+/// cancelled task that is still on the machine is thus detected, even if such a command stops it right after
+/// the hang.
 void Machines::hang(const std::string& host, Micros how_long) {
   Machine* m = find(host);
   if (m == nullptr) return;
@@ -203,7 +204,8 @@
   for (const auto& [host, m] : machines_) {
     for (const Task& t : m->tasks) {
       if (t.status != "running") continue;
-      if (t.job->spec.type == JobType::service || total(t) - t.progress >= least) out[t.job_id].insert(host);
+      if (t.job->spec.type == JobType::service || run_time_of(t) - t.progress >= least)
+        out[t.job_id].insert(host);
     }
   }
   return out;
@@ -248,7 +250,7 @@
   return out;
 }
 
-// ---------------------------------------------------------------- time passes
+// ---------------------------------------------------------------- simulation steps
 
 void Machines::step() {
   const Instant now = transport_.now();
@@ -268,7 +270,7 @@
   step_gangs();
   for (const std::string& name : names) {
     Machine& m = *find(name);
-    if (acts(m) && !m.reporting && now >= m.next_report && now - m.last_sent >= kReportGap) report(m);
+    if (acts(m) && !m.reporting && now >= m.next_report && now - m.last_sent >= kMinReportGap) report(m);
   }
   checker_.check(now);
   stepped_ = now;
@@ -283,12 +285,13 @@
 
 void Machines::step_lease(Machine& m) {
   if (transport_.now() - m.lease_from <= settings_.worker_lease) return;
-  lose_tasks(m);
+  drop_tasks(m);
   ++m.incarnation;
   m.lease_from = m.next_report = transport_.now();
 }
 
-/// Fetches under way share the machine's rate; one that no task waits for is given up.
+/// Advances the fetches of a machine, which share its fetch rate equally. Drops a fetch that no task waits
+/// for.
 void Machines::step_fetches(Machine& m) {
   if (m.fetches.empty()) return;
   std::erase_if(m.fetches, [&](const auto& p) {
@@ -298,12 +301,12 @@
   const double seconds = to_seconds(transport_.now() - stepped_) * speed_;
   const double each = seconds * m.type->type.fetch_gb_per_s * m.fetch_gb_per_s /
                       std::max<double>(1, static_cast<double>(m.fetches.size()));
-  std::vector<std::string> there;
+  std::vector<std::string> fetched;
   for (auto& [bundle, left] : m.fetches) {
     left -= each;
-    if (left <= 0) there.push_back(bundle);
+    if (left <= 0) fetched.push_back(bundle);
   }
-  for (const std::string& image : there) {
+  for (const std::string& image : fetched) {
     m.fetches.erase(image);
     for (const Task& t : m.tasks) {
       if (t.job == nullptr || t.job->spec.image != image) continue;
@@ -324,23 +327,23 @@
   }
 }
 
-Micros Machines::total(const Task& t) const {
+Micros Machines::run_time_of(const Task& t) const {
   const SimulatedJob& j = *t.job;
   return scaled(j.run_time.count() > 0 ? j.run_time : j.spec.expected_runtime, t.error_factor);
 }
 
-/// The task has its image: from now on it is on its machine.
-void Machines::got_image(Machine& m, Task& t) {
+/// Handles a completed image fetch: from now on the task occupies its machine.
+void Machines::finish_fetch(Machine& m, Task& t) {
   const JobSpec& spec = t.job->spec;
   keep_image(m, spec.image, spec.image_gb);
   checker_.started(transport_.now(), t.job_id, t.task, m.name, m.machine_type, m.zone, m.spot);
   m.next_report = std::min(m.next_report, transport_.now());
   if (results_.contains({t.job_id, t.task}) && spec.type != JobType::service) {
-    t.become("running", transport_.now());
+    t.set_status("running", transport_.now());
     exit_task(m, t, "done");
     return;
   }
-  t.become(spec.type == JobType::gang ? "gathering" : "running", transport_.now());
+  t.set_status(spec.type == JobType::gang ? "gathering" : "running", transport_.now());
   if (const auto saved = saved_.find({t.job_id, t.task}); saved != saved_.end()) t.progress = saved->second;
   t.begun_at = t.progress;
   if (spec.type != JobType::gang && on_start) on_start(t.job_id, t.task);
@@ -350,18 +353,18 @@
   const Instant now = transport_.now();
   const JobSpec& spec = t.job->spec;
   if (t.status == "pulling") {
-    if (m.has(spec.image)) got_image(m, t);
+    if (m.has_image(spec.image)) finish_fetch(m, t);
     return;
   }
   if (spec.type == JobType::gang) return;
   if (t.status == "saving") {
-    if (now < t.saved_by) return;
+    if (now < t.save_ends_at) return;
     saved_[{t.job_id, t.task}] = t.progress;
     t.progress_saved = true;
     exit_task(m, t, "stopped");
     return;
   }
-  if (mistaken_.contains(t.job_id) || t.job->faulty_description || faulty_.contains(m.name)) {
+  if (failing_jobs_.contains(t.job_id) || t.job->faulty_description || faulty_.contains(m.name)) {
     if (now - t.since > from_seconds(1)) exit_task(m, t, "error");
     return;
   }
@@ -372,7 +375,7 @@
     const Micros at = spec.checkpoint_interval * (t.progress / spec.checkpoint_interval);
     if (Micros& kept = saved_[{t.job_id, t.task}]; at > kept) kept = at;
   }
-  if (t.progress >= total(t)) exit_task(m, t, "done");
+  if (t.progress >= run_time_of(t)) exit_task(m, t, "done");
 }
 
 void Machines::step_gangs() {
@@ -391,37 +394,37 @@
   const Instant now = transport_.now();
   const JobSpec& spec = jobs_.at(key.first).spec;
   Gang& g = gangs_[key];
-  const auto every = [&](auto f) {
+  const auto for_each_active = [&](auto f) {
     for (auto& [m, t] : tasks) {
       if (acts(*m) && !t->ended()) f(*m, *t);
     }
   };
   std::uint32_t acting = 0;
-  std::uint32_t told = 0;
+  std::uint32_t stopped_count = 0;
   double slowest = 10;
-  every([&](Machine& m, Task& t) {
+  for_each_active([&](Machine& m, Task& t) {
     ++acting;
-    told += t.reported ? 1 : 0;
+    stopped_count += t.stopped_in_time ? 1 : 0;
     slowest = std::min(slowest, m.speed);
   });
   if (!g.running) {
     if (acting == spec.task_count) {
       g.running = true;
       g.progress = saved_[{key.first, 0}];
-      every([&](Machine& m, Task& t) {
-        t.become("running", now);
+      for_each_active([&](Machine& m, Task& t) {
+        t.set_status("running", now);
         m.next_report = std::min(m.next_report, now);
         if (on_start) on_start(t.job_id, t.task);
       });
       return;
     }
-    every([&](Machine& m, Task& t) {
+    for_each_active([&](Machine& m, Task& t) {
       if (now - t.since > settings_.gang_start_timeout) exit_task(m, t, "alone");
     });
     return;
   }
   if (results_.contains({key.first, 0})) {
-    every([&](Machine& m, Task& t) { exit_task(m, t, "done"); });
+    for_each_active([&](Machine& m, Task& t) { exit_task(m, t, "done"); });
     return;
   }
   if (acting < spec.task_count) {
@@ -431,19 +434,21 @@
     g.broken.reset();
   }
   if (g.first_stop) {
-    // Progress stands still. Those not told in time leave, and then nothing is saved.
-    const bool over = now - *g.first_stop > settings_.gang_peer_timeout;
-    if (over && told < spec.task_count) g.failed = true;
-    bool all_saved = told == spec.task_count && !g.failed;
-    every([&](Machine&, Task& t) { all_saved = all_saved && t.status == "saving" && now >= t.saved_by; });
+    // The gang makes no progress while it stops. If a task got no stop command within the peer timeout, that
+    // task exits and no progress of the gang is saved.
+    const bool timed_out = now - *g.first_stop > settings_.gang_peer_timeout;
+    if (timed_out && stopped_count < spec.task_count) g.failed = true;
+    bool all_saved = stopped_count == spec.task_count && !g.failed;
+    for_each_active(
+        [&](Machine&, Task& t) { all_saved = all_saved && t.status == "saving" && now >= t.save_ends_at; });
     if (all_saved) saved_[{key.first, 0}] = g.progress;
-    every([&](Machine& m, Task& t) {
+    for_each_active([&](Machine& m, Task& t) {
       if (all_saved) {
         t.progress_saved = true;
         exit_task(m, t, "stopped");
-      } else if (over && !t.reported) {
+      } else if (timed_out && !t.stopped_in_time) {
         exit_task(m, t, "peers");
-      } else if (over && g.failed && now >= t.saved_by) {
+      } else if (timed_out && g.failed && now >= t.save_ends_at) {
         exit_task(m, t, "stopped");
       }
     });
@@ -451,7 +456,7 @@
   }
   if (g.broken) {
     if (now - *g.broken > settings_.gang_peer_timeout)
-      every([&](Machine& m, Task& t) { exit_task(m, t, "peers"); });
+      for_each_active([&](Machine& m, Task& t) { exit_task(m, t, "peers"); });
     return;
   }
   g.progress += scaled(now - stepped_, speed_ * slowest);
@@ -459,19 +464,19 @@
     const Micros at = spec.checkpoint_interval * (g.progress / spec.checkpoint_interval);
     if (Micros& kept = saved_[{key.first, 0}]; at > kept) kept = at;
   }
-  every([&](Machine& m, Task& t) {
+  for_each_active([&](Machine& m, Task& t) {
     t.progress = g.progress;
-    if (mistaken_.contains(t.job_id) || t.job->faulty_description || faulty_.contains(m.name))
+    if (failing_jobs_.contains(t.job_id) || t.job->faulty_description || faulty_.contains(m.name))
       exit_task(m, t, "error");
   });
-  // One done, all done: the others learn of it by the results.
-  if (!tasks.front().second->ended() && g.progress >= total(*tasks.front().second))
-    every([&](Machine& m, Task& t) { exit_task(m, t, "done"); });
+  // A gang finishes as a whole: tasks that are not active now exit when they find its results.
+  if (!tasks.front().second->ended() && g.progress >= run_time_of(*tasks.front().second))
+    for_each_active([&](Machine& m, Task& t) { exit_task(m, t, "done"); });
 }
 
 void Machines::exit_task(Machine& m, Task& t, const std::string& cause) {
   const JobSpec& spec = t.job->spec;
-  if (t.on()) checker_.task_left(t.job_id, t.task, m.name);
+  if (t.occupies_machine()) checker_.task_left(t.job_id, t.task, m.name);
   const double cores = from_amount(spec.resources.cores);
   if (cause == "done") {
     const bool gang = spec.type == JobType::gang;
@@ -487,12 +492,12 @@
     if (spec.type != JobType::service)
       useful_work_.lost += to_seconds(std::max(t.progress - std::max(kept, t.begun_at), Micros{0})) * cores;
   }
-  t.become("ended", transport_.now());
+  t.set_status("ended", transport_.now());
   t.exit_reason = cause;
   m.next_report = std::min(m.next_report, transport_.now());
 }
 
-// ---------------------------------------------------------------- orders
+// ---------------------------------------------------------------- commands
 
 void Machines::start_task(Machine& m, const std::string& job_id, std::uint32_t task, std::uint64_t attempt) {
   Task t;
@@ -504,7 +509,7 @@
   t.job = job;
   m.next_report = std::min(m.next_report, transport_.now());
   const auto refuse = [&](const char* cause) {
-    t.become("ended", transport_.now());
+    t.set_status("ended", transport_.now());
     t.exit_reason = cause;
     m.tasks.push_back(std::move(t));
   };
@@ -526,10 +531,10 @@
     return;
   }
   t.status = "pulling";
-  // The tasks of a job are alike, give or take a quarter; a gang's are one.
+  // Task run times vary by up to 25 % around the job's run time. The tasks of a gang share one run time.
   t.error_factor = job->spec.type == JobType::gang ? 1 : transport_.uniform(0.75, 1.25);
-  if (on_command) on_command(job_id, task, attempt, m.has(job->spec.image));
-  if (!m.has(job->spec.image)) m.fetches.try_emplace(job->spec.image, job->spec.image_gb);
+  if (on_command) on_command(job_id, task, attempt, m.has_image(job->spec.image));
+  if (!m.has_image(job->spec.image)) m.fetches.try_emplace(job->spec.image, job->spec.image_gb);
   m.tasks.push_back(std::move(t));
 }
 
@@ -537,9 +542,9 @@
   const JobSpec& spec = t.job->spec;
   const Instant now = transport_.now();
   if (t.status == "running" && spec.has_checkpoints() && grace_period >= spec.checkpoint_time) {
-    t.become("saving", now);
-    t.saved_by = now + spec.checkpoint_time;
-    t.reported = true;
+    t.set_status("saving", now);
+    t.save_ends_at = now + spec.checkpoint_time;
+    t.stopped_in_time = true;
     if (spec.type == JobType::gang) {
       Gang& g = gangs_[{t.job_id, t.attempt}];
       if (!g.first_stop) g.first_stop = now;
@@ -549,8 +554,8 @@
   }
 }
 
-/// A higher token is a reason to report at once, though at most once in half a lease.
-void Machines::take_token(Machine& m, std::uint64_t fencing_token) {
+/// Adopts a higher fencing token, which triggers an immediate report, at most once per half lease.
+void Machines::accept_token(Machine& m, std::uint64_t fencing_token) {
   m.fencing_token = fencing_token;
   const Instant now = transport_.now();
   if (m.token_reported && now - *m.token_reported < settings_.worker_lease / 2) return;
@@ -582,7 +587,7 @@
   }
 }
 
-/// POST /orders and GET /inspect. A hanging machine executes what it was sent when it resumes.
+/// Serves POST /orders and GET /inspect. A hung machine handles the requests when it resumes.
 void Machines::serve_commands(const std::string& host, const Request& r, const Responder& answer) {
   const Machine* m = find(host);
   if (m == nullptr || !m->up) return;
@@ -600,10 +605,10 @@
       answer(malformed("epoch or tenure is missing"));
       return;
     }
-    const bool good = *fencing_token >= x->fencing_token && *incarnation == x->incarnation;
-    if (*fencing_token > x->fencing_token) take_token(*x, *fencing_token);
-    if (good) execute(*x, (*v)["orders"]);
-    answer(reply(good ? 200 : 409, describe(*x)));
+    const bool accepted = *fencing_token >= x->fencing_token && *incarnation == x->incarnation;
+    if (*fencing_token > x->fencing_token) accept_token(*x, *fencing_token);
+    if (accepted) execute(*x, (*v)["orders"]);
+    answer(reply(accepted ? 200 : 409, describe(*x)));
   });
 }
 
@@ -634,31 +639,32 @@
   m.next_report = sent + scaled(settings_.report_interval, transport_.uniform(0.75, 1.25));
   transport_.send(
       m.name, nodes_[m.node].second, {"POST", "/hello", encode(describe(m))}, from_seconds(4),
-      [this, host = m.name, sent, incarnation = m.incarnation, life = m.life](const CallResult& o) {
-        if (const Machine* x = find(host); x != nullptr && x->life == life)
-          answered(host, sent, incarnation, o);
+      [this, host = m.name, sent, incarnation = m.incarnation, restarts = m.restarts](const CallResult& o) {
+        if (const Machine* x = find(host); x != nullptr && x->restarts == restarts)
+          handle_report_answer(host, sent, incarnation, o);
       });
 }
 
-void Machines::answered(const std::string& host, Instant sent, std::uint64_t incarnation,
-                        const CallResult& o) {
+void Machines::handle_report_answer(const std::string& host, Instant sent, std::uint64_t incarnation,
+                                    const CallResult& o) {
   Machine* m = find(host);
   if (m == nullptr || m->dead) return;
   const Instant now = transport_.now();
   m->reporting = false;
-  if (now < m->hung_until) return;  // dropped: by the time it resumes the answer is too old
+  if (now < m->hung_until) return;  // dropped: the answer is outdated by the time the machine resumes
   const auto v = decode(o.response.body);
   if (o.answered && o.response.status == 200 && v) {
     const auto fencing_token = (*v)["epoch"].count();
     if (!fencing_token || *fencing_token < m->fencing_token || incarnation != m->incarnation) return;
-    if (*fencing_token > m->fencing_token) take_token(*m, *fencing_token);
+    if (*fencing_token > m->fencing_token) accept_token(*m, *fencing_token);
     m->lease_from = sent;
     execute(*m, (*v)["orders"]);
     return;
   }
-  const std::string* up = v && o.answered && o.response.status == 421 ? (*v)["upstream"].text() : nullptr;
-  for (std::size_t i = 0; up != nullptr && i < nodes_.size(); ++i) {
-    if (nodes_[i].first != *up || i == m->node) continue;
+  const std::string* upstream =
+      v && o.answered && o.response.status == 421 ? (*v)["upstream"].text() : nullptr;
+  for (std::size_t i = 0; upstream != nullptr && i < nodes_.size(); ++i) {
+    if (nodes_[i].first != *upstream || i == m->node) continue;
     m->node = i;
     m->next_report = now;
     return;
--- a/testbed/models/site.cpp
+++ b/testbed/models/site.cpp
@@ -8,20 +8,20 @@
 
 using config_reader::ConfigNode;
 
-/// A number, or {median: , p95: }.
-Distribution read_spread(ConfigNode n, double least, double most) {
+/// Reads a number, or a map {median: , p95: }.
+Distribution read_distribution(ConfigNode n, double min_value, double max_value) {
   if (!n.is_map()) {
-    const double fixed = n.number(least, most);
+    const double fixed = n.number(min_value, max_value);
     return {fixed, fixed};
   }
   Distribution s;
-  s.median = n["median"].number(least, most);
-  s.p95 = n["p95"].number(s.median, most);
+  s.median = n["median"].number(min_value, max_value);
+  s.p95 = n["p95"].number(s.median, max_value);
   n.reject_unknown_fields();
   return s;
 }
 
-Distribution read_spread_of_time(ConfigNode n) {
+Distribution read_duration_distribution(ConfigNode n) {
   if (!n.is_map()) {
     const double fixed = to_seconds(n.duration());
     return {fixed, fixed};
@@ -34,7 +34,7 @@
   return s;
 }
 
-Resources read_needs(ConfigNode& n) {
+Resources read_resources(ConfigNode& n) {
   Resources out;
   out.cores = to_amount(n["cores"].number(0, 1e6));
   out.gpus = n.has("cards") ? to_amount(n["cards"].number(0, 1e6)) : 0;
@@ -46,7 +46,7 @@
   MachineSupply t;
   MachineType& f = t.type;
   f.name = name;
-  f.capacity = read_needs(n);
+  f.capacity = read_resources(n);
   f.image_cache_gb = n["cache_gb"].number(0, 1e6);
   f.fetch_gb_per_s = n["pull_gb_per_s"].number(1e-3, 1e3);
   f.price = n["price"].number(0, 1e6);
@@ -107,11 +107,11 @@
                                      : Priority::low;
   if (n.has("per_minute")) c.per_minute = n["per_minute"].number(0, 1e4);
   if (n.has("at_start")) c.at_start = n["at_start"].integer(0, 100000);
-  if (n.has("tasks")) c.tasks = read_spread(n["tasks"], 1, kMaxTasksPerJob);
-  if (c.type != JobType::service) c.run_s = read_spread_of_time(n["run"]);
-  if (n.has("estimate")) c.estimate = read_spread(n["estimate"], 0.01, 100);
-  c.resources = read_needs(n);
-  if (n.has("image_gb")) c.image_gb = read_spread(n["image_gb"], 0, 1e4);
+  if (n.has("tasks")) c.tasks = read_distribution(n["tasks"], 1, kMaxTasksPerJob);
+  if (c.type != JobType::service) c.run_s = read_duration_distribution(n["run"]);
+  if (n.has("estimate")) c.estimate = read_distribution(n["estimate"], 0.01, 100);
+  c.resources = read_resources(n);
+  if (n.has("image_gb")) c.image_gb = read_distribution(n["image_gb"], 0, 1e4);
   if (n.has("images")) c.images = n["images"].integer(1, 100000);
   if (n.has("spot")) c.spot_allowed = n["spot"].boolean();
   if (n.has("same_place")) c.single_zone = n["same_place"].boolean();
@@ -145,7 +145,7 @@
   return t;
 }
 
-settings::Objective read_aim(ConfigNode n) {
+settings::Objective read_objective(ConfigNode n) {
   settings::Objective o;
   o.kind = n["kind"].one_of({"deadline", "finished", "wait"});
   o.job_class = n["class"].text();
@@ -189,49 +189,52 @@
 
 const std::vector<std::pair<std::string, std::string>>& fault_names() {
   static const std::vector<std::pair<std::string, std::string>> names = {
-      {"controller_crash", "one controller ends (whom: c0, c1, c2 or leader) and is back after `lasts`"},
-      {"all_crash", "all controllers end and are back after `lasts`"},
-      {"rolling_restart", "one controller after the other ends, `lasts` apart"},
+      {"controller_crash", "one controller (whom: c0, c1, c2 or leader) crashes and restarts after `lasts`"},
+      {"all_crash", "all controllers crash and restart after `lasts`"},
+      {"rolling_restart", "the controllers restart one after the other, at intervals of `lasts`"},
       {"controller_cut", "a controller is cut off from everything for `lasts`"},
-      {"controller_stalls", "a controller stands still for `lasts` (simulated time only)"},
+      {"controller_stalls", "a controller stalls for `lasts` (simulated time only)"},
       {"controller_alone",
-       "a controller (whom; the leader) loses state service and other controllers, not its workers"},
+       "a controller (whom; empty: the leader) loses the state service and the other controllers, but "
+       "not its workers"},
       {"controller_flickers",
-       "a controller ends and is back within a fraction of a second, again and again for `lasts`"},
-      {"machine_deaf", "reports of a `share` of the machines (0: one) arrive, answers and orders do not"},
+       "a controller repeatedly crashes and restarts within a fraction of a second for `lasts`"},
+      {"machine_deaf",
+       "reports of a `share` of the machines (0: one) arrive, but answers and commands do not reach them"},
       {"machine_mute",
-       "a `share` of the machines (0: one) reach no controller, though orders and questions reach them"},
-      {"machine_reborn", "a `share` of the machines (0: one) begin anew under their names, at once"},
-      {"late_copies", "a `share` of all requests (0: 0.2) comes once more, up to 2.5 leases late"},
+       "a `share` of the machines (0: one) reach no controller, but commands and queries reach them"},
+      {"machine_reborn",
+       "the workers of a `share` of the machines (0: one) restart at once under their old names"},
+      {"late_copies", "a `share` of all requests (0: 0.2) is delivered a second time, up to 2.5 leases late"},
       {"late_writes",
-       "a `share` of the transactions (0: 0.2) gets no answer and is carried out 2 to 12 s later, once"},
+       "a `share` of the transactions (0: 0.2) gets no answer and is executed once, 2 to 12 s later"},
       {"mass_cancel",
-       "users cancel `count` (8) jobs that run and have long to go, all within a fifth of a second; up to "
-       "eight of their machines hang for `lasts`"},
+       "users cancel `count` (0: 8) running jobs with much work left, all within 0.2 s; up to eight of "
+       "their machines hang for `lasts`"},
       {"lost_answers",
-       "a `share` of the transactions (0: 0.2; whom: of those on keys that begin so) is carried out at once, "
-       "and the answer alone is lost"},
-      {"question_storm", "users ask about their jobs eight times as often for `lasts`"},
+       "a `share` of the transactions (0: 0.2; whom: only those on keys with this prefix) is executed "
+       "at once, but the answer is lost"},
+      {"question_storm", "users poll their jobs eight times as often for `lasts`"},
       {"close_looks",
-       "for `lasts` users ask at all nodes, within milliseconds, once a job was accepted, is over or "
-       "cancelled, "
-       "and repeat the submission; some cancel at once"},
+       "for `lasts` users poll a job at all nodes within milliseconds after it was accepted, ended or "
+       "was cancelled, and repeat the submission; some cancel at once"},
       {"odd_requests",
-       "for `lasts` users repeat submissions of unfinished jobs, cancel done ones, and send jobs that fit "
-       "nothing or lack a field"},
+       "for `lasts` users repeat submissions of unfinished jobs, cancel finished jobs, and submit jobs "
+       "that fit no machine or lack a field"},
       {"cancel_at_end", "for `lasts` a `share` of the jobs (0: 0.2) is cancelled as its last task ends"},
-      {"boots_late", "new machines take six times as long for `lasts`, three in ten never come up"},
+      {"boots_late",
+       "new machines take six times as long to boot for `lasts`, and three in ten never finish booting"},
       {"state_outage", "the state service answers 503 for `lasts`"},
       {"state_refuses", "the state service refuses one controller for `lasts`"},
-      {"store_gap", "the state service refuses the leader alone for a second, then everybody for `lasts`"},
+      {"store_gap", "the state service refuses only the leader for a second, then every client for `lasts`"},
       {"state_slow", "answers of the state service take 300 ms longer for `lasts`"},
       {"cloud_outage", "the cloud answers 503 for `lasts`"},
       {"zone_cut", "a zone is cut off for `lasts`"},
       {"domain_cut", "a domain of the topology (whom) is cut off for `lasts`"},
-      {"domain_dies", "all machines of a domain of the topology (whom) stop with all that is on them"},
-      {"machine_dies", "a `share` of the machines (0: one) stop with all that is on them"},
+      {"domain_dies", "all machines of a domain of the topology (whom) die with all their tasks"},
+      {"machine_dies", "a `share` of the machines (0: one) die with all their tasks"},
       {"machine_hangs", "a `share` of the machines (0: one) hang for `lasts`"},
-      {"spot_wave", "a `share` of the spot machines are taken back, with `lasts` of notice"},
+      {"spot_wave", "a `share` of the spot machines are reclaimed with a notice of `lasts`"},
   };
   return names;
 }
@@ -263,7 +266,7 @@
     for (auto& [name, n] : top["classes"].entries()) site.classes.push_back(read_class(name, n, s));
   }
   if (top.has("aims")) {
-    for (const ConfigNode& n : top["aims"].items()) s.objectives.push_back(read_aim(n));
+    for (const ConfigNode& n : top["aims"].items()) s.objectives.push_back(read_objective(n));
   }
   if (top.has("troubles")) {
     for (const ConfigNode& n : top["troubles"].items()) site.faults.push_back(read_fault(n));
--- a/testbed/models/sqlite_storage.cpp
+++ b/testbed/models/sqlite_storage.cpp
@@ -11,12 +11,12 @@
 
 namespace {
 
-/// Written by this version; another one is refused rather than misread.
+/// Format of the database that this version writes. Any other format is rejected to avoid misreading it.
 constexpr std::int64_t kFormat = 1;
-/// Past changes are trimmed so many at a time.
-constexpr std::size_t kTrim = 1000;
+/// Number of past changes that one trim removes.
+constexpr std::size_t kTrimBatch = 1000;
 
-/// Of all that a row says, so that a row that was changed behind our back is not taken for an answer.
+/// Covers all columns of a row, so that a row modified by anything else is detected and never served.
 std::int64_t checksum(const std::string& key, const std::string& value, std::uint64_t mod_revision,
                       std::uint64_t lease_id) {
   XXH64_state_t* s = XXH64_createState();
@@ -32,26 +32,26 @@
 
 class SqliteStorage : public DurableStorage {
  public:
-  SqliteStorage(const std::string& folder, std::uint32_t most_pages) : path_(folder + "/state.db") {
+  SqliteStorage(const std::string& folder, std::uint32_t max_pages) : path_(folder + "/state.db") {
     if (mkdir(folder.c_str(), 0700) != 0 && errno != EEXIST)
-      throw StorageDamaged(folder + ": cannot be made: " + std::strerror(errno));
-    if (sqlite3_open(path_.c_str(), &db_) != SQLITE_OK) damaged("cannot be opened");
+      throw StorageDamaged(folder + ": cannot be created: " + std::strerror(errno));
+    if (sqlite3_open(path_.c_str(), &db_) != SQLITE_OK) fail_damaged("cannot be opened");
     sqlite3_extended_result_codes(db_, 1);
-    // On the disk at every commit, and in the one file: of a write-ahead log whose end is damaged SQLite
-    // would take what comes before for all there is, and answered changes would be gone without a word.
-    must("PRAGMA journal_mode=TRUNCATE");
-    must("PRAGMA synchronous=EXTRA");
-    // Nobody else may have it open: two services would each answer from a memory of their own.
-    must("PRAGMA locking_mode=EXCLUSIVE");
-    must("BEGIN EXCLUSIVE");
-    must("COMMIT");
-    if (most_pages > 0) must(("PRAGMA max_page_count=" + std::to_string(most_pages)).c_str());
-    must("CREATE TABLE IF NOT EXISTS meta(name TEXT PRIMARY KEY, n INTEGER, sum INTEGER) WITHOUT ROWID");
-    must(
+    // Every commit is on disk, in the database file itself. With a write-ahead log whose end is damaged,
+    // SQLite would silently use only the part before the damage, and acknowledged changes would be lost.
+    execute("PRAGMA journal_mode=TRUNCATE");
+    execute("PRAGMA synchronous=EXTRA");
+    // No other process may have the database open: two services would each answer from their own memory.
+    execute("PRAGMA locking_mode=EXCLUSIVE");
+    execute("BEGIN EXCLUSIVE");
+    execute("COMMIT");
+    if (max_pages > 0) execute(("PRAGMA max_page_count=" + std::to_string(max_pages)).c_str());
+    execute("CREATE TABLE IF NOT EXISTS meta(name TEXT PRIMARY KEY, n INTEGER, sum INTEGER) WITHOUT ROWID");
+    execute(
         "CREATE TABLE IF NOT EXISTS keys(k TEXT PRIMARY KEY, v BLOB, stamp INTEGER, tenancy INTEGER, sum "
         "INTEGER) WITHOUT ROWID");
-    must("CREATE TABLE IF NOT EXISTS holds(id INTEGER PRIMARY KEY, life INTEGER, sum INTEGER)");
-    must(
+    execute("CREATE TABLE IF NOT EXISTS holds(id INTEGER PRIMARY KEY, life INTEGER, sum INTEGER)");
+    execute(
         "CREATE TABLE IF NOT EXISTS past(n INTEGER PRIMARY KEY, revision INTEGER, k TEXT, v BLOB, sum "
         "INTEGER)");
   }
@@ -69,9 +69,9 @@
     std::int64_t holds = 0;
     sqlite3_stmt* check = prepare("PRAGMA quick_check(1)");
     if (sqlite3_step(check) != SQLITE_ROW || text(check, 0) != "ok")
-      damaged("fails its check: " + text(check, 0));
+      fail_damaged("fails the integrity check: " + text(check, 0));
     sqlite3_reset(check);
-    each("SELECT name, n, sum FROM meta", [&](sqlite3_stmt* s) {
+    for_each_row("SELECT name, n, sum FROM meta", [&](sqlite3_stmt* s) {
       const std::string name = text(s, 0);
       const std::int64_t n = sqlite3_column_int64(s, 1);
       verify(s, 2, "meta " + name, checksum(name, {}, static_cast<std::uint64_t>(n), 0));
@@ -84,9 +84,9 @@
       if (name == "holds") holds = n;
     });
     if (format != kFormat)
-      damaged("is of format " + std::to_string(format) + ", and this version reads " +
-              std::to_string(kFormat) + " only: use the version that wrote it");
-    each("SELECT k, v, stamp, tenancy, sum FROM keys", [&](sqlite3_stmt* s) {
+      fail_damaged("is of format " + std::to_string(format) + ", and this version reads " +
+                   std::to_string(kFormat) + " only: use the version that wrote it");
+    for_each_row("SELECT k, v, stamp, tenancy, sum FROM keys", [&](sqlite3_stmt* s) {
       const std::string key = text(s, 0);
       KvEntry e;
       const std::string bytes = text(s, 1);
@@ -96,13 +96,13 @@
       e.value = value(bytes, "key " + key);
       out.keys.emplace(key, std::move(e));
     });
-    each("SELECT id, life, sum FROM holds", [&](sqlite3_stmt* s) {
+    for_each_row("SELECT id, life, sum FROM holds", [&](sqlite3_stmt* s) {
       const auto id = static_cast<std::uint64_t>(sqlite3_column_int64(s, 0));
       const std::int64_t life = sqlite3_column_int64(s, 1);
       verify(s, 2, "hold " + std::to_string(id), checksum("hold", {}, id, static_cast<std::uint64_t>(life)));
       out.leases.emplace(id, Micros{life});
     });
-    each("SELECT n, revision, k, v, sum FROM past ORDER BY n", [&](sqlite3_stmt* s) {
+    for_each_row("SELECT n, revision, k, v, sum FROM past ORDER BY n", [&](sqlite3_stmt* s) {
       PastChange p;
       past_n_ = sqlite3_column_int64(s, 0);
       p.revision = static_cast<std::uint64_t>(sqlite3_column_int64(s, 1));
@@ -113,10 +113,10 @@
       if (put) p.value = value(bytes, "change " + std::to_string(p.revision));
       out.past.push_back(std::move(p));
     });
-    // A row that is missing is damage as well, and no checksum of the others tells.
+    // A missing row is damage too, and the checksums of the other rows cannot detect it.
     if (any && (keys != static_cast<std::int64_t>(out.keys.size()) ||
                 holds != static_cast<std::int64_t>(out.leases.size())))
-      damaged("has lost rows");
+      fail_damaged("has lost rows");
     past_ = out.past.size();
     past_before_ = out.past_before;
     keys_ = static_cast<std::int64_t>(out.keys.size());
@@ -130,7 +130,7 @@
     if (!step(prepare("BEGIN IMMEDIATE")) || !write(b, next) || !step(prepare("COMMIT"))) {
       error_ = path_ + ": " + sqlite3_errmsg(db_);
       const int code = sqlite3_errcode(db_);
-      // After a failed commit the transaction is still open, and nothing of it is kept.
+      // After a failed commit the transaction is still open; the rollback discards all of it.
       if (sqlite3_get_autocommit(db_) == 0) step(prepare("ROLLBACK"));
       if (code == SQLITE_CORRUPT || code == SQLITE_NOTADB) throw StorageDamaged(error_);
       return false;
@@ -157,26 +157,26 @@
     std::uint64_t leases_made;
   };
 
-  [[noreturn]] void damaged(const std::string& what) const {
+  [[noreturn]] void fail_damaged(const std::string& what) const {
     throw StorageDamaged(
         path_ + ": " + what +
-        "; nothing is served from it. Move the folder away to begin anew, or restore a copy");
+        "; nothing is served from it. Move the folder away to start with an empty state, or restore a copy");
   }
 
-  void must(const char* sql) {
+  void execute(const char* sql) {
     char* error = nullptr;
     if (sqlite3_exec(db_, sql, nullptr, nullptr, &error) == SQLITE_OK) return;
     const int code = sqlite3_errcode(db_);
     const std::string why = error != nullptr ? error : sqlite3_errmsg(db_);
     sqlite3_free(error);
     if ((code & 0xff) == SQLITE_BUSY) throw StorageDamaged(path_ + ": is in use by another process");
-    damaged(why);
+    fail_damaged(why);
   }
 
   sqlite3_stmt* prepare(const char* sql) {
     sqlite3_stmt*& s = statements_[sql];
     if (s == nullptr && sqlite3_prepare_v2(db_, sql, -1, &s, nullptr) != SQLITE_OK)
-      damaged(sqlite3_errmsg(db_));
+      fail_damaged(sqlite3_errmsg(db_));
     return s;
   }
 
@@ -187,11 +187,11 @@
   }
 
   template <typename F>
-  void each(const char* sql, F f) {
+  void for_each_row(const char* sql, F f) {
     sqlite3_stmt* s = prepare(sql);
     int rc = 0;
     while ((rc = sqlite3_step(s)) == SQLITE_ROW) f(s);
-    if (rc != SQLITE_DONE) damaged(sqlite3_errmsg(db_));
+    if (rc != SQLITE_DONE) fail_damaged(sqlite3_errmsg(db_));
     sqlite3_reset(s);
   }
 
@@ -202,12 +202,12 @@
   }
 
   void verify(sqlite3_stmt* s, int column, const std::string& what, std::int64_t sum) const {
-    if (sqlite3_column_int64(s, column) != sum) damaged(what + " does not match its checksum");
+    if (sqlite3_column_int64(s, column) != sum) fail_damaged(what + " does not match its checksum");
   }
 
   Value value(const std::string& bytes, const std::string& what) const {
     auto v = decode(bytes);
-    if (!v) damaged(what + " cannot be read");
+    if (!v) fail_damaged(what + " cannot be read");
     return std::move(*v);
   }
 
@@ -243,7 +243,7 @@
   }
 
   bool trim_past(Counts& next) {
-    if (next.past < kMaxPastChanges + kTrim) return true;
+    if (next.past < kMaxPastChanges + kTrimBatch) return true;
     sqlite3_stmt* last = prepare("SELECT revision FROM past ORDER BY n LIMIT 1 OFFSET ?");
     sqlite3_bind_int64(last, 1, static_cast<std::int64_t>(next.past - kMaxPastChanges - 1));
     const bool found = sqlite3_step(last) == SQLITE_ROW;
@@ -265,10 +265,10 @@
       if (!add_past({b.revision, key, std::nullopt}, next)) return false;
     }
     for (const WriteBatch::Put& p : b.puts) {
-      sqlite3_stmt* there = prepare("SELECT 1 FROM keys WHERE k = ?");
-      bind(there, 1, p.key);
-      if (sqlite3_step(there) == SQLITE_DONE) ++next.keys;
-      sqlite3_reset(there);
+      sqlite3_stmt* existing = prepare("SELECT 1 FROM keys WHERE k = ?");
+      bind(existing, 1, p.key);
+      if (sqlite3_step(existing) == SQLITE_DONE) ++next.keys;
+      sqlite3_reset(existing);
       const std::string bytes = encode(p.entry.value);
       sqlite3_stmt* s =
           prepare("INSERT OR REPLACE INTO keys(k, v, stamp, tenancy, sum) VALUES(?, ?, ?, ?, ?)");
@@ -316,8 +316,8 @@
 
 }  // namespace
 
-std::unique_ptr<DurableStorage> open_sqlite(const std::string& folder, std::uint32_t most_pages) {
-  return std::make_unique<SqliteStorage>(folder, most_pages);
+std::unique_ptr<DurableStorage> open_sqlite(const std::string& folder, std::uint32_t max_pages) {
+  return std::make_unique<SqliteStorage>(folder, max_pages);
 }
 
 }  // namespace wrenusher::testbed
--- a/testbed/models/users.cpp
+++ b/testbed/models/users.cpp
@@ -8,11 +8,11 @@
 namespace {
 
 constexpr int kMaxTries = 3;
-constexpr Micros kProbeEvery = from_seconds(1);
-constexpr Micros kPollEvery = from_seconds(3);
-constexpr Micros kPollWait = from_seconds(2);
-constexpr Micros kSubmitWait = from_seconds(5);
-constexpr Micros kRetry = from_seconds(1);
+constexpr Micros kProbeInterval = from_seconds(1);
+constexpr Micros kPollInterval = from_seconds(3);
+constexpr Micros kPollTimeout = from_seconds(2);
+constexpr Micros kSubmitTimeout = from_seconds(5);
+constexpr Micros kRetryDelay = from_seconds(1);
 
 std::string state_of(const runtime::CallResult& o) {
   const auto v = o.answered ? decode(o.response.body) : std::nullopt;
@@ -37,27 +37,27 @@
 void Balancer::probe(std::size_t i) {
   transport_.send("user", nodes_[i].address, {"GET", "/ready", {}}, from_seconds(1),
                   [this, i](const runtime::CallResult& o) {
-                    judge(nodes_[i], o.answered && o.response.status == 200);
-                    transport_.at(kProbeEvery, [this, i] { probe(i); });
+                    record_probe(nodes_[i], o.answered && o.response.status == 200);
+                    transport_.at(kProbeInterval, [this, i] { probe(i); });
                   });
 }
 
-void Balancer::judge(ConfigNode& n, bool good) {
+void Balancer::record_probe(Node& n, bool good) {
   n.probes.push_back(good);
   if (n.probes.size() > 6) n.probes.erase(n.probes.begin());
-  const auto last = [&](std::size_t k, bool what) {
+  const auto last_probes_are = [&](std::size_t k, bool what) {
     return n.probes.size() >= k && std::all_of(n.probes.end() - static_cast<std::ptrdiff_t>(k),
                                                n.probes.end(), [&](bool p) { return p == what; });
   };
   const Instant now = transport_.now();
   if (n.healthy) {
-    if (!last(2, false) && std::count(n.probes.begin(), n.probes.end(), false) < 3) return;
+    if (!last_probes_are(2, false) && std::count(n.probes.begin(), n.probes.end(), false) < 3) return;
     n.healthy = false;
     n.pause = now - n.removed < from_seconds(120) ? std::min(n.pause * 2, from_seconds(60)) : from_seconds(3);
     n.removed = now;
-    n.out_until = now + n.pause;
+    n.removed_until = now + n.pause;
     n.probes.clear();
-  } else if (good && (!n.ever_healthy || (last(2, true) && now >= n.out_until))) {
+  } else if (good && (!n.ever_healthy || (last_probes_are(2, true) && now >= n.removed_until))) {
     n.healthy = n.ever_healthy = true;
     n.probes.clear();
   }
@@ -66,7 +66,7 @@
 std::size_t Balancer::choose(const std::set<std::size_t>& tried) {
   std::vector<std::size_t> best;
   for (std::size_t i = 0; i < nodes_.size(); ++i) {
-    const ConfigNode& n = nodes_[i];
+    const Node& n = nodes_[i];
     if (!n.healthy || tried.contains(i) || transport_.now() < n.skip_until) continue;
     if (!best.empty() && n.open < nodes_[best.front()].open) best.clear();
     if (best.empty() || n.open == nodes_[best.front()].open) best.push_back(i);
@@ -81,8 +81,8 @@
     return;
   }
   attempt(r, timeout, kMaxTries, {},
-          [this, r, asked = transport_.now(), done = std::move(done)](const runtime::CallResult& o) {
-            on_outcome(r, o, transport_.now() - asked);
+          [this, r, sent_at = transport_.now(), done = std::move(done)](const runtime::CallResult& o) {
+            on_outcome(r, o, transport_.now() - sent_at);
             done(o);
           });
 }
@@ -99,7 +99,7 @@
   transport_.send("user", nodes_[i].address, r, timeout,
                   [this, i, r, timeout, left, tried = std::move(tried),
                    done = std::move(done)](const runtime::CallResult& o) {
-                    ConfigNode& n = nodes_[i];
+                    Node& n = nodes_[i];
                     --n.open;
                     const bool refused = !o.answered && !o.may_have_arrived;
                     n.refused = refused ? n.refused + 1 : 0;
@@ -137,104 +137,109 @@
   checker_.submitted(job.spec);
   if (job.faulty_description) checker_.hopeless(job.spec.job_id);
   jobs_.try_emplace(job.spec.job_id).first->second.submitted = transport_.now();
-  ask_again(job.spec);
+  send_submission(job.spec);
 }
 
-void Users::ask_again(const JobSpec& spec) {
-  balancer_.send({"POST", "/submissions", encode(write_spec(spec))}, kSubmitWait,
+void Users::send_submission(const JobSpec& spec) {
+  balancer_.send({"POST", "/submissions", encode(write_spec(spec))}, kSubmitTimeout,
                  [this, spec](const runtime::CallResult& o) {
                    const int status = o.answered ? o.response.status : 0;
                    checker_.answered_submit(transport_.now(), spec.job_id, status);
                    Outcome& job = jobs_[spec.job_id];
                    if (status == 200 || status == 201) {
                      job.accepted = transport_.now();
-                     look(spec.job_id);
-                     transport_.at(kPollEvery, [this, job_id = spec.job_id] { poll(job_id, 3); });
+                     query_every_node(spec.job_id);
+                     transport_.at(kPollInterval, [this, job_id = spec.job_id] { poll(job_id, 3); });
                    } else if (status == 400 || status == 422) {
                      job.refused = status;
                      job.finished = transport_.now();
                    } else {
-                     transport_.at(std::max(kRetry, from_seconds(o.response.retry_after_s)),
-                                   [this, spec] { ask_again(spec); });
+                     transport_.at(std::max(kRetryDelay, from_seconds(o.response.retry_after_s)),
+                                   [this, spec] { send_submission(spec); });
                    }
                  });
 }
 
-void Users::poll(const std::string& job_id, int left_after_end) {
-  balancer_.send({"GET", "/submissions/" + job_id, {}}, kPollWait,
-                 [this, job_id, left_after_end, asked = transport_.now()](const runtime::CallResult& o) {
-                   int left = left_after_end;
-                   if (o.answered) {
-                     const std::string state = state_of(o);
-                     checker_.answered_poll(transport_.now(), job_id, o.response.status, state, asked);
-                     Outcome& job = jobs_[job_id];
-                     if (!state.empty()) job.state = state;
-                     if (state == "done" || state == "withdrawn") {
-                       if (job.finished == Instant{}) {
-                         job.finished = transport_.now();
-                         look(job_id);
-                       }
-                       --left;
-                     }
-                   }
-                   if (left > 0) {
-                     transport_.at(from_seconds(to_seconds(kPollEvery) / ask_often_),
-                                   [this, job_id, left] { poll(job_id, left); });
-                   } else {
-                     checker_.stopped_asking(job_id);
-                   }
-                 });
+void Users::poll(const std::string& job_id, int polls_left_after_end) {
+  balancer_.send(
+      {"GET", "/submissions/" + job_id, {}}, kPollTimeout,
+      [this, job_id, polls_left_after_end, sent_at = transport_.now()](const runtime::CallResult& o) {
+        int left = polls_left_after_end;
+        if (o.answered) {
+          const std::string state = state_of(o);
+          checker_.answered_poll(transport_.now(), job_id, o.response.status, state, sent_at);
+          Outcome& job = jobs_[job_id];
+          if (!state.empty()) job.state = state;
+          if (state == "done" || state == "withdrawn") {
+            if (job.finished == Instant{}) {
+              job.finished = transport_.now();
+              query_every_node(job_id);
+            }
+            --left;
+          }
+        }
+        if (left > 0) {
+          transport_.at(from_seconds(to_seconds(kPollInterval) / poll_rate_factor_),
+                        [this, job_id, left] { poll(job_id, left); });
+        } else {
+          checker_.stopped_asking(job_id);
+        }
+      });
 }
 
 void Users::cancel(const std::string& job_id) {
   checker_.asked_cancel(job_id);
-  balancer_.send({"POST", "/submissions/" + job_id + "/withdraw", {}}, kPollWait,
-                 [this, job_id, asked = transport_.now()](const runtime::CallResult& o) {
+  balancer_.send({"POST", "/submissions/" + job_id + "/withdraw", {}}, kPollTimeout,
+                 [this, job_id, sent_at = transport_.now()](const runtime::CallResult& o) {
                    const int status = o.answered ? o.response.status : 0;
-                   checker_.answered_cancel(transport_.now(), job_id, status, state_of(o), asked);
-                   if (status == 200) look(job_id);
+                   checker_.answered_cancel(transport_.now(), job_id, status, state_of(o), sent_at);
+                   if (status == 200) query_every_node(job_id);
                    if (status != 200 && status != 404)
-                     transport_.at(kRetry, [this, job_id] { cancel(job_id); });
+                     transport_.at(kRetryDelay, [this, job_id] { cancel(job_id); });
                  });
 }
 
-/// Asks at all nodes within milliseconds, three times over, repeats the submission, and may cancel the job.
-void Users::look(const std::string& job_id) {
-  if (!close_looks_) return;
+/// Polls the job at every node three times within milliseconds, repeats the submission at every node, and
+/// cancels the job with a probability of one in six.
+void Users::query_every_node(const std::string& job_id) {
+  if (!close_queries_) return;
   const JobSpec spec = machines_.job(job_id)->spec;
-  const auto soon = [this] { return Micros{static_cast<std::int64_t>(transport_.uniform(0, 15000))}; };
+  const auto short_delay = [this] { return Micros{static_cast<std::int64_t>(transport_.uniform(0, 15000))}; };
   for (std::size_t n = 0; n < balancer_.nodes(); ++n) {
     for (int i = 0; i < 3; ++i) {
-      transport_.at(soon(), [this, n, job_id] {
-        balancer_.send_to(n, {"GET", "/submissions/" + job_id, {}}, kPollWait,
-                          [this, job_id, asked = transport_.now()](const runtime::CallResult& o) {
+      transport_.at(short_delay(), [this, n, job_id] {
+        balancer_.send_to(n, {"GET", "/submissions/" + job_id, {}}, kPollTimeout,
+                          [this, job_id, sent_at = transport_.now()](const runtime::CallResult& o) {
                             if (o.answered)
                               checker_.answered_poll(transport_.now(), job_id, o.response.status, state_of(o),
-                                                     asked);
+                                                     sent_at);
                           });
       });
     }
-    transport_.at(soon(), [this, n, spec] {
-      balancer_.send_to(n, {"POST", "/submissions", encode(write_spec(spec))}, kSubmitWait,
+    transport_.at(short_delay(), [this, n, spec] {
+      balancer_.send_to(n, {"POST", "/submissions", encode(write_spec(spec))}, kSubmitTimeout,
                         [this, job_id = spec.job_id](const runtime::CallResult& o) {
                           checker_.answered_submit(transport_.now(), job_id,
                                                    o.answered ? o.response.status : 0);
                         });
     });
   }
-  if (transport_.pick(6) == 0) transport_.at(soon(), [this, job_id] { cancel(job_id); });
+  if (transport_.pick(6) == 0) transport_.at(short_delay(), [this, job_id] { cancel(job_id); });
 }
 
 void Users::ended(const std::string& job_id) {
-  if (cancel_at_end_ <= 0 || transport_.uniform(0, 1) >= cancel_at_end_ || !jobs_.contains(job_id)) return;
-  // Before the report of the end is on its way, while it is, and while it is being written.
+  if (cancel_at_end_share_ <= 0 || transport_.uniform(0, 1) >= cancel_at_end_share_ ||
+      !jobs_.contains(job_id))
+    return;
+  // The delay covers the time before the report of the end is sent, while it is in transit, and while the
+  // controller writes the result.
   transport_.at(Micros{static_cast<std::int64_t>(transport_.uniform(0, 150000))},
                 [this, job_id] { cancel(job_id); });
 }
 
-void Users::submit_badly(bool fits_nothing) {
+void Users::submit_invalid(bool fits_nothing) {
   JobSpec spec;
-  spec.job_id = "req-9" + std::to_string(100000 + ++odd_requests_);
+  spec.job_id = "req-9" + std::to_string(100000 + ++invalid_submissions_);
   spec.job_class = "odd";
   spec.team = machines_.job(jobs_.begin()->first)->spec.team;
   spec.task_count = 1;
@@ -245,7 +250,7 @@
   checker_.never_submitted(spec.job_id);
   Value::Map body = *write_spec(spec).map();
   if (!fits_nothing) std::erase_if(body, [](const auto& field) { return field.first == "owner"; });
-  balancer_.send({"POST", "/submissions", encode(Value(std::move(body)))}, kSubmitWait,
+  balancer_.send({"POST", "/submissions", encode(Value(std::move(body)))}, kSubmitTimeout,
                  [this, job_id = spec.job_id](const runtime::CallResult& o) {
                    checker_.answered_submit(transport_.now(), job_id, o.answered ? o.response.status : 0);
                  });
@@ -255,15 +260,15 @@
   for (Micros at{}; at < lasts; at += from_millis(300)) {
     transport_.at(at, [this] {
       if (jobs_.empty()) return;
-      submit_badly(transport_.pick(2) == 0);
+      submit_invalid(transport_.pick(2) == 0);
       auto it = jobs_.begin();
       std::advance(it, transport_.pick(static_cast<int>(jobs_.size())));
       const auto& [ref, job] = *it;
-      const bool over = job.state == "done" || job.state == "withdrawn";
-      if (over) {
+      const bool ended_already = job.state == "done" || job.state == "withdrawn";
+      if (ended_already) {
         cancel(ref);
       } else if (job.accepted != Instant{}) {
-        balancer_.send({"POST", "/submissions", encode(write_spec(machines_.job(ref)->spec))}, kSubmitWait,
+        balancer_.send({"POST", "/submissions", encode(write_spec(machines_.job(ref)->spec))}, kSubmitTimeout,
                        [this, job_id = ref](const runtime::CallResult& o) {
                          checker_.answered_submit(transport_.now(), job_id,
                                                   o.answered ? o.response.status : 0);
@@ -290,9 +295,9 @@
   s.resources = c.resources;
   const int image = pick(c.images);
   s.image = c.name + "-" + std::to_string(image);
-  // An image has one size, whoever needs it.
-  std::mt19937_64 of_image(std::hash<std::string>{}(s.image));
-  s.image_gb = c.image_gb.draw(of_image);
+  // The image name seeds the size so that an image has the same size for all jobs.
+  std::mt19937_64 image_random(std::hash<std::string>{}(s.image));
+  s.image_gb = c.image_gb.draw(image_random);
   s.spot_allowed = c.spot_allowed;
   s.single_zone = c.single_zone;
   s.spread_zones = c.spread_zones;
--- a/tests/testbed_limits_test.cpp
+++ b/tests/testbed_limits_test.cpp
@@ -1,5 +1,5 @@
-// What the lab learned for meetings of work at its limits: cancellations all at once, machines that reach no
-// controller, and cancelled tasks that outlive a hang.
+// Tests of the testbed faults that coincide with cancellations: many jobs cancelled at once, machines that
+// reach no controller, and cancelled tasks that are still on a machine after a hang.
 
 #include <gtest/gtest.h>
 
@@ -20,20 +20,20 @@
   return out;
 }
 
-/// One machine whose controller, given by hand, runs one task there and never stops it.
-struct Unstopped {
+/// One machine with a stub controller, which starts one task there and never stops it.
+struct UnstoppedTask {
   Site site = World::default_site(World::small_site());
   SimTransport wires{1};
   Checker checker{site.settings};
   Machines machines{wires, site, checker};
   JobSpec spec = World::job(1, 1, 4, 500);
   std::string host;
-  Endpoint addr;
+  Endpoint worker_address;
 
-  Unstopped() {
+  UnstoppedTask() {
     wires.serve_at(kNode, "c0", [this](const std::string&, const Request& r, const Responder& a) {
       const auto v = decode(r.body);
-      if (v && (*v)["addr"].text() != nullptr) addr = *(*v)["addr"].text();
+      if (v && (*v)["addr"].text() != nullptr) worker_address = *(*v)["addr"].text();
       a({200,
          encode(Value::Map{
              {"epoch", std::uint64_t{1}},
@@ -53,10 +53,10 @@
     checker.asked_cancel(spec.job_id);
     checker.answered_cancel(wires.now(), spec.job_id, 200, "withdrawn", wires.now());
   }
-  /// A direct command; one that is sent while the machine hangs is executed when it goes on.
+  /// Sends a stop command directly to the worker. A hung machine executes it when it resumes.
   void stop() {
     wires.send(
-        "c0", addr,
+        "c0", worker_address,
         {"POST", "/orders",
          encode(Value::Map{
              {"epoch", std::uint64_t{1}},
@@ -68,36 +68,36 @@
 
 }  // namespace
 
-TEST(LabCancels, ACancelledTaskThatOutlivesAHangIsCaught) {
+TEST(CancellationFaultTest, DetectsCancelledTaskThatOutlivesHang) {
   const Micros cancel = World::small_site().cancel_deadline;
   struct Case {
     Micros hangs_after;
     Micros hangs_for;
-    bool stopped;  ///< by a command that waits for the hang's end
+    bool stopped;  ///< by a command that is executed at the end of the hang
     bool broken;
   };
   const std::vector<Case> cases = {
-      {cancel - from_seconds(5), from_seconds(6), false, true},  // goes on after it
+      {cancel - from_seconds(5), from_seconds(6), false, true},  // still runs after the hang
       {cancel - from_seconds(5), from_seconds(6), true, true},   // stopped as it ends, too late
       {cancel - from_seconds(5), from_seconds(4), true, false},  // stopped as it ends, in time
-      {from_seconds(4), from_seconds(12), false, false},         // its lease ran out meanwhile
-      {cancel - from_seconds(5), from_seconds(5) + from_millis(50), true, true},  // too late by a moment
+      {from_seconds(4), from_seconds(12), false, false},         // its lease expired during the hang
+      {cancel - from_seconds(5), from_seconds(5) + from_millis(50), true, true},  // too late by 50 ms
   };
   for (std::size_t i = 0; i < cases.size(); ++i) {
     const Case& c = cases[i];
-    Unstopped u;
-    u.cancel();
-    u.wires.run(c.hangs_after);
-    u.machines.hang(u.host, c.hangs_for);
-    u.wires.run(from_millis(500));
-    if (c.stopped) u.stop();
-    if (!c.broken && !c.stopped) u.wires.unserve(kNode);  // nobody orders it anew
-    u.wires.run(c.hangs_for - from_millis(500));
-    EXPECT_EQ(u.checker.broken().contains("ran_cancelled"), c.broken) << i;
+    UnstoppedTask fixture;
+    fixture.cancel();
+    fixture.wires.run(c.hangs_after);
+    fixture.machines.hang(fixture.host, c.hangs_for);
+    fixture.wires.run(from_millis(500));
+    if (c.stopped) fixture.stop();
+    if (!c.broken && !c.stopped) fixture.wires.unserve(kNode);  // no controller starts the task again
+    fixture.wires.run(c.hangs_for - from_millis(500));
+    EXPECT_EQ(fixture.checker.broken().contains("ran_cancelled"), c.broken) << i;
   }
 }
 
-TEST(LabCancels, AMuteMachineReachesNoControllerAndAnswersIt) {
+TEST(CancellationFaultTest, MuteMachineSendsNoRequestsButAnswers) {
   for (const LinkCut how : {LinkCut::reset, LinkCut::hold}) {
     SimTransport transport(3);
     int reports = 0;
@@ -130,31 +130,31 @@
   }
 }
 
-TEST(LabCancels, ManyAreCancelledWithinAFifthOfASecondAndSomeOfTheirMachinesHang) {
+TEST(CancellationFaultTest, MassCancelCancelsLongRunningJobsAndHangsMachines) {
   for (const bool hang : {false, true}) {
     World w(5, World::small_site(), 4);
-    std::vector<std::string> all;
+    std::vector<std::string> job_ids;
     for (int i = 0; i < 14; ++i) {
-      // Some have no long way to go, some do not run.
+      // Some jobs have little work left, and some do not run.
       const JobSpec s = World::job(i, 1, 4, i < 3 ? 35 : 200);
-      all.push_back(s.job_id);
+      job_ids.push_back(s.job_id);
       w.submit(s);
     }
     w.run(from_seconds(40));
     w.inject_fault({"mass_cancel", {}, hang ? from_seconds(8) : Micros{0}, {}, "", 0, 6});
     w.run(from_millis(200));
-    const auto asked = [&](std::size_t from, std::size_t to) {
-      return std::count_if(all.begin() + static_cast<std::ptrdiff_t>(from),
-                           all.begin() + static_cast<std::ptrdiff_t>(to),
+    const auto count_cancel_requests = [&](std::size_t from, std::size_t to) {
+      return std::count_if(job_ids.begin() + static_cast<std::ptrdiff_t>(from),
+                           job_ids.begin() + static_cast<std::ptrdiff_t>(to),
                            [&](const std::string& job_id) { return w.checker.asked(job_id); });
     };
-    EXPECT_EQ(asked(0, 3), 0);
-    EXPECT_EQ(asked(3, all.size()), 6);
+    EXPECT_EQ(count_cancel_requests(0, 3), 0);
+    EXPECT_EQ(count_cancel_requests(3, job_ids.size()), 6);
     w.run(from_seconds(3));
-    const std::set<std::string> left = jobs_on(w);
-    EXPECT_EQ(std::any_of(all.begin(), all.end(),
+    const std::set<std::string> remaining = jobs_on(w);
+    EXPECT_EQ(std::any_of(job_ids.begin(), job_ids.end(),
                           [&](const std::string& job_id) {
-                            return w.checker.asked(job_id) && left.contains(job_id);
+                            return w.checker.asked(job_id) && remaining.contains(job_id);
                           }),
               hang);
     w.run(from_seconds(400));
@@ -162,9 +162,9 @@
   }
 }
 
-// A job that waits is left waiting only while its team may use more: what tells is counted as the rule
-// counts.
-TEST(LabCancels, RoomIsTheTeamsAsWellAsTheMachines) {
+// The rule "left_waiting" applies to a waiting job only while its team's quota has room. has_room() counts
+// the team's usage as the quota does.
+TEST(CancellationFaultTest, RoomDependsOnTeamQuotaAndMachines) {
   for (const bool cards : {false, true}) {
     Site site = World::default_site(World::small_site());
     site.types.resize(1);
@@ -195,7 +195,7 @@
   }
 }
 
-TEST(LabCancels, SiteFilesNameThem) {
+TEST(CancellationFaultTest, SiteFileDefinesMassCancelAndMuteMachine) {
   std::string yaml = small_site_yaml();
   yaml +=
       "troubles:\n"
--- a/tests/testbed_test.cpp
+++ b/tests/testbed_test.cpp
@@ -1,4 +1,5 @@
-// The lab: site files, experiments, verdicts, and that its two clocks give the same answers.
+// Tests of the testbed: site files, simulated days, verdicts, lost answers, and that the simulated and the
+// live transport give the same answers.
 
 #include <gtest/gtest.h>
 
@@ -27,8 +28,9 @@
   }
 }
 
-/// A small day with troubles, and everything that follows from it.
-Site troubled_site() {
+/// Returns a short day with a controller crash, a reclaim of spot machines and an outage of the state
+/// service.
+Site site_with_faults() {
   Site s = parse_site(small_site_yaml(), "site.yaml");
   s.length = from_seconds(150);
   s.faults = {{"controller_crash", from_seconds(40), from_seconds(5), {}, "leader", 0},
@@ -37,60 +39,61 @@
   return s;
 }
 
-/// The answers to a list of requests, put one after the other.
-using Ask = std::function<void(const Request&, std::function<void(const CallResult&)>)>;
+/// Sends a request and passes the result to the callback.
+using RequestSender = std::function<void(const Request&, std::function<void(const CallResult&)>)>;
 
-std::vector<Request> requests() {
+/// Requests that cover the API of the state service, malformed ones included.
+std::vector<Request> state_requests() {
   const auto body = [](const Value& v) { return encode(v); };
-  const auto multi = [&](Value::List when, Value::List apply) {
+  const auto transaction = [&](Value::List when, Value::List apply) {
     return Request{"POST", "/multi",
                    body(Value::Map{{"when", std::move(when)}, {"apply", std::move(apply)}})};
   };
   const auto put = [](const char* k, const Value& v) { return Value(Value::Map{{"put", k}, {"value", v}}); };
-  return {multi({}, {put("a/b", 1), put("a/c", Value::List{1, "x", true})}),
+  return {transaction({}, {put("a/b", 1), put("a/c", Value::List{1, "x", true})}),
           {"GET", "/store/a/b", {}},
           {"GET", "/store/a/missing", {}},
           {"GET", "/store?starts=a/&limit=1", {}},
           {"GET", "/store?starts=a/&from=a/b&limit=10", {}},
-          multi({Value::Map{{"k", "a/b"}, {"stamp", 1}}}, {put("a/b", 2)}),
-          multi({Value::Map{{"k", "a/b"}, {"stamp", 1}}}, {put("a/b", 3)}),
+          transaction({Value::Map{{"k", "a/b"}, {"stamp", 1}}}, {put("a/b", 2)}),
+          transaction({Value::Map{{"k", "a/b"}, {"stamp", 1}}}, {put("a/b", 3)}),
           {"POST", "/holds", body(Value::Map{{"life_ms", 60000}})},
           {"POST", "/holds/1/extend", {}},
           {"POST", "/holds/9/extend", {}},
           {"GET", "/follow?starts=a/&from=0&hold_ms=1000", {}},
           {"DELETE", "/holds/1", {}},
-          multi({}, {Value::Map{{"delete", "a/c"}}}),
+          transaction({}, {Value::Map{{"delete", "a/c"}}}),
           {"GET", "/follow?starts=a/&from=2", {}},
           {"POST", "/multi", "\xff not CBOR"},
           {"PUT", "/store/a", {}}};
 }
 
-/// Status and body of each answer.
-std::vector<std::string> answers(const std::function<void(const Request&, CallHandler)>& ask,
-                                 const std::function<void()>& turn) {
+/// Sends the requests one after the other and returns the status and body of each answer.
+std::vector<std::string> collect_answers(const std::function<void(const Request&, CallHandler)>& send_request,
+                                         const std::function<void()>& run_once) {
   std::vector<std::string> out;
-  for (const Request& r : requests()) {
+  for (const Request& r : state_requests()) {
     bool answered = false;
-    ask(r, [&](const CallResult& o) {
+    send_request(r, [&](const CallResult& o) {
       answered = true;
       out.push_back(std::to_string(o.answered ? o.response.status : 0) + " " + o.response.body);
     });
-    while (!answered) turn();
+    while (!answered) run_once();
   }
   return out;
 }
 
 }  // namespace
 
-TEST(Lab, RealSocketsAndSimulatedTimeGiveTheSameAnswers) {
+TEST(TestbedTransportTest, LiveAndSimulatedTransportGiveSameAnswers) {
   const KvLimits limits{0, 0, 16, 16};
   SimTransport sim(1);
   KvService simulated(sim, limits, std::make_unique<MemoryStorage>());
   sim.serve_at("10.2.0.1:2379", "state", [&](const std::string& from, const Request& r, const Responder& a) {
     simulated.serve(from, r, a);
   });
-  // No message of a simulated network is certain to be answered: the models are asked beyond it.
-  const auto a = answers(
+  // The simulated network may lose any message, so the requests bypass it.
+  const auto a = collect_answers(
       [&](const Request& r, CallHandler done) {
         simulated.serve("c0", r, [done](Response x) { done({true, true, std::move(x)}); });
       },
@@ -102,7 +105,7 @@
   const auto at = live.serve(
       "state", [&](const std::string&, const Request& r, const Responder& x) { real.serve("c0", r, x); });
   ASSERT_TRUE(at);
-  const auto b = answers(
+  const auto b = collect_answers(
       [&](const Request& r, CallHandler done) {
         live.send("c0", *at, r, from_seconds(30), [&runtime, done = std::move(done)](const CallResult& o) {
           done(o);
@@ -113,28 +116,28 @@
   EXPECT_EQ(a, b);
 }
 
-TEST(Lab, ACutLinkHoldsWhatIsSentUntilItIsHealed) {
+TEST(TestbedTransportTest, CutLinkHoldsOrRefusesRequests) {
   wrenusher::net::UvRuntime runtime(100);
   LiveTransport live(runtime, 17700);
-  int came = 0;
+  int received = 0;
   const auto at = live.serve("state", [&](const std::string&, const Request&, const Responder& x) {
-    ++came;
+    ++received;
     x({200, {}, 0});
     runtime.stop();
   });
   ASSERT_TRUE(at);
   live.links.cut("c0", "state", LinkCut::hold);
-  bool gave_up = false;
+  bool timed_out = false;
   live.send("c0", *at, {"GET", "/", {}}, from_millis(20), [&](const CallResult& o) {
-    gave_up = !o.answered && o.may_have_arrived;
+    timed_out = !o.answered && o.may_have_arrived;
     runtime.stop();
   });
   runtime.run();
-  EXPECT_TRUE(gave_up);
-  EXPECT_EQ(came, 0);
+  EXPECT_TRUE(timed_out);
+  EXPECT_EQ(received, 0);
   live.heal();
   runtime.run();
-  EXPECT_EQ(came, 1);
+  EXPECT_EQ(received, 1);
   live.links.cut("c0", "state", LinkCut::reset);
   bool refused = false;
   live.send("c0", *at, {"GET", "/", {}}, from_seconds(9), [&](const CallResult& o) {
@@ -148,79 +151,81 @@
 
 namespace {
 
-/// A state service behind a simulated network, and what it answers.
-struct LossyState {
+/// A state service behind a simulated network that can drop its answers.
+struct LossyStateService {
   SimTransport wires{4};
   KvService state{wires, {0, 0, 16, 16}, std::make_unique<MemoryStorage>()};
-  LossyState() {
+  LossyStateService() {
     wires.serve_at(
         "10.2.0.1:2379", "state",
         [this](const std::string& from, const Request& r, const Responder& a) { state.serve(from, r, a); });
   }
-  /// "200", or "none after 1.5 s".
-  std::string ask(const Request& r, const std::string& who = "c0") {
+  /// Returns the status of the answer, such as "200", or "none after 1.5 s" if there was none.
+  std::string send_request(const Request& r, const std::string& who = "c0") {
     std::string out;
-    const Instant asked = wires.now();
+    const Instant sent_at = wires.now();
     wires.send(who, "10.2.0.1:2379", r, from_seconds(1.5), [&](const CallResult& o) {
       out = o.answered ? std::to_string(o.response.status)
                        : (o.may_have_arrived ? "none after " : "unsent after ") +
-                             std::to_string(to_seconds(wires.now() - asked)).substr(0, 3) + " s";
+                             std::to_string(to_seconds(wires.now() - sent_at)).substr(0, 3) + " s";
     });
     for (int i = 0; i < 300 && out.empty(); ++i) wires.run(from_millis(10));
     return out;
   }
   std::string put(const std::string& key, std::uint64_t mod_revision, const std::string& who = "c0") {
-    return ask({"POST", "/multi",
-                encode(Value::Map{{"when", Value::List{Value::Map{{"k", key}, {"stamp", mod_revision}}}},
-                                  {"apply", Value::List{Value::Map{{"put", key}, {"value", 1}}}}})},
-               who);
+    return send_request(
+        {"POST", "/multi",
+         encode(Value::Map{{"when", Value::List{Value::Map{{"k", key}, {"stamp", mod_revision}}}},
+                           {"apply", Value::List{Value::Map{{"put", key}, {"value", 1}}}}})},
+        who);
   }
   std::string compare(const std::string& key, std::uint64_t mod_revision) {
-    return ask({"POST", "/multi",
-                encode(Value::Map{{"when", Value::List{Value::Map{{"k", key}, {"stamp", mod_revision}}}}})});
+    return send_request(
+        {"POST", "/multi",
+         encode(Value::Map{{"when", Value::List{Value::Map{{"k", key}, {"stamp", mod_revision}}}}})});
   }
-  std::string get(const std::string& key) { return ask({"GET", "/store/" + key, {}}); }
+  std::string get(const std::string& key) { return send_request({"GET", "/store/" + key, {}}); }
 };
 
-const char* const kNone = "none after 1.5 s";
+const char* const kNoAnswer = "none after 1.5 s";
 
 }  // namespace
 
-TEST(Lab, AnAnswerIsLostAloneAndWhatItAnswersWasCarriedOutAtOnce) {
-  LossyState s;
-  const int all = s.wires.drop_answers({});
-  EXPECT_EQ(s.put("job/a", 0), kNone);
+TEST(AnswerLossTest, ExecutesTransactionWhoseAnswerIsLost) {
+  LossyStateService s;
+  const int all_losses = s.wires.drop_answers({});
+  EXPECT_EQ(s.put("job/a", 0), kNoAnswer);
   ASSERT_NE(s.state.find("job/a"), nullptr);
   EXPECT_EQ(s.state.find("job/a")->mod_revision, 1U);
-  // The answer to its repeat likewise; reads and comparisons are answered.
-  EXPECT_EQ(s.put("job/a", 0), kNone);
+  // The answer to the retry is lost too. Reads and comparisons are answered.
+  EXPECT_EQ(s.put("job/a", 0), kNoAnswer);
   EXPECT_EQ(s.state.find("job/a")->mod_revision, 1U);
   EXPECT_EQ(s.get("job/a"), "200");
   EXPECT_EQ(s.compare("job/a", 1), "200");
-  // What was not carried out is answered.
+  // A request that was not executed is answered.
   s.state.outage(true);
   EXPECT_EQ(s.put("job/b", 0), "503");
   s.state.outage(false);
   EXPECT_EQ(s.wires.dropped_answers(), 2);
-  s.wires.answer_again(all);
+  s.wires.answer_again(all_losses);
   EXPECT_EQ(s.put("job/b", 0), "200");
 }
 
-TEST(Lab, LostAnswersAreNarrowedToKeysToWhoAsksAndToTheNthThatMatches) {
-  LossyState s;
+TEST(AnswerLossTest, FiltersByKeyClientAndNumberOfMatches) {
+  LossyStateService s;
   SimTransport::AnswerLoss second;
   second.keys = {"end/", "job/"};
   second.skip = 1;
   second.most = 1;
-  std::string told;
-  second.then = [&](const std::string& who) { told = who; };
+  std::string notified_client;
+  second.then = [&](const std::string& who) { notified_client = who; };
   s.wires.drop_answers(second);
   EXPECT_EQ(s.put("claims/0", 0), "200");
   EXPECT_EQ(s.put("job/a", 0), "200");
-  EXPECT_EQ(s.put("end/a", 0, "c2"), kNone);
-  EXPECT_EQ(told, "c2");
+  EXPECT_EQ(s.put("end/a", 0, "c2"), kNoAnswer);
+  EXPECT_EQ(notified_client, "c2");
   EXPECT_EQ(s.put("job/b", 0), "200");
-  // Of reads: a key, a list, a comparison.
+  // Answers to reads: of a key, of a list and of a comparison.
   SimTransport::AnswerLoss reads;
   reads.keys = {"job/"};
   reads.reads = true;
@@ -229,15 +234,15 @@
   s.wires.drop_answers(reads);
   EXPECT_EQ(s.put("job/c", 0), "200");
   EXPECT_EQ(s.get("end/a"), "200");
-  EXPECT_EQ(s.ask({"GET", "/store/job/a", {}}, "c1"), "200");
-  EXPECT_EQ(s.get("job/a"), kNone);
-  EXPECT_EQ(s.ask({"GET", "/store?starts=job/&limit=5", {}}), kNone);
-  EXPECT_EQ(s.compare("job/a", 9), kNone);
+  EXPECT_EQ(s.send_request({"GET", "/store/job/a", {}}, "c1"), "200");
+  EXPECT_EQ(s.get("job/a"), kNoAnswer);
+  EXPECT_EQ(s.send_request({"GET", "/store?starts=job/&limit=5", {}}), kNoAnswer);
+  EXPECT_EQ(s.compare("job/a", 9), kNoAnswer);
   EXPECT_EQ(s.get("job/a"), "200");
   EXPECT_EQ(s.wires.dropped_answers(), 4);
 }
 
-TEST(Lab, ASiteFileCanLoseAnswersForAWhile) {
+TEST(AnswerLossTest, SiteFileLimitsAnswerLossInTime) {
   const std::string with =
       std::string(small_site_yaml()) +
       "troubles:\n  - {what: lost_answers, at: 30s, lasts: 20s, share: 0.5, whom: claims/}\n";
@@ -257,7 +262,7 @@
   EXPECT_EQ(w.live(), 0U);
 }
 
-TEST(Lab, SiteFilesSayWhichLineAndFieldIsWrong) {
+TEST(SiteParserTest, ErrorNamesLineAndField) {
   EXPECT_EQ(error_of("name: small", "name: small"), "");
   EXPECT_TRUE(error_of("boot: 4s", "boot: 4").starts_with("site.yaml:8: types.small.boot: must be a time"));
   EXPECT_TRUE(error_of("machines: 4", "machine: 4").starts_with("site.yaml:12: unknown field 'machine'"));
@@ -271,8 +276,8 @@
   EXPECT_TRUE(error_of("name: small", "name: [").find("not valid YAML") != std::string::npos);
 }
 
-TEST(Lab, ADayRepeatsExactlyAndAnotherSeedIsAnotherDay) {
-  const Site s = troubled_site();
+TEST(DayResultTest, SameSeedGivesSameFigures) {
+  const Site s = site_with_faults();
   const DayResult a = play_day(s, 3);
   const DayResult b = play_day(s, 3);
   EXPECT_EQ(a.figures, b.figures);
@@ -281,17 +286,17 @@
   EXPECT_GT(a.figures.at("builds.done"), 0);
   const DayResult c = play_day(s, 4);
   EXPECT_NE(a.figures, c.figures);
-  // What is written is read back.
-  const auto again = read_days(day_json(s, {a, c}).dump(), "days.json");
-  ASSERT_EQ(again.size(), 2U);
-  EXPECT_EQ(again[0].figures, a.figures);
-  EXPECT_EQ(again[0].digests, a.digests);
+  // read_days() returns what day_json() wrote.
+  const auto read_back = read_days(day_json(s, {a, c}).dump(), "days.json");
+  ASSERT_EQ(read_back.size(), 2U);
+  EXPECT_EQ(read_back[0].figures, a.figures);
+  EXPECT_EQ(read_back[0].digests, a.digests);
   EXPECT_THROW(read_days("{}", "days.json"), SiteError);
   EXPECT_NE(day_table(s, {a, c}).find("no rule broken"), std::string::npos);
 }
 
-TEST(Lab, DigestsOfADayRepeatExactlyAndDifferBetweenSeeds) {
-  const Site s = troubled_site();
+TEST(DayResultTest, SameSeedGivesSameDigests) {
+  const Site s = site_with_faults();
   const DayResult first = play_day(s, 3);
   EXPECT_EQ(play_day(s, 3).digests, first.digests);
   const DayResult other = play_day(s, 4);
@@ -302,24 +307,24 @@
   }
 }
 
-TEST(Lab, DigestsOfADayAreWrittenAsNumbersThatADoubleKeeps) {
+TEST(DayResultTest, WritesDigestsAsTwo32BitNumbers) {
   DayResult day;
   day.digests["peer"] = {7, 0xfedcba9876543211U};
   const std::string text = day_json(Site{}, {day}).dump();
-  const auto written = nlohmann::json::parse(text).at("days").at(0).at("digests").at("peer");
-  EXPECT_EQ(written.at("count"), 7);
-  EXPECT_EQ(written.at("digest"), nlohmann::json({0xfedcba98U, 0x76543211U}));
+  const auto json_digest = nlohmann::json::parse(text).at("days").at(0).at("digests").at("peer");
+  EXPECT_EQ(json_digest.at("count"), 7);
+  EXPECT_EQ(json_digest.at("digest"), nlohmann::json({0xfedcba98U, 0x76543211U}));
   EXPECT_EQ(read_days(text, "days.json").at(0).digests, day.digests);
 }
 
-TEST(Lab, DaysWrittenBeforeThereWereDigestsAreRead) {
+TEST(DayResultTest, ReadsFilesWithoutDigests) {
   const auto days =
       read_days(R"({"days": [{"seed": 1, "figures": {"money": 2}, "broken": []}]})", "old.json");
   ASSERT_EQ(days.size(), 1U);
   EXPECT_TRUE(days[0].digests.empty());
 }
 
-TEST(SequenceDigest, DependsOnTheOrderTheTimeAndTheBoundsOfTheFields) {
+TEST(SequenceDigestTest, DependsOnOrderTimeAndFieldBoundaries) {
   const auto digest_of = [](Instant at, std::initializer_list<std::string_view> fields) {
     SequenceDigest d;
     d.begin_item(at);
@@ -334,12 +339,13 @@
   EXPECT_NE(digest_of(Instant{} + from_millis(1), {"ab", "c"}), one);
 }
 
-TEST(Lab, ComparingTellsWhatMovedBeyondTheSpread) {
+TEST(DayComparisonTest, ReportsFiguresThatMovedBeyondSpread) {
   const auto day = [](std::uint64_t seed, double wait, double money) {
     return DayResult{seed, {{"wait", wait}, {"money", money}, {"same", 1}}, {}, {}};
   };
   const std::vector<DayResult> before = {day(1, 10, 5), day(2, 20, 6), day(3, 30, 7), day(9, 0, 0)};
-  // Waits fell on every day by about as much; money went up and down.
+  // Waits decreased by about the same amount on every day; money increased on some days and decreased on
+  // others.
   const std::vector<DayResult> after = {day(3, 25, 9), day(2, 15.2, 3), day(1, 4.9, 7)};
   const Comparison c = compare_days(before, after);
   EXPECT_EQ(c.pairs, 3U);
@@ -349,7 +355,7 @@
   EXPECT_EQ(c.same, 2U);
 }
 
-TEST(Lab, TheVerdictFailsWhenARuleIsBrokenOrAJobIsLost) {
+TEST(VerdictTest, FailsOnBrokenRuleOrLostJob) {
   World w(5);
   w.submit(World::job(1, 2, 4, 5));
   w.run(from_seconds(60));
@@ -361,15 +367,16 @@
   EXPECT_NE(table(verdict()).find("LOST"), std::string::npos);
   w.run(from_seconds(60));
   EXPECT_TRUE(verdict().good) << table(verdict());
-  // A task of a finished job starts on two machines: what must never happen, told to the checker alone.
+  // Reports to the checker, and to nothing else, that a task of a finished job started on two machines.
   for (const char* host : {"m-98", "m-99"})
     w.checker.started(w.now(), World::job(1, 2, 4, 5).job_id, 0, host, "small", "a", true);
   EXPECT_FALSE(verdict().good);
   EXPECT_NE(table(verdict()).find("ran_twice"), std::string::npos);
 }
 
-TEST(Lab, FetchesShareAMachinesRateAndImagesStay) {
-  // Two images on one machine take as long as both of them together; the third time one is there already.
+TEST(MachinesTest, FetchesShareRateAndImagesAreCached) {
+  // Two images that are fetched at once on one machine take as long as one after the other. The third job
+  // finds its image in the cache.
   Site s = parse_site(small_site_yaml(), "site.yaml");
   s.types.resize(1);
   s.types[0].spot = 0;
@@ -386,19 +393,20 @@
   second.image = "two";
   std::map<std::string, Instant> started;
   w.machines().on_start = [&](const std::string& job_id, std::uint32_t) { started.emplace(job_id, w.now()); };
-  const Instant begun = w.now();
+  const Instant submitted_at = w.now();
   w.submit(first);
   w.submit(second);
   w.run(from_seconds(25));
   ASSERT_TRUE(started.contains(first.job_id) && started.contains(second.job_id));
-  const double alone = 6 / 1.33;
-  EXPECT_GT(to_seconds(std::max(started[first.job_id], started[second.job_id]) - begun), 2 * alone);
+  const double min_fetch_time_s = 6 / 1.33;
+  EXPECT_GT(to_seconds(std::max(started[first.job_id], started[second.job_id]) - submitted_at),
+            2 * min_fetch_time_s);
   JobSpec third = World::job(5, 1, 2, 5);
   third.image = "one";
-  const Instant later = w.now();
+  const Instant third_submitted_at = w.now();
   w.submit(third);
   w.run(from_seconds(10));
   ASSERT_TRUE(started.contains(third.job_id));
-  EXPECT_LT(to_seconds(started[third.job_id] - later), alone);
+  EXPECT_LT(to_seconds(started[third.job_id] - third_submitted_at), min_fetch_time_s);
   EXPECT_TRUE(w.checker.broken().empty());
 }
