--- a/testbed/scale/cell_processes.cpp
+++ b/testbed/scale/cell_processes.cpp
@@ -19,6 +19,7 @@
   return nlohmann::json::parse(in);
 }
 
+/// Runs each cell in a child process of its own.
 class CellProcesses {
  public:
   CellProcesses(const std::vector<CellLoad>& loads, int at_a_time)
@@ -34,13 +35,13 @@
 
  private:
   struct Child {
-    CellProcesses* all = nullptr;
-    std::size_t number = 0;
+    CellProcesses* owner = nullptr;
+    std::size_t index = 0;
     uv_process_t process{};
   };
 
-  std::string file(std::size_t i, const char* what) const {
-    return folder_.path() + "/" + std::to_string(i) + what;
+  std::string file(std::size_t i, const char* suffix) const {
+    return folder_.path() + "/" + std::to_string(i) + suffix;
   }
 
   void start_next() {
@@ -49,46 +50,47 @@
     results_[i].load = loads_[i];
     std::ofstream(file(i, ".load")) << nlohmann::json(loads_[i]);
     std::string self = "/proc/self/exe";
-    // By way of run_child, so that it ends with this process however that ends.
-    std::string as_child = kChildFlag;
-    std::string cell = kCellFlag;
+    // The child starts through run_child, so that it also exits when this process exits for any reason.
+    std::string child_flag = kChildFlag;
+    std::string cell_flag = kCellFlag;
     std::string load = file(i, ".load");
     std::string result = file(i, ".result");
-    char* args[] = {self.data(), as_child.data(), self.data(), cell.data(),
-                    load.data(), result.data(),   nullptr};
+    char* args[] = {self.data(), child_flag.data(), self.data(), cell_flag.data(),
+                    load.data(), result.data(),     nullptr};
     uv_stdio_container_t stdio[3] = {};
     stdio[0].flags = UV_IGNORE;
-    for (int k : {1, 2}) {
-      stdio[k].flags = UV_INHERIT_FD;
-      stdio[k].data.fd = STDERR_FILENO;
+    for (int descriptor : {1, 2}) {
+      stdio[descriptor].flags = UV_INHERIT_FD;
+      stdio[descriptor].data.fd = STDERR_FILENO;
     }
-    uv_process_options_t how{};
-    how.file = self.c_str();
-    how.args = args;
-    how.stdio = stdio;
-    how.stdio_count = 3;
-    how.exit_cb = [](uv_process_t* p, std::int64_t, int) {
-      uv_close(reinterpret_cast<uv_handle_t*>(p), [](uv_handle_t* h) {
-        const std::unique_ptr<Child> child(static_cast<Child*>(h->data));
-        child->all->ended(child->number);
+    uv_process_options_t process_options{};
+    process_options.file = self.c_str();
+    process_options.args = args;
+    process_options.stdio = stdio;
+    process_options.stdio_count = 3;
+    process_options.exit_cb = [](uv_process_t* process, std::int64_t, int) {
+      uv_close(reinterpret_cast<uv_handle_t*>(process), [](uv_handle_t* handle) {
+        const std::unique_ptr<Child> child(static_cast<Child*>(handle->data));
+        child->owner->handle_exit(child->index);
       });
     };
     auto child = std::make_unique<Child>();
-    child->all = this;
-    child->number = i;
+    child->owner = this;
+    child->index = i;
     child->process.data = child.get();
-    const int rc = uv_spawn(&loop_, &child->process, &how);
-    if (rc != 0) throw TestbedError(std::string("a cell cannot be started: ") + uv_strerror(rc));
-    child.release();  // until its handle is closed
+    const int spawn_error = uv_spawn(&loop_, &child->process, &process_options);
+    if (spawn_error != 0)
+      throw TestbedError(std::string("cannot start the process of a cell: ") + uv_strerror(spawn_error));
+    child.release();  // the exit callback deletes it after closing its handle
   }
 
-  void ended(std::size_t i) {
+  void handle_exit(std::size_t i) {
     try {
       results_[i] = read_json(file(i, ".result")).get<CellResult>();
     } catch (const nlohmann::json::exception&) {
-      results_[i].error = "its process ended without a result";
+      results_[i].error = "the process of the cell exited without a result";
     }
-    std::cerr << "[" << ++ended_ << " of " << loads_.size() << " cells]"
+    std::cerr << "[" << ++finished_ << " of " << loads_.size() << " cells]"
               << (results_[i].error.empty() ? "" : " " + loads_[i].name + ": " + results_[i].error)
               << std::endl;
     start_next();
@@ -100,7 +102,7 @@
   std::vector<CellResult> results_;
   uv_loop_t loop_{};
   std::size_t next_ = 0;
-  std::size_t ended_ = 0;
+  std::size_t finished_ = 0;
 };
 
 }  // namespace
@@ -113,8 +115,8 @@
     net::raise_open_file_limit(kTestbedSockets);
     net::UvRuntime runtime(kTestbedSockets, kTestbedPool);
     CellRun run(runtime, load);
-    run.start([&](const CellResult& r) {
-      result = r;
+    run.start([&](const CellResult& measured) {
+      result = measured;
       runtime.stop();
     });
     runtime.run();
--- a/testbed/scale/cell_result.cpp
+++ b/testbed/scale/cell_result.cpp
@@ -5,18 +5,18 @@
 namespace wrenusher::testbed {
 
 LatencySummary waits_of(std::vector<double> seconds) {
-  LatencySummary w;
-  if (seconds.empty()) return w;
+  LatencySummary summary;
+  if (seconds.empty()) return summary;
   std::sort(seconds.begin(), seconds.end());
-  const auto at = [&](double share) {
+  const auto percentile = [&](double share) {
     return seconds[static_cast<std::size_t>(share * static_cast<double>(seconds.size() - 1))];
   };
-  w.count = seconds.size();
-  w.p50 = at(0.5);
-  w.p95 = at(0.95);
-  w.p99 = at(0.99);
-  w.most = seconds.back();
-  return w;
+  summary.count = seconds.size();
+  summary.p50 = percentile(0.5);
+  summary.p95 = percentile(0.95);
+  summary.p99 = percentile(0.99);
+  summary.most = seconds.back();
+  return summary;
 }
 
 }  // namespace wrenusher::testbed
--- a/testbed/scale/include/wrenusher/testbed/cell_run.hpp
+++ b/testbed/scale/include/wrenusher/testbed/cell_run.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// One cell of a scale run: a live lab under a load, measured between a warm-up and an optional phase of
-// failures.
+// One cell of a scale run: a live testbed under load. It is measured after a warm-up and before an optional
+// failure phase.
 
 #include <functional>
 #include <memory>
@@ -12,24 +12,25 @@
 
 namespace wrenusher::testbed {
 
-/// The site that a load is played on: one zone, one machine type, classes for the ordinary and the urgent
-/// work and for the tasks that outlast the run.
+/// Returns the site for a load: one zone, one machine type, and job classes for ordinary tasks, urgent tasks
+/// and tasks that run longer than the scale run.
 Site site_of(const CellLoad& load);
 
+/// Runs one cell and measures it.
 class CellRun {
  public:
-  /// Throws TestbedError.
+  /// Creates the testbed of the cell. Throws TestbedError.
   CellRun(net::UvRuntime& runtime, CellLoad load);
 
-  /// `done` once everything is measured and the children have ended.
+  /// Starts the run; calls `done` when the measurement is complete and the child processes have exited.
   void start(std::function<void(const CellResult&)> done);
 
  private:
-  /// What is counted up while a cell runs, to be taken apart into rates.
-  struct Counts {
+  /// Cumulative counters of a running cell. The difference of two readings gives the rates.
+  struct Counters {
     Instant at{};
     MachineTime machine;
-    double lab_processor_s = 0;
+    double testbed_processor_s = 0;
     std::vector<double> processor_s;
     std::vector<std::uint64_t> state_requests;
     std::map<std::string, Traffic> traffic;
@@ -38,46 +39,46 @@
     std::uint64_t starts = 0;
     std::uint64_t accepted = 0;
     std::uint64_t questions = 0;
-    std::uint64_t asked = 0;
-    std::uint64_t in_vain = 0;
+    std::uint64_t user_requests = 0;
+    std::uint64_t failed_requests = 0;
     std::string leader;
     std::uint64_t terms = 0;
   };
   void wait_for_leader();
   void begin_load();
-  void arrive(const std::string& queue, double jobs_per_second);
+  void schedule_arrivals(const std::string& job_class, double jobs_per_second);
   void change_topology();
   void wait_for_topology(int version, Instant written);
-  void watch_lag();
-  void count_user(const Request& r, const runtime::CallResult& o, Micros took);
+  void sample_timer_lag();
+  void count_user_request(const Request& request, const runtime::CallResult& outcome, Micros duration);
   void count_start(const std::string& job_id, std::uint32_t task);
-  Counts counts();
+  Counters read_counters();
   void begin_measurement();
   void end_measurement();
   void begin_failures();
-  void inject_machine_faults(int left, int dying, int restarting);
-  void heal();
+  void inject_machine_faults(int rounds_left, int failure_count, int restart_count);
+  void heal_partition();
   void finish();
-  void say(const std::string& what) const;
-  std::string any_machine();
+  void log_progress(const std::string& message) const;
+  std::string random_machine();
 
   net::UvRuntime& runtime_;
   CellLoad load_;
   LiveTestbed testbed_;
   std::function<void(const CellResult&)> done_;
   CellResult result_;
-  Counts before_;
+  Counters before_;
   bool measuring_ = false;
   bool loading_ = false;
   int topology_version_ = 1;
   std::uint64_t starts_ = 0;
   std::uint64_t accepted_ = 0;
   std::uint64_t questions_ = 0;
-  std::uint64_t asked_ = 0;
-  std::uint64_t in_vain_ = 0;
-  std::uint64_t failure_starts_from_ = 0;
-  Instant failures_began_{};
-  Instant leader_by_{};
+  std::uint64_t user_requests_ = 0;
+  std::uint64_t failed_requests_ = 0;
+  std::uint64_t starts_before_failures_ = 0;
+  Instant failure_phase_start_{};
+  Instant leader_deadline_{};
   std::set<std::pair<std::string, std::uint32_t>> started_;
   std::vector<double> start_waits_;
   std::vector<double> urgent_waits_;
--- a/testbed/scale/linear_fit.cpp
+++ b/testbed/scale/linear_fit.cpp
@@ -6,48 +6,48 @@
 namespace wrenusher::testbed {
 
 LinearFit fit_line(std::vector<Point> points) {
-  LinearFit f;
-  f.points = points.size();
-  if (points.empty()) return f;
+  LinearFit line;
+  line.points = points.size();
+  if (points.empty()) return line;
   std::sort(points.begin(), points.end(), [](const Point& a, const Point& b) { return a.x < b.x; });
-  const auto n = static_cast<double>(points.size());
+  const auto count = static_cast<double>(points.size());
   double mean_x = 0;
   double mean_y = 0;
   for (const Point& p : points) {
-    mean_x += p.x / n;
-    mean_y += p.y / n;
+    mean_x += p.x / count;
+    mean_y += p.y / count;
   }
-  double xx = 0;
-  double xy = 0;
-  double yy = 0;
+  double sum_xx = 0;
+  double sum_xy = 0;
+  double sum_yy = 0;
   for (const Point& p : points) {
-    xx += (p.x - mean_x) * (p.x - mean_x);
-    xy += (p.x - mean_x) * (p.y - mean_y);
-    yy += (p.y - mean_y) * (p.y - mean_y);
+    sum_xx += (p.x - mean_x) * (p.x - mean_x);
+    sum_xy += (p.x - mean_x) * (p.y - mean_y);
+    sum_yy += (p.y - mean_y) * (p.y - mean_y);
   }
-  f.slope = xx > 0 ? xy / xx : 0;
-  f.base = mean_y - f.slope * mean_x;
-  double off = 0;
-  double most = 0;
+  line.slope = sum_xx > 0 ? sum_xy / sum_xx : 0;
+  line.base = mean_y - line.slope * mean_x;
+  double squared_residuals = 0;
+  double max_residual = 0;
   for (const Point& p : points) {
-    const double residual = p.y - f.base - f.slope * p.x;
-    off += residual * residual;
-    most = std::max(most, std::abs(residual));
+    const double residual = p.y - line.base - line.slope * p.x;
+    squared_residuals += residual * residual;
+    max_residual = std::max(max_residual, std::abs(residual));
   }
-  f.fit = yy > 0 ? 1 - off / yy : 1;
-  const auto [least_y, most_y] = std::minmax_element(
+  line.fit = sum_yy > 0 ? 1 - squared_residuals / sum_yy : 1;
+  const auto [lowest, highest] = std::minmax_element(
       points.begin(), points.end(), [](const Point& a, const Point& b) { return a.y < b.y; });
-  const double range = most_y->y - least_y->y;
-  f.residual = range > 0 ? most / range : 0;
+  const double range = highest->y - lowest->y;
+  line.residual = range > 0 ? max_residual / range : 0;
   if (points.size() >= 3) {
     const auto slope_between = [](const Point& a, const Point& b) {
       return b.x > a.x ? (b.y - a.y) / (b.x - a.x) : 0;
     };
     const double first = slope_between(points[0], points[1]);
     const double last = slope_between(points[points.size() - 2], points.back());
-    f.worse_than_linear = f.slope > 0 && last > kBendThreshold * std::max(first, 0.0) && last > 0;
+    line.worse_than_linear = line.slope > 0 && last > kBendThreshold * std::max(first, 0.0) && last > 0;
   }
-  return f;
+  return line;
 }
 
 }  // namespace wrenusher::testbed
--- a/testbed/scale/process_usage.cpp
+++ b/testbed/scale/process_usage.cpp
@@ -11,14 +11,15 @@
 
 namespace {
 
-/// Fields of /proc/PID/stat behind the name, counted from the state as 0 (proc(5)).
-constexpr int kUserTime = 11;
-constexpr int kSystemTime = 12;
-constexpr int kResidentPages = 21;
-/// Columns of /proc/stat's first line: the fourth is idle, the fifth waits for a disk.
-constexpr int kIdle = 3;
-constexpr int kIoWait = 4;
-constexpr int kColumns = 8;
+/// Indexes of the fields of /proc/PID/stat that follow the process name; the state has index 0 (proc(5)).
+constexpr int kUserTimeField = 11;
+constexpr int kSystemTimeField = 12;
+constexpr int kResidentPagesField = 21;
+/// Indexes of the columns of the first line of /proc/stat: the fourth column is idle time, the fifth is time
+/// spent waiting for a disk.
+constexpr int kIdleColumn = 3;
+constexpr int kIoWaitColumn = 4;
+constexpr int kColumnCount = 8;
 
 }  // namespace
 
@@ -27,21 +28,22 @@
   std::ifstream in(base + "/stat");
   std::string line;
   if (!std::getline(in, line)) return std::nullopt;
-  // The name stands in brackets and may hold anything.
+  // The process name is in parentheses and can contain any character, including a closing parenthesis.
   std::istringstream fields(line.substr(line.rfind(')') + 1));
   const auto ticks = static_cast<double>(sysconf(_SC_CLK_TCK));
   ProcessUsage usage;
   std::string field;
   for (int i = 0; fields >> field; ++i) {
-    if (i == kUserTime || i == kSystemTime) usage.processor_s += std::stod(field) / ticks;
-    if (i == kResidentPages)
+    if (i == kUserTimeField || i == kSystemTimeField) usage.processor_s += std::stod(field) / ticks;
+    if (i == kResidentPagesField)
       usage.memory_mb = std::stod(field) * static_cast<double>(sysconf(_SC_PAGESIZE)) / (1024 * 1024);
   }
   std::error_code error;
   for (std::filesystem::directory_iterator fd(base + "/fd", error), end; !error && fd != end;
        fd.increment(error)) {
-    std::error_code gone;
-    if (std::filesystem::read_symlink(fd->path(), gone).string().starts_with("socket:")) ++usage.sockets;
+    std::error_code link_error;
+    if (std::filesystem::read_symlink(fd->path(), link_error).string().starts_with("socket:"))
+      ++usage.sockets;
   }
   return usage;
 }
@@ -52,11 +54,11 @@
   in >> name;
   const auto ticks = static_cast<double>(sysconf(_SC_CLK_TCK));
   MachineTime time;
-  for (int i = 0; i < kColumns; ++i) {
+  for (int i = 0; i < kColumnCount; ++i) {
     double column = 0;
     in >> column;
     time.all_s += column / ticks;
-    if (i != kIdle && i != kIoWait) time.busy_s += column / ticks;
+    if (i != kIdleColumn && i != kIoWaitColumn) time.busy_s += column / ticks;
   }
   return time;
 }
--- a/testbed/scale/scale_options.cpp
+++ b/testbed/scale/scale_options.cpp
@@ -11,33 +11,33 @@
 namespace {
 
 constexpr int kMaxProcesses = 300;
-/// Where the system takes the ports of outgoing connections from.
+/// The system assigns ports from this one upwards to outgoing connections.
 constexpr int kFirstEphemeralPort = 32768;
-/// Ports of a cell beside those of its machines.
-constexpr int kCellPorts = 250;
-/// Machines are rented anew under new ports while a run lasts.
+/// Ports of a cell that are not for its machines.
+constexpr int kFixedPortsPerCell = 250;
+/// Greater than 1, because replacement machines that are rented during a run use new ports.
 constexpr double kPortsPerWorker = 1.6;
-constexpr double kLabMb = 60;
-constexpr double kLabMbPerWorker = 0.08;
-constexpr double kControllerMb = 15;
-constexpr double kControllerMbPerWorker = 0.03;
+constexpr double kTestbedMemoryMb = 60;
+constexpr double kTestbedMemoryMbPerWorker = 0.08;
+constexpr double kControllerMemoryMb = 15;
+constexpr double kControllerMemoryMbPerWorker = 0.03;
 
-std::string number(double x) {
+std::string format_number(double x) {
   char text[32];
   std::snprintf(text, sizeof text, "%g", x);
   return text;
 }
 
-void between(const char* option, double value, double least, double most) {
-  if (value >= least && value <= most) return;
-  throw ScaleError(std::string(option) + ": " + number(value) + " must be between " + number(least) +
-                   " and " + number(most));
+void require_between(const char* option, double value, double minimum, double maximum) {
+  if (value >= minimum && value <= maximum) return;
+  throw ScaleError(std::string(option) + ": " + format_number(value) + " must be between " +
+                   format_number(minimum) + " and " + format_number(maximum));
 }
 
 }  // namespace
 
 int ports_of(const CellLoad& cell) {
-  return kCellPorts + static_cast<int>(cell.workers * kPortsPerWorker);
+  return kFixedPortsPerCell + static_cast<int>(cell.workers * kPortsPerWorker);
 }
 
 MachineSize this_machine() {
@@ -54,32 +54,32 @@
 }
 
 ScaleNeeds needs_of(const std::vector<CellLoad>& cells) {
-  ScaleNeeds needs{1, kLabMb};
+  ScaleNeeds needs{1, kTestbedMemoryMb};
   for (const CellLoad& c : cells) {
     needs.processes += 1 + c.controllers;
-    needs.memory_mb += kLabMb + kLabMbPerWorker * c.workers;
-    needs.memory_mb += c.controllers * (kControllerMb + kControllerMbPerWorker * c.workers);
+    needs.memory_mb += kTestbedMemoryMb + kTestbedMemoryMbPerWorker * c.workers;
+    needs.memory_mb += c.controllers * (kControllerMemoryMb + kControllerMemoryMbPerWorker * c.workers);
   }
   return needs;
 }
 
 std::vector<CellLoad> divide(const ScaleOptions& o) {
-  between("--zones", o.zones, 1, 64);
-  between("--workers", o.workers, 1, 20000);
-  between("--teams", o.teams, 1, 1000);
-  between("--controllers", o.controllers, 1, 9);
-  between("--starts", o.starts_per_second, 0, 20000);
-  between("--tasks-per-worker", o.tasks_per_worker, 1, 200);
-  between("--tasks-per-job", o.tasks_per_job, 1, 100000);
-  between("--report", o.report_s, 0.5, 30);
-  between("--changes", o.changes_per_minute, 0, 60);
-  between("--state-requests", o.state_requests, 10, 100000);
-  between("--state-puts", o.state_puts, 5, 100000);
-  between("--warmup", o.warmup_s, 5, 600);
-  between("--seconds", o.seconds, 10, 3600);
-  between("--settle", o.settle_s, 10, 600);
+  require_between("--zones", o.zones, 1, 64);
+  require_between("--workers", o.workers, 1, 20000);
+  require_between("--teams", o.teams, 1, 1000);
+  require_between("--controllers", o.controllers, 1, 9);
+  require_between("--starts", o.starts_per_second, 0, 20000);
+  require_between("--tasks-per-worker", o.tasks_per_worker, 1, 200);
+  require_between("--tasks-per-job", o.tasks_per_job, 1, 100000);
+  require_between("--report", o.report_s, 0.5, 30);
+  require_between("--changes", o.changes_per_minute, 0, 60);
+  require_between("--state-requests", o.state_requests, 10, 100000);
+  require_between("--state-puts", o.state_puts, 5, 100000);
+  require_between("--warmup", o.warmup_s, 5, 600);
+  require_between("--seconds", o.seconds, 10, 3600);
+  require_between("--settle", o.settle_s, 10, 600);
   if (o.workers < o.zones)
-    throw ScaleError("--workers: " + std::to_string(o.workers) + " is less than one for each of the " +
+    throw ScaleError("--workers: " + std::to_string(o.workers) + " is fewer than one for each of the " +
                      std::to_string(o.zones) + " zones");
   std::vector<CellLoad> cells;
   int port = o.port;
@@ -94,7 +94,7 @@
     c.tasks_per_job = o.tasks_per_job;
     if (c.starts_per_second > 0)
       c.run_s = std::clamp(o.tasks_per_worker * c.workers / c.starts_per_second, 1.0, 3600.0);
-    // Every cell takes every change.
+    // Each change applies to every cell, so the rate is not divided.
     c.changes_per_minute = o.changes_per_minute;
     c.state_requests = o.state_requests;
     c.state_puts = o.state_puts;
@@ -113,17 +113,19 @@
 void check_fits(const std::vector<CellLoad>& cells, const MachineSize& machine) {
   const ScaleNeeds needs = needs_of(cells);
   if (needs.processes > kMaxProcesses)
-    throw ScaleError("--zones, --controllers: " + std::to_string(needs.processes) + " processes, at most " +
-                     std::to_string(kMaxProcesses) + " are started; ask for fewer");
+    throw ScaleError("--zones, --controllers: " + std::to_string(needs.processes) +
+                     " processes are needed, but at most " + std::to_string(kMaxProcesses) +
+                     " are allowed; reduce one of the options");
   if (needs.memory_mb > machine.memory_mb / 2)
-    throw ScaleError("--workers: would take about " + number(std::round(needs.memory_mb)) +
-                     " MB, more than half of this machine's " + number(std::round(machine.memory_mb)) +
-                     " MB; ask for fewer");
+    throw ScaleError("--workers: the run would need about " + format_number(std::round(needs.memory_mb)) +
+                     " MB, more than half of this machine's " + format_number(std::round(machine.memory_mb)) +
+                     " MB; reduce the number of workers");
   for (const CellLoad& c : cells) {
     if (c.port + ports_of(c) > kFirstEphemeralPort)
       throw ScaleError("--workers, --port: " + c.name + " would need ports up to " +
                        std::to_string(c.port + ports_of(c)) + ", at most " +
-                       std::to_string(kFirstEphemeralPort) + "; ask for fewer workers or a lower port");
+                       std::to_string(kFirstEphemeralPort) +
+                       "; reduce the number of workers or lower the port");
   }
 }
 
--- a/testbed/scale/scale_report.cpp
+++ b/testbed/scale/scale_report.cpp
@@ -7,52 +7,54 @@
 
 namespace {
 
-constexpr double kMinOfStarts = 0.9;
-constexpr double kMaxUrgentWait = 2.2;
-constexpr double kMaxUnansweredShare = 0.01;
-constexpr double kMaxSubmissionWait = 1.0;
-constexpr double kMaxChangeWait = 17;
-/// Where this much of all processors is busy, the machine is what limits.
-constexpr double kBusyMachine = 0.9;
-constexpr double kLateTimers = 0.25;
-/// A prediction that is off by more needs an explanation.
-constexpr double kOff = 0.25;
-
-double sum_of(const std::vector<CellResult>& cells, double CellResult::*what) {
+constexpr double kMinStartsRatio = 0.9;
+constexpr double kMaxUrgentWaitSeconds = 2.2;
+constexpr double kMaxFailedRequestShare = 0.01;
+constexpr double kMaxSubmissionWaitSeconds = 1.0;
+constexpr double kMaxChangeWaitSeconds = 17;
+/// Above this busy share of all processors, the machine limits the measurement.
+constexpr double kMachineBusyThreshold = 0.9;
+/// Above this delay of the testbed's timers (p99), the testbed limits the measurement.
+constexpr double kTimerLagThresholdSeconds = 0.25;
+/// The report marks a prediction with a larger relative error, which needs an explanation.
+constexpr double kMaxPredictionError = 0.25;
+
+double sum_of(const std::vector<CellResult>& cells, double CellResult::*field) {
   double sum = 0;
-  for (const CellResult& c : cells) sum += c.*what;
+  for (const CellResult& c : cells) sum += c.*field;
   return sum;
 }
 
-double worst(const std::vector<CellResult>& cells, LatencySummary CellResult::*which,
-             double LatencySummary::*what) {
-  double most = 0;
-  for (const CellResult& c : cells) most = std::max(most, (c.*which).*what);
-  return most;
+/// Returns the maximum of a statistic over all cells.
+double max_over_cells(const std::vector<CellResult>& cells, LatencySummary CellResult::*which,
+                      double LatencySummary::*field) {
+  double maximum = 0;
+  for (const CellResult& c : cells) maximum = std::max(maximum, (c.*which).*field);
+  return maximum;
 }
 
-/// Mean over the cells of the leaders, or of all that do not lead.
-double mean_of(const std::vector<CellResult>& cells, bool leader, double ControllerUsage::*what) {
+/// Returns the mean over the leaders of all cells, or over all other controllers if `leader` is false.
+double mean_of(const std::vector<CellResult>& cells, bool leader, double ControllerUsage::*field) {
   double sum = 0;
   int count = 0;
   for (const CellResult& r : cells) {
     for (const ControllerUsage& c : r.controllers) {
       if (c.leader != leader) continue;
-      sum += c.*what;
+      sum += c.*field;
       ++count;
     }
   }
   return count == 0 ? 0 : sum / count;
 }
 
-int most_sockets(const std::vector<CellResult>& cells, bool leader) {
-  int most = 0;
+int max_sockets(const std::vector<CellResult>& cells, bool leader) {
+  int maximum = 0;
   for (const CellResult& r : cells) {
     for (const ControllerUsage& c : r.controllers) {
-      if (c.leader == leader) most = std::max(most, c.sockets);
+      if (c.leader == leader) maximum = std::max(maximum, c.sockets);
     }
   }
-  return most;
+  return maximum;
 }
 
 LinkUsage link_of(const std::vector<CellResult>& cells, const std::string& kind) {
@@ -67,8 +69,9 @@
   return sum;
 }
 
+/// One row of the report: a quantity that is summed or averaged over the cells, or its maximum.
 struct Row {
-  std::string what;
+  std::string label;
   double measured = 0;
   std::optional<double> predicted;
 };
@@ -109,8 +112,8 @@
        predicted(sum.leader_memory_mb)},
       {"follower, MB (mean)", mean_of(cells, false, &ControllerUsage::memory_mb),
        predicted(sum.follower_memory_mb)},
-      {"leader, sockets (most)", static_cast<double>(most_sockets(cells, true)), {}},
-      {"follower, sockets (most)", static_cast<double>(most_sockets(cells, false)), {}},
+      {"leader, sockets (most)", static_cast<double>(max_sockets(cells, true)), {}},
+      {"follower, sockets (most)", static_cast<double>(max_sockets(cells, false)), {}},
       {"state services, requests/s", sum_of(cells, &CellResult::state_requests),
        predicted(sum.state_requests)},
       {"state services, puts/s", sum_of(cells, &CellResult::puts), predicted(sum.puts)},
@@ -120,12 +123,12 @@
 }
 
 nlohmann::json row_json(const Row& r) {
-  nlohmann::json out = {{"what", r.what}, {"measured", r.measured}};
+  nlohmann::json out = {{"what", r.label}, {"measured", r.measured}};
   if (r.predicted) out["predicted"] = *r.predicted;
   return out;
 }
 
-std::string text(const char* format, auto... values) {
+std::string format_text(const char* format, auto... values) {
   char line[256];
   std::snprintf(line, sizeof line, format, values...);
   return line;
@@ -135,45 +138,50 @@
                        LatencySummary CellResult::*which) {
   std::uint64_t count = 0;
   for (const CellResult& c : cells) count += (c.*which).count;
-  return text("%-34s p50 %.2f  p95 %.2f  p99 %.2f s (each the worst cell's), %llu counted\n", what,
-              worst(cells, which, &LatencySummary::p50), worst(cells, which, &LatencySummary::p95),
-              worst(cells, which, &LatencySummary::p99), static_cast<unsigned long long>(count));
+  return format_text(
+      "%-34s p50 %.2f  p95 %.2f  p99 %.2f s (each the worst cell's), %llu counted\n", what,
+      max_over_cells(cells, which, &LatencySummary::p50), max_over_cells(cells, which, &LatencySummary::p95),
+      max_over_cells(cells, which, &LatencySummary::p99), static_cast<unsigned long long>(count));
 }
 
 }  // namespace
 
 std::vector<ScaleObjective> ScaleReport::aims() const {
   std::vector<ScaleObjective> out;
-  const auto at_most = [&](const char* what, double value, double bound) {
+  const auto add_upper_bound = [&](const char* what, double value, double bound) {
     out.push_back({what, value, bound, value <= bound});
   };
-  double asked_starts = 0;
-  std::uint64_t asked = 0;
-  std::uint64_t in_vain = 0;
+  double requested_starts = 0;
+  std::uint64_t user_requests = 0;
+  std::uint64_t failed_requests = 0;
   std::uint64_t urgent = 0;
   std::uint64_t changes = 0;
   for (const CellResult& c : cells) {
-    asked_starts += c.load.starts_per_second;
-    asked += c.asked;
-    in_vain += c.in_vain;
+    requested_starts += c.load.starts_per_second;
+    user_requests += c.asked;
+    failed_requests += c.in_vain;
     urgent += c.urgent_start_wait.count;
     changes += c.change_wait.count;
   }
-  if (asked_starts > 0) {
-    const double reached = sum_of(cells, &CellResult::starts) / asked_starts;
-    out.push_back({"part of the starts asked for", reached, kMinOfStarts, reached >= kMinOfStarts});
+  if (requested_starts > 0) {
+    const double reached = sum_of(cells, &CellResult::starts) / requested_starts;
+    out.push_back({"part of the starts asked for", reached, kMinStartsRatio, reached >= kMinStartsRatio});
   }
   if (urgent > 0)
-    at_most("urgent starts, p95 in s", worst(cells, &CellResult::urgent_start_wait, &LatencySummary::p95),
-            kMaxUrgentWait);
-  if (asked > 0)
-    at_most("users' requests in vain", static_cast<double>(in_vain) / static_cast<double>(asked),
-            kMaxUnansweredShare);
-  at_most("submissions answered, p95 in s", worst(cells, &CellResult::submission_wait, &LatencySummary::p95),
-          kMaxSubmissionWait);
+    add_upper_bound("urgent starts, p95 in s",
+                    max_over_cells(cells, &CellResult::urgent_start_wait, &LatencySummary::p95),
+                    kMaxUrgentWaitSeconds);
+  if (user_requests > 0)
+    add_upper_bound("users' requests in vain",
+                    static_cast<double>(failed_requests) / static_cast<double>(user_requests),
+                    kMaxFailedRequestShare);
+  add_upper_bound("submissions answered, p95 in s",
+                  max_over_cells(cells, &CellResult::submission_wait, &LatencySummary::p95),
+                  kMaxSubmissionWaitSeconds);
   if (changes > 0)
-    at_most("changes in force, longest in s", worst(cells, &CellResult::change_wait, &LatencySummary::most),
-            kMaxChangeWait);
+    add_upper_bound("changes in force, longest in s",
+                    max_over_cells(cells, &CellResult::change_wait, &LatencySummary::most),
+                    kMaxChangeWaitSeconds);
   return out;
 }
 
@@ -191,24 +199,27 @@
     busy = std::max(busy, c.machine_busy);
     lag = std::max(lag, c.lab_lag_p99);
   }
-  if (busy > kBusyMachine)
-    return text("this machine's processors were %.0f%% busy: waits are the machine's, not the service's",
-                100 * busy);
-  if (lag > kLateTimers)
-    return text(
-        "the hollow workers' own timers fired %.2f s late (p99): waits are the lab's, not the service's",
+  if (busy > kMachineBusyThreshold)
+    return format_text(
+        "this machine's processors were %.0f%% busy: the machine, not the service, limits the waits",
+        100 * busy);
+  if (lag > kTimerLagThresholdSeconds)
+    return format_text(
+        "the testbed's own timers fired %.2f s late (p99): the testbed, not the service, limits the waits",
         lag);
   return {};
 }
 
 std::string ScaleReport::table() const {
-  std::string out = text("%-34s %12s %12s %8s\n", "", "measured", "predicted", "ratio");
+  std::string out = format_text("%-34s %12s %12s %8s\n", "", "measured", "predicted", "ratio");
   for (const Row& r : rows_of(*this)) {
-    out += text("%-34s %12.4g", r.what.c_str(), r.measured);
+    out += format_text("%-34s %12.4g", r.label.c_str(), r.measured);
     if (r.predicted) {
       const double ratio = *r.predicted > 0 ? r.measured / *r.predicted : 0;
-      out += text(" %12.4g %8.2f%s", *r.predicted, ratio,
-                  ratio > 1 + kOff || ratio < 1 / (1 + kOff) ? "  off by more than a quarter" : "");
+      out += format_text(" %12.4g %8.2f%s", *r.predicted, ratio,
+                         ratio > 1 + kMaxPredictionError || ratio < 1 / (1 + kMaxPredictionError)
+                             ? "  off by more than a quarter"
+                             : "");
     }
     out += '\n';
   }
@@ -217,27 +228,29 @@
   out += waits_line("submissions answered", cells, &CellResult::submission_wait);
   out += waits_line("changes of configuration in force", cells, &CellResult::change_wait);
   std::uint64_t refused = 0;
-  std::uint64_t died = 0;
-  std::uint64_t restarted = 0;
+  std::uint64_t failures = 0;
+  std::uint64_t restarts = 0;
   std::uint64_t terms = 0;
   for (const CellResult& c : cells) {
     refused += c.state_refused;
-    died += c.failed_machines;
-    restarted += c.restarted_machines;
+    failures += c.failed_machines;
+    restarts += c.restarted_machines;
     terms += c.terms;
     if (!c.error.empty()) out += c.load.name + " was not measured: " + c.error + '\n';
-    if (!c.one_leader) out += c.load.name + ": another controller led before the measurement ended\n";
+    if (!c.one_leader) out += c.load.name + ": the leader changed during the measurement\n";
     for (const std::string& note : c.broken) out += c.load.name + ": RULE BROKEN: " + note + '\n';
   }
-  out += text("state services refused %llu requests; %llu terms of leadership\n",
-              static_cast<unsigned long long>(refused), static_cast<unsigned long long>(terms));
-  if (died + restarted > 0)
-    out +=
-        text("failures: %llu machines died, %llu began anew, leaders killed, zones cut off; %.0f starts/s\n",
-             static_cast<unsigned long long>(died), static_cast<unsigned long long>(restarted),
-             sum_of(cells, &CellResult::failure_starts));
+  out += format_text("state services refused %llu requests; %llu terms of leadership\n",
+                     static_cast<unsigned long long>(refused), static_cast<unsigned long long>(terms));
+  if (failures + restarts > 0)
+    out += format_text(
+        "failures: %llu machines died, %llu workers restarted, leaders killed, zones partitioned; %.0f "
+        "starts/s\n",
+        static_cast<unsigned long long>(failures), static_cast<unsigned long long>(restarts),
+        sum_of(cells, &CellResult::failure_starts));
   for (const ScaleObjective& a : aims())
-    out += text("%s  %s: %.3g (%.3g)\n", a.met ? "met   " : "MISSED", a.what.c_str(), a.value, a.bound);
+    out +=
+        format_text("%s  %s: %.3g (%.3g)\n", a.met ? "met   " : "MISSED", a.what.c_str(), a.value, a.bound);
   if (const std::string limit = machine_limit(); !limit.empty()) out += limit + '\n';
   return out;
 }
@@ -245,10 +258,10 @@
 nlohmann::json ScaleReport::json() const {
   nlohmann::json rows = nlohmann::json::array();
   for (const Row& r : rows_of(*this)) rows.push_back(row_json(r));
-  nlohmann::json aimed = nlohmann::json::array();
+  nlohmann::json objectives = nlohmann::json::array();
   for (const ScaleObjective& a : aims())
-    aimed.push_back({{"what", a.what}, {"value", a.value}, {"bound", a.bound}, {"met", a.met}});
-  return {{"rows", rows}, {"aims", aimed}, {"machine_limit", machine_limit()}, {"cells", cells}};
+    objectives.push_back({{"what", a.what}, {"value", a.value}, {"bound", a.bound}, {"met", a.met}});
+  return {{"rows", rows}, {"aims", objectives}, {"machine_limit", machine_limit()}, {"cells", cells}};
 }
 
 }  // namespace wrenusher::testbed
--- a/testbed/scale/slopes.cpp
+++ b/testbed/scale/slopes.cpp
@@ -9,36 +9,38 @@
 
 namespace {
 
-// The series, by the beginning of their cells' names.
-constexpr const char* kMachinePort = "machines";
-constexpr const char* kStarts = "starts";
-constexpr const char* kClaims = "claims";
-constexpr const char* kJobs = "jobs";
-constexpr const char* kQuestions = "questions";
-constexpr const char* kSubmissions = "submissions";
+// Prefixes of the cell names; the cells with the same prefix form a series.
+constexpr const char* kMachineSeries = "machines";
+constexpr const char* kStartSeries = "starts";
+constexpr const char* kClaimSeries = "claims";
+constexpr const char* kJobSeries = "jobs";
+constexpr const char* kQuestionSeries = "questions";
+constexpr const char* kSubmissionSeries = "submissions";
 
-/// So seldom do users ask where questions are not what is measured.
-constexpr double kSeldom = 0.02;
-/// That a cell's state service takes while it does nothing else.
-constexpr double kSubmissionsPerSecond = 15;
-/// Workers report a change no more often than this.
-constexpr double kMinReportGap = 0.5;
+/// Factor that keeps the rate of users' questions low in cells that do not measure questions.
+constexpr double kLowQuestionsFactor = 0.02;
+/// Rate at which the state service of an otherwise idle cell accepts submissions.
+constexpr double kIdleSubmissionsPerSecond = 15;
+/// Minimum time between two reports of a worker, also when its tasks change.
+constexpr double kMinReportIntervalSeconds = 0.5;
 
 using Measure = std::function<double(const CellResult&)>;
 
-double leader(const CellResult& r, double ControllerUsage::*what) {
+/// Returns a value of the leader, or 0 if no controller leads.
+double leader_usage(const CellResult& r, double ControllerUsage::*field) {
   for (const ControllerUsage& c : r.controllers) {
-    if (c.leader) return c.*what;
+    if (c.leader) return c.*field;
   }
   return 0;
 }
 
-double followers(const CellResult& r, double ControllerUsage::*what) {
+/// Returns the mean of a value over the controllers that do not lead.
+double mean_follower_usage(const CellResult& r, double ControllerUsage::*field) {
   double sum = 0;
   int count = 0;
   for (const ControllerUsage& c : r.controllers) {
     if (c.leader) continue;
-    sum += c.*what;
+    sum += c.*field;
     ++count;
   }
   return count == 0 ? 0 : sum / count;
@@ -59,21 +61,22 @@
   return it == slopes.end() ? 0 : it->second.fit.base;
 }
 
-class Maker {
+/// Computes slopes from the results of series of cells.
+class SlopeBuilder {
  public:
-  explicit Maker(const std::vector<CellResult>& results) : results_(results) {}
+  explicit SlopeBuilder(const std::vector<CellResult>& results) : results_(results) {}
 
-  void add(const char* name, const char* series, const char* x, const Measure& of_x, const char* y,
-           const Measure& of_y) {
-    Slope s;
-    s.x = x;
-    s.y = y;
+  void add(const char* name, const char* series, const char* x, const Measure& x_of, const char* y,
+           const Measure& y_of) {
+    Slope added;
+    added.x = x;
+    added.y = y;
     for (const CellResult& r : results_) {
       if (r.error.empty() && r.one_leader && r.load.name.starts_with(std::string(series) + "-"))
-        s.points.push_back({of_x(r), of_y(r)});
+        added.points.push_back({x_of(r), y_of(r)});
     }
-    s.fit = fit_line(s.points);
-    slopes_[name] = std::move(s);
+    added.fit = fit_line(added.points);
+    slopes_[name] = std::move(added);
   }
   double slope(const char* name) const { return slope_of(slopes_, name); }
   Slopes take() { return std::move(slopes_); }
@@ -93,7 +96,7 @@
     c.name = std::string(series) + "-" + std::to_string(size);
     c.workers = 100;
     c.report_s = o.report_s;
-    c.questions_factor = kSeldom;
+    c.questions_factor = kLowQuestionsFactor;
     c.urgent_share = 0;
     c.warmup_s = o.warmup_s;
     c.seconds = o.seconds;
@@ -103,38 +106,38 @@
     port += ports_of(c);
     cells.push_back(std::move(c));
   };
-  for (int n : {100, 300, 600, 1000}) add(kMachinePort, n, [n](CellLoad& c) { c.workers = n; });
+  for (int n : {100, 300, 600, 1000}) add(kMachineSeries, n, [n](CellLoad& c) { c.workers = n; });
   for (int n : {25, 75, 150, 225}) {
-    add(kStarts, n, [n](CellLoad& c) {
+    add(kStartSeries, n, [n](CellLoad& c) {
       c.workers = 150;
       c.starts_per_second = n;
       c.run_s = 10;
     });
   }
   for (int n : {0, 1000, 2000, 3600}) {
-    add(kClaims, n, [n](CellLoad& c) {
+    add(kClaimSeries, n, [n](CellLoad& c) {
       c.workers = 150;
       c.held_tasks = n;
     });
   }
   for (int n : {0, 150, 300, 600}) {
-    add(kJobs, n, [n](CellLoad& c) {
+    add(kJobSeries, n, [n](CellLoad& c) {
       c.held_tasks = n;
       c.held_per_job = 1;
-      // A submission is a put, and they are paced.
-      c.warmup_s += n / kSubmissionsPerSecond;
+      // Each submission is a put, and the state service limits their rate.
+      c.warmup_s += n / kIdleSubmissionsPerSecond;
     });
   }
   for (int n : {30, 100, 200}) {
-    add(kQuestions, n, [n](CellLoad& c) {
+    add(kQuestionSeries, n, [n](CellLoad& c) {
       c.held_tasks = 300;
       c.held_per_job = 1;
-      c.warmup_s += c.held_tasks / kSubmissionsPerSecond;
+      c.warmup_s += c.held_tasks / kIdleSubmissionsPerSecond;
       c.questions_factor = n * 3.0 / 300;
     });
   }
   for (int n : {1, 3, 6}) {
-    add(kSubmissions, n, [n](CellLoad& c) {
+    add(kSubmissionSeries, n, [n](CellLoad& c) {
       c.starts_per_second = n;
       c.tasks_per_job = 1;
       c.run_s = 5;
@@ -144,7 +147,7 @@
 }
 
 Slopes slopes_of(const std::vector<CellResult>& results) {
-  Maker m(results);
+  SlopeBuilder builder(results);
   const Measure workers = [](const CellResult& r) { return static_cast<double>(r.load.workers); };
   const Measure reports = [](const CellResult& r) { return r.reports; };
   const Measure starts = [](const CellResult& r) { return r.starts; };
@@ -152,63 +155,72 @@
   const Measure jobs = [](const CellResult& r) { return r.live_jobs; };
   const Measure questions = [](const CellResult& r) { return r.questions; };
   const Measure submissions = [](const CellResult& r) { return r.submissions; };
-  const Measure leader_cores = [](const CellResult& r) { return leader(r, &ControllerUsage::cores); };
-  const Measure follower_cores = [](const CellResult& r) { return followers(r, &ControllerUsage::cores); };
-  const Measure leader_mb = [](const CellResult& r) { return leader(r, &ControllerUsage::memory_mb); };
-  const Measure follower_mb = [](const CellResult& r) { return followers(r, &ControllerUsage::memory_mb); };
+  const Measure leader_cores = [](const CellResult& r) { return leader_usage(r, &ControllerUsage::cores); };
+  const Measure follower_cores = [](const CellResult& r) {
+    return mean_follower_usage(r, &ControllerUsage::cores);
+  };
+  const Measure leader_mb = [](const CellResult& r) { return leader_usage(r, &ControllerUsage::memory_mb); };
+  const Measure follower_mb = [](const CellResult& r) {
+    return mean_follower_usage(r, &ControllerUsage::memory_mb);
+  };
   const Measure requests = [](const CellResult& r) { return r.state_requests; };
   const Measure puts = [](const CellResult& r) { return r.puts; };
 
-  m.add("leader_cores_per_report", kMachinePort, "reports/s", reports, "leader, cores", leader_cores);
-  m.add("follower_cores_per_worker", kMachinePort, "workers", workers, "follower, cores", follower_cores);
-  m.add("leader_mb_per_worker", kMachinePort, "workers", workers, "leader, MB", leader_mb);
-  m.add("follower_mb_per_worker", kMachinePort, "workers", workers, "follower, MB", follower_mb);
-  m.add("state_requests_per_worker", kMachinePort, "workers", workers, "state requests/s", requests);
+  builder.add("leader_cores_per_report", kMachineSeries, "reports/s", reports, "leader, cores", leader_cores);
+  builder.add("follower_cores_per_worker", kMachineSeries, "workers", workers, "follower, cores",
+              follower_cores);
+  builder.add("leader_mb_per_worker", kMachineSeries, "workers", workers, "leader, MB", leader_mb);
+  builder.add("follower_mb_per_worker", kMachineSeries, "workers", workers, "follower, MB", follower_mb);
+  builder.add("state_requests_per_worker", kMachineSeries, "workers", workers, "state requests/s", requests);
 
-  // What the reports cost that come with the starts is taken off.
-  const double per_report = m.slope("leader_cores_per_report");
+  // Subtracts the cost of the reports, because each start also causes reports.
+  const double per_report = builder.slope("leader_cores_per_report");
   const Measure beyond_reports = [=](const CellResult& r) {
     return leader_cores(r) - per_report * r.reports;
   };
-  m.add("reports_per_start", kStarts, "starts/s", starts, "reports/s beyond the regular ones",
-        [](const CellResult& r) { return r.reports - r.load.workers / r.load.report_s; });
-  m.add("leader_cores_per_start", kStarts, "starts/s", starts, "leader beyond reports, cores",
-        beyond_reports);
-  m.add("follower_cores_per_start", kStarts, "starts/s", starts, "follower, cores", follower_cores);
-  m.add("puts_per_start", kStarts, "starts/s", starts, "puts/s", puts);
-  m.add("state_requests_per_start", kStarts, "starts/s", starts, "state requests/s", requests);
+  builder.add("reports_per_start", kStartSeries, "starts/s", starts, "reports/s beyond the regular ones",
+              [](const CellResult& r) { return r.reports - r.load.workers / r.load.report_s; });
+  builder.add("leader_cores_per_start", kStartSeries, "starts/s", starts, "leader beyond reports, cores",
+              beyond_reports);
+  builder.add("follower_cores_per_start", kStartSeries, "starts/s", starts, "follower, cores",
+              follower_cores);
+  builder.add("puts_per_start", kStartSeries, "starts/s", starts, "puts/s", puts);
+  builder.add("state_requests_per_start", kStartSeries, "starts/s", starts, "state requests/s", requests);
 
-  m.add("leader_cores_per_claim", kClaims, "tasks on workers", assignments, "leader beyond reports, cores",
-        beyond_reports);
-  m.add("leader_mb_per_claim", kClaims, "tasks on workers", assignments, "leader, MB", leader_mb);
-  m.add("follower_mb_per_claim", kClaims, "tasks on workers", assignments, "follower, MB", follower_mb);
-  m.add(
-      "report_bytes_per_task", kClaims, "tasks on a worker",
+  builder.add("leader_cores_per_claim", kClaimSeries, "tasks on workers", assignments,
+              "leader beyond reports, cores", beyond_reports);
+  builder.add("leader_mb_per_claim", kClaimSeries, "tasks on workers", assignments, "leader, MB", leader_mb);
+  builder.add("follower_mb_per_claim", kClaimSeries, "tasks on workers", assignments, "follower, MB",
+              follower_mb);
+  builder.add(
+      "report_bytes_per_task", kClaimSeries, "tasks on a worker",
       [](const CellResult& r) { return r.tasks_on_machines / r.load.workers; }, "bytes of a report",
       bytes_per_report);
 
-  m.add("leader_cores_per_live_job", kJobs, "live jobs", jobs, "leader beyond reports, cores",
-        beyond_reports);
-  m.add("follower_cores_per_live_job", kJobs, "live jobs", jobs, "follower, cores", follower_cores);
-  m.add("leader_mb_per_live_job", kJobs, "live jobs", jobs, "leader, MB", leader_mb);
-  m.add("follower_mb_per_live_job", kJobs, "live jobs", jobs, "follower, MB", follower_mb);
-  m.add("state_requests_per_live_job", kJobs, "live jobs", jobs, "state requests/s", requests);
+  builder.add("leader_cores_per_live_job", kJobSeries, "live jobs", jobs, "leader beyond reports, cores",
+              beyond_reports);
+  builder.add("follower_cores_per_live_job", kJobSeries, "live jobs", jobs, "follower, cores",
+              follower_cores);
+  builder.add("leader_mb_per_live_job", kJobSeries, "live jobs", jobs, "leader, MB", leader_mb);
+  builder.add("follower_mb_per_live_job", kJobSeries, "live jobs", jobs, "follower, MB", follower_mb);
+  builder.add("state_requests_per_live_job", kJobSeries, "live jobs", jobs, "state requests/s", requests);
 
-  m.add("leader_cores_per_question", kQuestions, "questions/s, all nodes", questions,
-        "leader beyond reports, cores", beyond_reports);
-  m.add("follower_cores_per_question", kQuestions, "questions/s, all nodes", questions, "follower, cores",
-        follower_cores);
-  m.add("state_requests_per_question", kQuestions, "questions/s, all nodes", questions, "state requests/s",
-        requests);
+  builder.add("leader_cores_per_question", kQuestionSeries, "questions/s, all nodes", questions,
+              "leader beyond reports, cores", beyond_reports);
+  builder.add("follower_cores_per_question", kQuestionSeries, "questions/s, all nodes", questions,
+              "follower, cores", follower_cores);
+  builder.add("state_requests_per_question", kQuestionSeries, "questions/s, all nodes", questions,
+              "state requests/s", requests);
 
-  m.add("leader_cores_per_submission", kSubmissions, "submissions/s, one task each", submissions,
-        "leader beyond reports, cores", beyond_reports);
-  m.add("follower_cores_per_submission", kSubmissions, "submissions/s, one task each", submissions,
-        "follower, cores", follower_cores);
-  m.add("puts_per_submission", kSubmissions, "submissions/s, one task each", submissions, "puts/s", puts);
-  m.add("state_requests_per_submission", kSubmissions, "submissions/s, one task each", submissions,
-        "state requests/s", requests);
-  return m.take();
+  builder.add("leader_cores_per_submission", kSubmissionSeries, "submissions/s, one task each", submissions,
+              "leader beyond reports, cores", beyond_reports);
+  builder.add("follower_cores_per_submission", kSubmissionSeries, "submissions/s, one task each", submissions,
+              "follower, cores", follower_cores);
+  builder.add("puts_per_submission", kSubmissionSeries, "submissions/s, one task each", submissions, "puts/s",
+              puts);
+  builder.add("state_requests_per_submission", kSubmissionSeries, "submissions/s, one task each", submissions,
+              "state requests/s", requests);
+  return builder.take();
 }
 
 Drivers drivers_of(const CellResult& r) {
@@ -225,8 +237,8 @@
   Prediction p;
   const auto slope = [&](const char* name) { return slope_of(s, name); };
   const auto base = [&](const char* name) { return base_of(s, name); };
-  p.reports =
-      std::min(d.workers / d.report_s + slope("reports_per_start") * d.starts, d.workers / kMinReportGap);
+  p.reports = std::min(d.workers / d.report_s + slope("reports_per_start") * d.starts,
+                       d.workers / kMinReportIntervalSeconds);
   p.leader_cores = base("leader_cores_per_report") + slope("leader_cores_per_report") * p.reports +
                    slope("leader_cores_per_start") * d.starts + slope("leader_cores_per_claim") * d.claims +
                    slope("leader_cores_per_live_job") * d.live_jobs +
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -1,5 +1,5 @@
-// The scale run's own reckoning: lines through points, sizes that are divided or refused, what travels
-// between its processes, predictions. The runs themselves are the lab's, in real time.
+// Tests of the computations of scale runs: line fits, division and limits of sizes, JSON of the results, and
+// predictions. They start no scale run, because a run takes place in real time.
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -15,43 +15,43 @@
 
 constexpr MachineSize kMachine{16000, 8};
 
-void expect_refused(const ScaleOptions& options, const std::string& field) {
+void expect_rejected(const ScaleOptions& options, const std::string& field) {
   try {
     check_fits(divide(options), kMachine);
-    FAIL() << field << " was taken";
+    FAIL() << field << " was accepted";
   } catch (const ScaleError& e) {
     EXPECT_TRUE(std::string(e.what()).starts_with(field)) << e.what();
   }
 }
 
-RC_GTEST_PROP(ScaleFit, FindsTheLineThatPointsLieOn, ()) {
+RC_GTEST_PROP(LinearFitTest, RecoversSlopeAndBaseOfCollinearPoints, ()) {
   const int slope = *rc::gen::inRange(-1000, 1000);
   const int base = *rc::gen::inRange(-1000, 1000);
   const auto xs = *rc::gen::unique<std::vector<int>>(rc::gen::inRange(-500, 500));
   RC_PRE(xs.size() >= 3);
   std::vector<Point> points;
   for (int x : xs) points.push_back({double(x), double(slope) * x + base});
-  const LinearFit f = fit_line(points);
-  RC_ASSERT(std::abs(f.slope - slope) < 1e-6);
-  RC_ASSERT(std::abs(f.base - base) < 1e-4);
-  RC_ASSERT(f.fit > 1 - 1e-9);
-  RC_ASSERT(!f.worse_than_linear);
+  const LinearFit fit = fit_line(points);
+  RC_ASSERT(std::abs(fit.slope - slope) < 1e-6);
+  RC_ASSERT(std::abs(fit.base - base) < 1e-4);
+  RC_ASSERT(fit.fit > 1 - 1e-9);
+  RC_ASSERT(!fit.worse_than_linear);
 }
 
-TEST(ScaleFit, SaysWhatGrowsFasterThanALine) {
+TEST(LinearFitTest, DetectsGrowthFasterThanLinear) {
   EXPECT_TRUE(fit_line({{1, 1}, {2, 4}, {3, 9}, {4, 16}}).worse_than_linear);
   EXPECT_FALSE(fit_line({{1, 1}, {2, 1.5}, {3, 1.8}, {4, 2}}).worse_than_linear);
   EXPECT_FALSE(fit_line({{1, 5}, {2, 5}, {3, 5}}).worse_than_linear);
   EXPECT_GT(fit_line({{1, 1}, {2, 4}, {3, 9}, {4, 16}}).residual, 0.05);
 }
 
-TEST(ScaleFit, OfNothingAndOfOnePointIsNoSlope) {
+TEST(LinearFitTest, HasZeroSlopeWithFewerThanTwoDifferentX) {
   EXPECT_EQ(fit_line({}).points, 0U);
   EXPECT_EQ(fit_line({{3, 7}}).slope, 0);
   EXPECT_EQ(fit_line({{3, 7}, {3, 9}}).slope, 0);
 }
 
-RC_GTEST_PROP(ScaleOptions, DivideIntoCellsThatAddUp, ()) {
+RC_GTEST_PROP(ScaleOptionsTest, DividesWorkersAndStartsAmongCells, ()) {
   ScaleOptions o;
   o.zones = *rc::gen::inRange(1, 20);
   o.workers = *rc::gen::inRange(o.zones, 3000);
@@ -62,7 +62,7 @@
   for (const CellLoad& c : divide(o)) {
     RC_ASSERT(c.workers >= 1);
     RC_ASSERT(c.port >= next_port);
-    // Every machine's port, and those of the controllers.
+    // A cell needs at least one port per machine and 200 ports for its controllers.
     next_port = c.port + 200 + c.workers;
     workers += c.workers;
     starts += c.starts_per_second;
@@ -71,54 +71,54 @@
   RC_ASSERT(std::abs(starts - o.starts_per_second) < 1e-6);
 }
 
-TEST(ScaleOptions, RefuseWhatCannotBe) {
+TEST(ScaleOptionsTest, RejectsOptionsOutOfRange) {
   ScaleOptions o;
   o.zones = 0;
-  expect_refused(o, "--zones");
+  expect_rejected(o, "--zones");
   o = {};
   o.workers = 3;
   o.zones = 4;
-  expect_refused(o, "--workers");
+  expect_rejected(o, "--workers");
   o = {};
   o.starts_per_second = -1;
-  expect_refused(o, "--starts");
+  expect_rejected(o, "--starts");
   o = {};
   o.starts_per_second = std::nan("");
-  expect_refused(o, "--starts");
+  expect_rejected(o, "--starts");
   o = {};
   o.report_s = 0;
-  expect_refused(o, "--report");
+  expect_rejected(o, "--report");
   o = {};
   o.state_puts = 0;
-  expect_refused(o, "--state-puts");
+  expect_rejected(o, "--state-puts");
   o = {};
   o.state_requests = 1;
-  expect_refused(o, "--state-requests");
+  expect_rejected(o, "--state-requests");
   o = {};
   o.seconds = 1;
-  expect_refused(o, "--seconds");
+  expect_rejected(o, "--seconds");
 }
 
-TEST(ScaleOptions, RefuseWhatThisMachineCannotHold) {
+TEST(ScaleOptionsTest, RejectsRunThatExceedsMachineLimits) {
   ScaleOptions o;
   o.workers = 640;
   o.zones = 64;
   o.controllers = 9;
-  expect_refused(o, "--zones, --controllers: 641 processes");
+  expect_rejected(o, "--zones, --controllers: 641 processes");
   o = {};
   o.workers = 20000;
   o.zones = 1;
-  expect_refused(o, "--workers, --port");
+  expect_rejected(o, "--workers, --port");
   try {
     check_fits(divide(ScaleOptions{}), MachineSize{100, 8});
-    FAIL() << "more than half of the memory was taken";
+    FAIL() << "a run that needs more than half of the memory was accepted";
   } catch (const ScaleError& e) {
     EXPECT_NE(std::string(e.what()).find("more than half of this machine's 100 MB"), std::string::npos)
         << e.what();
   }
 }
 
-TEST(ScaleOptions, TheFullSizeFitsAMachineOf24Gb) {
+TEST(ScaleOptionsTest, AcceptsFullSizeOnMachineWith24Gb) {
   ScaleOptions o;
   o.workers = 11000;
   o.zones = 9;
@@ -129,7 +129,7 @@
   EXPECT_EQ(needs_of(cells).processes, 37);
 }
 
-RC_GTEST_PROP(ScaleResult, SurvivesTheWayBetweenProcesses, ()) {
+RC_GTEST_PROP(CellResultTest, RoundTripsThroughJson, ()) {
   CellResult r;
   r.load.workers = *rc::gen::inRange(1, 10000);
   r.load.name = "zone-7";
@@ -138,13 +138,13 @@
   r.starts = *rc::gen::inRange(0, 1000);
   r.start_wait = waits_of({3, 1, 2});
   r.broken = {"ran_twice: here"};
-  const auto back = nlohmann::json(r).get<CellResult>();
-  RC_ASSERT(nlohmann::json(back) == nlohmann::json(r));
-  RC_ASSERT(back.start_wait.p50 == 2);
+  const auto parsed = nlohmann::json(r).get<CellResult>();
+  RC_ASSERT(nlohmann::json(parsed) == nlohmann::json(r));
+  RC_ASSERT(parsed.start_wait.p50 == 2);
 }
 
-/// Cells whose leader costs a known amount by report and start.
-std::vector<CellResult> known_cells() {
+/// Returns results in which each report and each start has a known cost for the leader.
+std::vector<CellResult> cells_with_known_costs() {
   SlopeOptions options;
   std::vector<CellResult> results;
   for (const CellLoad& load : slope_cells(options)) {
@@ -162,8 +162,8 @@
   return results;
 }
 
-TEST(ScaleSlopes, AreFoundAndPredictOtherSizes) {
-  const Slopes s = slopes_of(known_cells());
+TEST(SlopesTest, PredictsUsageOfOtherSizes) {
+  const Slopes s = slopes_of(cells_with_known_costs());
   EXPECT_NEAR(s.at("leader_cores_per_report").fit.slope, 0.0001, 1e-9);
   EXPECT_NEAR(s.at("leader_cores_per_start").fit.slope, 0.0003, 1e-9);
   EXPECT_NEAR(s.at("reports_per_start").fit.slope, 2, 1e-9);
@@ -172,12 +172,12 @@
   EXPECT_NEAR(p.reports, 2600, 1e-6);
   EXPECT_NEAR(p.leader_cores, 0.01 + 0.26 + 0.09, 1e-6);
   EXPECT_NEAR(p.leader_memory_mb, 48, 1e-6);
-  // Workers report no more often than every half second, however much starts.
+  // A worker sends at most one report per half second, regardless of the rate of starts.
   EXPECT_NEAR(predict(s, {100, 1, 10000, 0, 0, 0, 0}).reports, 200, 1e-6);
 }
 
-TEST(ScaleSlopes, LeaveOutCellsThatWereNotMeasuredOrChangedTheirLeader) {
-  auto cells = known_cells();
+TEST(SlopesTest, ExcludesCellsWithErrorOrLeaderChange) {
+  auto cells = cells_with_known_costs();
   cells[0].error = "no controller leads";
   cells[0].controllers[0].cores = 1000;
   cells[1].one_leader = false;
@@ -185,8 +185,8 @@
   EXPECT_NEAR(slopes_of(cells).at("leader_cores_per_report").fit.slope, 0.0001, 1e-9);
 }
 
-TEST(ScaleSlopes, AreReadBackAndAnythingElseIsRefused) {
-  const Slopes s = slopes_of(known_cells());
+TEST(SlopesTest, ReadsWrittenFileAndRejectsInvalidFiles) {
+  const Slopes s = slopes_of(cells_with_known_costs());
   const std::string file = testing::TempDir() + "/slopes.json";
   std::ofstream(file) << slopes_json(s);
   EXPECT_EQ(slopes_json(read_slopes(file)), slopes_json(s));
@@ -197,32 +197,32 @@
   EXPECT_THROW(read_slopes(file + ".none"), ScaleError);
 }
 
-TEST(ScaleReport, FailsForABrokenRuleAMissedAimAndACellWithoutMeasurement) {
-  CellResult good;
-  good.load.starts_per_second = good.starts = 100;
-  good.asked = 1000;
-  good.in_vain = 5;
-  good.urgent_start_wait = waits_of({1, 2});
-  good.change_wait = waits_of({3});
-  EXPECT_FALSE((ScaleReport{{good}, {}}.failed()));
-  CellResult broken = good;
-  broken.broken = {"quota: too much"};
-  EXPECT_TRUE((ScaleReport{{good, broken}, {}}.failed()));
-  CellResult late = good;
+TEST(ScaleReportTest, FailsOnInvariantViolationMissedObjectiveOrUnmeasuredCell) {
+  CellResult passing;
+  passing.load.starts_per_second = passing.starts = 100;
+  passing.asked = 1000;
+  passing.in_vain = 5;
+  passing.urgent_start_wait = waits_of({1, 2});
+  passing.change_wait = waits_of({3});
+  EXPECT_FALSE((ScaleReport{{passing}, {}}.failed()));
+  CellResult violating = passing;
+  violating.broken = {"quota: too much"};
+  EXPECT_TRUE((ScaleReport{{passing, violating}, {}}.failed()));
+  CellResult late = passing;
   late.urgent_start_wait = waits_of({3, 3, 3});
-  EXPECT_TRUE((ScaleReport{{good, late}, {}}.failed()));
-  CellResult vain = good;
-  vain.in_vain = 50;
-  EXPECT_TRUE((ScaleReport{{vain}, {}}.failed()));
-  CellResult slow = good;
+  EXPECT_TRUE((ScaleReport{{passing, late}, {}}.failed()));
+  CellResult failing_requests = passing;
+  failing_requests.in_vain = 50;
+  EXPECT_TRUE((ScaleReport{{failing_requests}, {}}.failed()));
+  CellResult slow = passing;
   slow.starts = 50;
   EXPECT_TRUE((ScaleReport{{slow}, {}}.failed()));
-  CellResult silent = good;
-  silent.error = "no controller leads";
-  EXPECT_TRUE((ScaleReport{{silent}, {}}.failed()));
+  CellResult unmeasured = passing;
+  unmeasured.error = "no controller leads";
+  EXPECT_TRUE((ScaleReport{{unmeasured}, {}}.failed()));
 }
 
-TEST(ScaleReport, SaysWhenTheMachineLimits) {
+TEST(ScaleReportTest, ReportsMachineLimit) {
   CellResult c;
   EXPECT_EQ((ScaleReport{{c}, {}}.machine_limit()), "");
   c.machine_busy = 0.97;
