--- a/apps/wrenusher-testbed/main.cpp
+++ b/apps/wrenusher-testbed/main.cpp
@@ -1,4 +1,4 @@
-// wrenusher-testbed: a lab on loopback with real controllers, experiments in simulated time, and a
+// wrenusher-testbed: runs a testbed on loopback with real controllers, experiments in simulated time, and a
 // demonstration.
 
 #include <spdlog/spdlog.h>
@@ -28,17 +28,17 @@
 
 constexpr int kBadInput = 2;
 constexpr int kFailed = 1;
-constexpr int kPort = 7400;
+constexpr int kDefaultPort = 7400;
 
-testbed::Site site_of(const std::string& file) {
+testbed::Site read_site(const std::string& file) {
   return file.empty() ? testbed::parse_site(testbed::small_site_yaml(), "built-in site")
                       : testbed::load_site(file);
 }
 
-/// Calls `f` once at the first SIGINT, SIGTERM or SIGHUP.
-class Signals {
+/// Calls `on_signal` once, at the first SIGINT, SIGTERM or SIGHUP.
+class SignalWatcher {
  public:
-  Signals(UvRuntime& runtime, std::function<void()> f) : f_(std::move(f)) {
+  SignalWatcher(UvRuntime& runtime, std::function<void()> on_signal) : on_signal_(std::move(on_signal)) {
     const int numbers[] = {SIGINT, SIGTERM, SIGHUP};
     for (int i = 0; i < 3; ++i) {
       uv_signal_init(runtime.loop(), &handles_[i]);
@@ -46,7 +46,8 @@
       uv_signal_start(
           &handles_[i],
           [](uv_signal_t* h, int) {
-            if (auto once = std::exchange(static_cast<Signals*>(h->data)->f_, nullptr)) once();
+            if (auto callback = std::exchange(static_cast<SignalWatcher*>(h->data)->on_signal_, nullptr))
+              callback();
           },
           numbers[i]);
     }
@@ -54,7 +55,7 @@
 
  private:
   uv_signal_t handles_[3]{};
-  std::function<void()> f_;
+  std::function<void()> on_signal_;
 };
 
 // ---------------------------------------------------------------- up
@@ -62,158 +63,167 @@
 int up(const testbed::TestbedOptions& options) {
   wrenusher::net::raise_open_file_limit(testbed::kTestbedSockets);
   UvRuntime runtime(testbed::kTestbedSockets, testbed::kTestbedPool);
-  testbed::LiveTestbed l(runtime, options);
-  Signals signals(runtime, [&] {
+  testbed::LiveTestbed live_testbed(runtime, options);
+  SignalWatcher signals(runtime, [&] {
     std::cout << "stopping" << std::endl;
-    l.stop([&] { runtime.stop(); });
+    live_testbed.stop([&] { runtime.stop(); });
   });
-  struct Wait {
-    UvRuntime* rt;
-    testbed::LiveTestbed* l;
+  struct PrintWhenReady {
+    UvRuntime* uv_runtime;
+    testbed::LiveTestbed* live_testbed;
     void operator()() const {
-      if (!l->ready()) {
-        rt->after(from_millis(100), *this);
+      if (!live_testbed->ready()) {
+        uv_runtime->after(from_millis(100), *this);
         return;
       }
-      std::cout << "lab '" << l->options().site.name << "' is up, " << l->leader() << " leads\n"
-                << "  users    http://" << l->client_endpoint()
-                << "  (PROTOCOL's requests in CBOR, through the balancer)\n"
-                << "  control  http://" << l->control() << "\n";
-      for (int i = 0; i < l->options().controllers; ++i)
-        std::cout << "  c" << i << "       http://" << l->client(i) << "  log " << l->log_of(i) << "\n";
+      std::cout << "testbed '" << live_testbed->options().site.name
+                << "' is up, leader: " << live_testbed->leader() << "\n"
+                << "  users    http://" << live_testbed->client_endpoint()
+                << "  (client requests in CBOR as in PROTOCOL, through the balancer)\n"
+                << "  control  http://" << live_testbed->control() << "\n";
+      for (int i = 0; i < live_testbed->options().controllers; ++i)
+        std::cout << "  c" << i << "       http://" << live_testbed->client(i) << "  log "
+                  << live_testbed->log_of(i) << "\n";
       std::cout << "try: wrenusher-testbed submit "
-                << (l->options().site.classes.empty() ? "CLASS" : l->options().site.classes.front().name)
-                << (l->options().port == kPort ? "" : " --port " + std::to_string(l->options().port))
+                << (live_testbed->options().site.classes.empty()
+                        ? "CLASS"
+                        : live_testbed->options().site.classes.front().name)
+                << (live_testbed->options().port == kDefaultPort
+                        ? ""
+                        : " --port " + std::to_string(live_testbed->options().port))
                 << "\nstop with Ctrl-C" << std::endl;
     }
   };
-  Wait{&runtime, &l}();
+  PrintWhenReady{&runtime, &live_testbed}();
   runtime.run();
   return 0;
 }
 
 // ---------------------------------------------------------------- demo
 
-/// A mixed day in real time: arrays, a gang, a service, a withdrawal, a refused job; the leader killed in the
-/// middle.
+/// Runs a mixed workload in real time: arrays, a gang, a service, withdrawals and a refused job. The leader
+/// is killed partway through.
 class Demo {
  public:
-  Demo(UvRuntime& runtime, testbed::LiveTestbed& l) : runtime_(runtime), l_(l) {}
+  Demo(UvRuntime& runtime, testbed::LiveTestbed& live_testbed)
+      : runtime_(runtime), live_testbed_(live_testbed) {}
 
   void start() {
-    began_ = runtime_.now();
-    wait();
+    started_at_ = runtime_.now();
+    wait_for_leader();
   }
   int result() const { return result_; }
 
  private:
-  static constexpr Micros kLong = from_seconds(100);
+  static constexpr Micros kMaxDuration = from_seconds(100);
 
-  void say(const std::string& what) {
-    std::printf("%5.1f s  %s\n", to_seconds(runtime_.now() - began_), what.c_str());
+  void print(const std::string& text) {
+    std::printf("%5.1f s  %s\n", to_seconds(runtime_.now() - started_at_), text.c_str());
     std::fflush(stdout);
   }
 
-  void wait() {
-    if (!l_.ready()) {
-      if (runtime_.now() - began_ > from_seconds(20)) {
-        say("no controller leads after 20 s; see " + l_.log_of(0));
+  void wait_for_leader() {
+    if (!live_testbed_.ready()) {
+      if (runtime_.now() - started_at_ > from_seconds(20)) {
+        print("no leader after 20 s; see " + live_testbed_.log_of(0));
         finish(1);
         return;
       }
-      runtime_.after(from_millis(100), [this] { wait(); });
+      runtime_.after(from_millis(100), [this] { wait_for_leader(); });
       return;
     }
-    say(l_.leader() + " leads");
+    print(live_testbed_.leader() + " is the leader");
     runtime_.after(from_seconds(2), [this] { submit(); });
   }
 
   void submit() {
     std::vector<std::string> builds;
-    for (int i = 0; i < 6; ++i) builds.push_back(l_.submit("builds"));
-    for (int i = 0; i < 4; ++i) l_.submit("fixes");
-    l_.submit("training");
-    service_ = l_.submit("watch");
-    testbed::SimulatedJob never =
-        testbed::draw_job(l_.options().site, l_.options().site.classes.front(), 1, runtime_.random());
-    never.spec.job_id = "req-1";
-    never.spec.team = "nobody";
-    l_.submit(never);
-    say("submitted 6 builds, 4 fixes, a gang, a service, and a job of a team that does not exist");
+    for (int i = 0; i < 6; ++i) builds.push_back(live_testbed_.submit("builds"));
+    for (int i = 0; i < 4; ++i) live_testbed_.submit("fixes");
+    live_testbed_.submit("training");
+    service_ = live_testbed_.submit("watch");
+    testbed::SimulatedJob refused_job = testbed::draw_job(
+        live_testbed_.options().site, live_testbed_.options().site.classes.front(), 1, runtime_.random());
+    refused_job.spec.job_id = "req-1";
+    refused_job.spec.team = "nobody";
+    live_testbed_.submit(refused_job);
+    print("submitted 6 builds, 4 fixes, a gang, a service, and a job of a team that does not exist");
     runtime_.after(from_seconds(4), [this, job_id = builds.back()] {
-      l_.cancel(job_id);
-      say("withdrew " + job_id);
+      live_testbed_.cancel(job_id);
+      print("withdrew " + job_id);
     });
     runtime_.after(from_seconds(10), [this] {
-      for (int i = 0; i < 3; ++i) l_.submit("fixes");
-      say("submitted 3 fixes more; " + l_.perform({"kill", "leader", "8s"}));
+      for (int i = 0; i < 3; ++i) live_testbed_.submit("fixes");
+      print("submitted 3 more fixes; " + live_testbed_.perform({"kill", "leader", "8s"}));
     });
     runtime_.after(from_seconds(30), [this] {
-      l_.cancel(service_);
-      say("withdrew the service " + service_);
+      live_testbed_.cancel(service_);
+      print("withdrew the service " + service_);
     });
-    runtime_.after(from_seconds(32), [this] { watch(); });
-    progress();
+    runtime_.after(from_seconds(32), [this] { wait_for_end(); });
+    print_progress();
   }
 
-  void progress() {
-    if (over_) return;
-    const auto s = l_.status();
+  void print_progress() {
+    if (finished_) return;
+    const auto s = live_testbed_.status();
     std::string jobs;
     for (const auto& [state, n] : *s["jobs"].map())
       jobs += " " + std::to_string(n.count().value_or(0)) + " " + state;
-    say((l_.leader().empty() ? std::string("nobody") : l_.leader()) + " leads, " +
-        std::to_string(l_.machines().up().size()) + " machines, jobs:" + jobs);
-    runtime_.after(from_seconds(4), [this] { progress(); });
+    print((live_testbed_.leader().empty() ? std::string("none") : live_testbed_.leader()) +
+          " is the leader, " + std::to_string(live_testbed_.machines().up().size()) +
+          " machines, jobs:" + jobs);
+    runtime_.after(from_seconds(4), [this] { print_progress(); });
   }
 
-  void watch() {
-    const testbed::Verdict v = testbed::judge(l_.users(), l_.machines(), l_.checker());
-    if (v.lost > 0 && v.broken.empty() && runtime_.now() - began_ < kLong) {
-      runtime_.after(from_millis(500), [this] { watch(); });
+  void wait_for_end() {
+    const testbed::Verdict v =
+        testbed::judge(live_testbed_.users(), live_testbed_.machines(), live_testbed_.checker());
+    if (v.lost > 0 && v.broken.empty() && runtime_.now() - started_at_ < kMaxDuration) {
+      runtime_.after(from_millis(500), [this] { wait_for_end(); });
       return;
     }
-    over_ = true;
+    finished_ = true;
     std::cout << '\n'
-              << testbed::table(v) << l_.exit_count() << " controller ended, " << l_.terms()
-              << " terms of leadership\n";
+              << testbed::table(v) << live_testbed_.exit_count() << " controller exits, "
+              << live_testbed_.terms() << " terms of leadership\n";
     finish(v.good ? 0 : kFailed);
   }
 
   void finish(int result) {
-    over_ = true;
+    finished_ = true;
     result_ = result;
-    l_.stop([this] { runtime_.stop(); });
+    live_testbed_.stop([this] { runtime_.stop(); });
   }
 
   UvRuntime& runtime_;
-  testbed::LiveTestbed& l_;
-  Instant began_{};
+  testbed::LiveTestbed& live_testbed_;
+  Instant started_at_{};
   std::string service_;
-  bool over_ = false;
+  bool finished_ = false;
   int result_ = kFailed;
 };
 
 int demo(testbed::TestbedOptions options) {
-  options.site = site_of("");
+  options.site = read_site("");
   options.data.clear();
   wrenusher::net::raise_open_file_limit(testbed::kTestbedSockets);
   UvRuntime runtime(testbed::kTestbedSockets, testbed::kTestbedPool);
-  testbed::LiveTestbed l(runtime, options);
-  Demo d(runtime, l);
+  testbed::LiveTestbed live_testbed(runtime, options);
+  Demo d(runtime, live_testbed);
   bool interrupted = false;
-  Signals signals(runtime, [&] {
+  SignalWatcher signals(runtime, [&] {
     interrupted = true;
-    l.stop([&] { runtime.stop(); });
+    live_testbed.stop([&] { runtime.stop(); });
   });
   d.start();
   runtime.run();
   return interrupted ? kFailed : d.result();
 }
 
-// ---------------------------------------------------------------- asking a running lab
+// ---------------------------------------------------------------- requests to a running testbed
 
-int ask(int port, const Request& request, const std::function<int(const Value&)>& show) {
+int send_request(int port, const Request& request, const std::function<int(const Value&)>& show) {
   UvRuntime runtime(64);
   int result = kFailed;
   const Endpoint at = testbed::loopback(port + 1);
@@ -221,7 +231,7 @@
     const auto v = o.answered ? decode(o.response.body) : std::nullopt;
     if (!v) {
       std::cerr << "wrenusher-testbed: no lab answers at " << at
-                << "; start one with 'wrenusher-testbed up', or name its --port\n";
+                << "; start one with 'wrenusher-testbed up', or give its --port\n";
     } else if (o.response.status != 200) {
       std::cerr << "wrenusher-testbed: "
                 << ((*v)["error"].text() != nullptr ? *(*v)["error"].text() : "refused") << '\n';
@@ -235,22 +245,23 @@
   return result;
 }
 
-int act(int port, const std::vector<std::string>& words) {
+int run_command(int port, const std::vector<std::string>& words) {
   Value::List list;
   for (const std::string& w : words) list.emplace_back(w);
-  return ask(port, {"POST", "/act", encode(Value::Map{{"words", std::move(list)}})}, [](const Value& v) {
-    std::cout << (v["said"].text() != nullptr ? *v["said"].text() : "") << '\n';
-    return 0;
-  });
+  return send_request(port, {"POST", "/act", encode(Value::Map{{"words", std::move(list)}})},
+                      [](const Value& v) {
+                        std::cout << (v["said"].text() != nullptr ? *v["said"].text() : "") << '\n';
+                        return 0;
+                      });
 }
 
 int status(int port) {
-  return ask(port, {"GET", "/status", {}}, [](const Value& v) {
+  return send_request(port, {"GET", "/status", {}}, [](const Value& v) {
     const auto text = [&](const char* name) {
       return v[name].text() != nullptr ? *v[name].text() : std::string();
     };
-    std::cout << "site " << text("site") << ": " << (text("leader").empty() ? "nobody" : text("leader"))
-              << " leads, term " << v["terms"].count().value_or(0) << ", "
+    std::cout << "site " << text("site") << ": " << (text("leader").empty() ? "none" : text("leader"))
+              << " is the leader, term " << v["terms"].count().value_or(0) << ", "
               << v["machines"].count().value_or(0) << " machines up, " << v["keys"].count().value_or(0)
               << " keys\n";
     for (const Value& c : *v["controllers"].list())
@@ -259,7 +270,7 @@
     for (const auto& [state, n] : *v["jobs"].map())
       std::cout << "  jobs " << state << ": " << n.count().value_or(0) << '\n';
     if (!text("state_trouble").empty())
-      std::cout << "the state service keeps nothing: " << text("state_trouble") << '\n';
+      std::cout << "the state service cannot store changes: " << text("state_trouble") << '\n';
     for (const Value& b : *v["broken_rules"].list()) std::cout << "BROKEN " << *b.text() << '\n';
     return v["broken_rules"].list()->empty() ? 0 : kFailed;
   });
@@ -267,11 +278,11 @@
 
 // ---------------------------------------------------------------- experiments
 
-std::vector<testbed::DayResult> play(const testbed::Site& site, int seeds, int first) {
-  const bool bar = isatty(STDERR_FILENO) != 0;
+std::vector<testbed::DayResult> play_days(const testbed::Site& site, int seeds, int first) {
+  const bool show_progress = isatty(STDERR_FILENO) != 0;
   std::vector<testbed::DayResult> days;
   for (int i = 0; i < seeds; ++i) {
-    if (bar) {
+    if (show_progress) {
       const int done = 30 * i / seeds;
       std::cerr << "\r[" << std::string(static_cast<std::size_t>(done), '#')
                 << std::string(static_cast<std::size_t>(30 - done), ' ') << "] " << i << " of " << seeds
@@ -279,21 +290,21 @@
     }
     days.push_back(testbed::play_day(site, static_cast<std::uint64_t>(first + i)));
   }
-  if (bar) std::cerr << "\r\033[K";
+  if (show_progress) std::cerr << "\r\033[K";
   return days;
 }
 
 int day(const std::string& file, int seeds, int first, const std::string& json, const std::string& standby) {
-  testbed::Site site = site_of(file);
+  testbed::Site site = read_site(file);
   site.settings.tunables.warm_standby = standby != "off";
-  const std::vector<testbed::DayResult> days = play(site, seeds, first);
+  const std::vector<testbed::DayResult> days = play_days(site, seeds, first);
   if (standby == "both") {
-    // The same days with and without what a standby holds ready.
+    // Plays the same days again without the warm standby.
     testbed::Site cold = site;
     cold.settings.tunables.warm_standby = false;
-    const std::vector<testbed::DayResult> without = play(cold, seeds, first);
+    const std::vector<testbed::DayResult> without = play_days(cold, seeds, first);
     std::cout << "without a standby:\n"
-              << testbed::day_table(cold, without) << "\nfrom without to with:\n"
+              << testbed::day_table(cold, without) << "\nchange from without to with a standby:\n"
               << testbed::comparison_table(testbed::compare_days(without, days)) << "\nwith a standby:\n";
   }
   if (json == "-") {
@@ -311,7 +322,7 @@
 int compare(const std::string& a, const std::string& b) {
   const testbed::Comparison c = testbed::compare_days(testbed::read_days(testbed::read_text(a), a),
                                                       testbed::read_days(testbed::read_text(b), b));
-  if (c.pairs == 0) throw testbed::SiteError(a + " and " + b + ": no two days have the same seed");
+  if (c.pairs == 0) throw testbed::SiteError(a + " and " + b + ": no days with the same seed");
   std::cout << testbed::comparison_table(c);
   return 0;
 }
@@ -325,7 +336,8 @@
     return testbed::run_cell(argv[2], argv[3]);
   }
   CLI::App app{
-      "wrenusher-testbed: a lab for wrenusher. Starts everything that the service talks to on this machine, "
+      "wrenusher-testbed: a testbed for wrenusher. Starts everything that the service talks to on this "
+      "machine, "
       "or plays "
       "days in simulated time."};
   app.require_subcommand(1);
@@ -334,87 +346,93 @@
   std::error_code ignored;
   options.program =
       (std::filesystem::read_symlink("/proc/self/exe", ignored).parent_path() / "wrenusher").string();
-  options.port = kPort;
+  options.port = kDefaultPort;
   std::string site;
   int machines = -1;
 
-  auto* c_up = app.add_subcommand("up", "start a lab and keep it running until Ctrl-C");
+  auto* c_up = app.add_subcommand("up", "start a testbed and keep it running until Ctrl-C");
   auto* c_demo = app.add_subcommand("demo",
-                                    "a mixed day of under two minutes with the leader killed in the middle; "
+                                    "run a mixed workload for under two minutes and kill the leader partway; "
                                     "exit code 0 if nothing is lost");
   for (auto* c : {c_up, c_demo}) {
-    c->add_option("--wrenusher", options.program, "the program to run (beside this one)");
-    c->add_option("--controllers", options.controllers, "how many controllers (3)")->check(CLI::Range(1, 9));
-    c->add_option("--port", options.port, "first of the ports used (7400)")->check(CLI::Range(1024, 60000));
+    c->add_option("--wrenusher", options.program,
+                  "path of the controller's executable (wrenusher in this program's folder)");
+    c->add_option("--controllers", options.controllers, "number of controllers (3)")->check(CLI::Range(1, 9));
+    c->add_option("--port", options.port, "first port to use (7400)")->check(CLI::Range(1024, 60000));
   }
-  c_up->add_option("--site", site, "site file (YAML); a small built-in one otherwise");
+  c_up->add_option("--site", site, "site file (YAML); default: a small built-in site");
   c_up->add_option("--machines", machines, "machines that are up from the start")->check(CLI::Range(0, 500));
-  c_up->add_option("--speed", options.speed, "how many times as fast machines boot, fetch and work (1)")
+  c_up->add_option("--speed", options.speed, "factor by which machines boot, fetch and work faster (1)")
       ->check(CLI::Range(0.1, 100.0));
-  c_up->add_option("--data", options.data,
-                   "folder in which the state service keeps its keys; nothing outlives the lab otherwise");
+  c_up->add_option(
+      "--data", options.data,
+      "folder in which the state service stores its keys; default: nothing is kept after the testbed stops");
 
   std::string file;
   std::string json;
   int seeds = 1;
   int first = 1;
   std::string standby = "on";
-  auto* c_day = app.add_subcommand("day", "play a site's day in simulated time, with the rules' checker on");
-  c_day->add_option("FILE", file, "site file (YAML); a small built-in one otherwise");
-  c_day->add_option("--seeds", seeds, "how many days, each with another seed (1)")
+  auto* c_day = app.add_subcommand("day", "play a site's day in simulated time and check the rules");
+  c_day->add_option("FILE", file, "site file (YAML); default: a small built-in site");
+  c_day->add_option("--seeds", seeds, "number of days, each with its own seed (1)")
       ->check(CLI::Range(1, 10000));
   c_day->add_option("--first", first, "the first seed (1)")->check(CLI::Range(1, 1000000));
   c_day
-      ->add_option("--standby", standby, "on (default), off, or both: the same days without and with, paired")
+      ->add_option(
+          "--standby", standby,
+          "on (default), off, or both: play the same days without and with a standby and compare them")
       ->check(CLI::IsMember({"on", "off", "both"}));
-  c_day->add_option(
-      "--json", json,
-      "also write all figures of all days to this file; -: to standard output, in place of the table");
+  c_day->add_option("--json", json,
+                    "also write all figures of all days to this file; '-' prints them instead of the table");
 
   std::string file_a;
   std::string file_b;
   auto* c_compare = app.add_subcommand(
-      "compare", "pair two results of 'day --json' by seed and say what moved beyond the spread");
+      "compare", "pair two results of 'day --json' by seed and show which differences exceed the spread");
   c_compare->add_option("A", file_a, "before")->required();
   c_compare->add_option("B", file_b, "after")->required();
 
-  const testbed::ScaleCommands scale_commands(app, options.program, kPort);
+  const testbed::ScaleCommands scale_commands(app, options.program, kDefaultPort);
 
   auto* c_status =
-      app.add_subcommand("status", "what a running lab is doing; exit code 1 once a rule is broken");
-  const std::vector<std::pair<const char*, const char*>> acts = {
-      {"kill", "kill c0|leader [1s]: a controller ends, and is started again after that time"},
+      app.add_subcommand("status", "show the state of a running testbed; exit code 1 if a rule was broken");
+  const std::vector<std::pair<const char*, const char*>> commands = {
+      {"kill", "kill c0|leader [1s]: a controller is killed and restarts after that time"},
       {"cut",
-       "cut A B [hold|reset]: two parties (c0, state, cloud, user, m-3), 'all', or 'zone' and its name"},
-      {"heal", "heal: all links, the state service and the cloud are whole again"},
-      {"outage", "outage state|cloud|c0 [10s]: of all, or of the state service for one controller"},
-      {"take", "take m-3 [20s]: a spot machine is taken back after a notice"},
-      {"die", "die m-3: a machine stops with all that is on it"},
-      {"hang", "hang m-3 [10s]"},
-      {"submit", "submit CLASS [N]: jobs of a class of the site"},
-      {"withdraw", "withdraw REF"},
-      {"jobs", "the jobs submitted so far and what their users were told"}};
+       "cut A B [hold|reset]: disconnect two parties (c0, state, cloud, user, m-3), 'c0 all', or 'zone' and "
+       "its name"},
+      {"heal", "heal: restore all links, the state service and the cloud"},
+      {"outage",
+       "outage state|cloud|c0 [10s]: of the state service, of the cloud, or of the state service for one "
+       "controller"},
+      {"take", "take m-3 [20s]: reclaim a spot machine after a notice"},
+      {"die", "die m-3: a machine stops with all its tasks"},
+      {"hang", "hang m-3 [10s]: a machine stops responding for that time"},
+      {"submit", "submit CLASS [N]: submit N jobs (1) of a class of the site"},
+      {"withdraw", "withdraw REF: withdraw a job"},
+      {"jobs", "list the jobs submitted so far and the states last reported to their users"}};
   std::vector<std::string> words;
-  std::vector<CLI::App*> c_acts;
-  for (const auto& [name, help] : acts) {
+  std::vector<CLI::App*> command_apps;
+  for (const auto& [name, help] : commands) {
     auto* c = app.add_subcommand(name, help);
-    c->add_option("words", words, "see above");
-    c_acts.push_back(c);
+    c->add_option("words", words, "arguments of the command");
+    command_apps.push_back(c);
   }
-  for (auto* c : c_acts) c->add_option("--port", options.port, "first port of the lab (7400)");
-  c_status->add_option("--port", options.port, "first port of the lab (7400)");
+  for (auto* c : command_apps) c->add_option("--port", options.port, "first port of the testbed (7400)");
+  c_status->add_option("--port", options.port, "first port of the testbed (7400)");
 
   try {
     app.parse(argc, argv);
   } catch (const CLI::ParseError& e) {
     return app.exit(e) == 0 ? 0 : kBadInput;
   }
-  // The controllers in simulated time log as the daemon does, to be seen only when asked for.
+  // Controllers in simulated time log like the daemon; the output is off unless LOG_LEVEL is set.
   const char* level = std::getenv("LOG_LEVEL");
   spdlog::set_level(level != nullptr && *level != '\0' ? spdlog::level::from_str(level) : spdlog::level::off);
   try {
     if (*c_up) {
-      options.site = site_of(site);
+      options.site = read_site(site);
       if (machines >= 0) options.site.machines = machines;
       return up(options);
     }
@@ -423,15 +441,16 @@
     if (const auto code = scale_commands.run()) return *code;
     if (*c_compare) return compare(file_a, file_b);
     if (*c_status) return status(options.port);
-    for (auto* c : c_acts) {
+    for (auto* c : command_apps) {
       if (!*c) continue;
       words.insert(words.begin(), c->get_name());
-      return act(options.port, words);
+      return run_command(options.port, words);
     }
   } catch (const testbed::StorageDamaged& e) {
     std::cerr << "wrenusher-testbed: " << e.what() << '\n';
     return kFailed;
-  } catch (const std::exception& e) {  // a site file, a port, a missing program: one line
+  } catch (const std::exception& e) {
+    // For example, a bad site file, a port in use or a missing program; printed as one line.
     std::cerr << "wrenusher-testbed: " << e.what() << '\n';
     return kBadInput;
   }
--- a/apps/wrenusher-testbed/scale_commands.hpp
+++ b/apps/wrenusher-testbed/scale_commands.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// The commands of wrenusher-testbed that measure at size: `scale` and `slopes`.
+// The commands of wrenusher-testbed that measure large deployments: `scale` and `slopes`.
 
 #include <CLI/CLI.hpp>
 #include <optional>
@@ -11,11 +11,12 @@
 
 class ScaleCommands {
  public:
-  /// Adds the commands; the controllers run `wrenusher` unless --wrenusher names another program.
+  /// Adds the commands to `app`. `wrenusher` is the default path of the controller's executable, `port` the
+  /// default first port.
   ScaleCommands(CLI::App& app, const std::string& wrenusher, int port);
 
-  /// Runs the command that was asked for and gives its exit code; nothing where it was another one. Throws
-  /// ScaleError for what cannot be taken.
+  /// Runs the command that was parsed and returns its exit code; nullopt if it is none of these. Throws
+  /// ScaleError for invalid options and unreadable or unwritable files.
   std::optional<int> run() const;
 
  private:
@@ -27,7 +28,7 @@
   ScaleOptions options_;
   SlopeOptions slope_options_;
   bool full_ = false;
-  bool quiet_ = false;
+  bool no_failures_ = false;
   std::string slopes_file_ = "testbed/sites/slopes.json";
   std::string json_;
 };
--- a/bench/plan_bench.cpp
+++ b/bench/plan_bench.cpp
@@ -1,16 +1,17 @@
-// What a round costs, by the number of machines and of waiting jobs: the planner's board brought up to what
-// changed in book and machines, the plan, and its claims. One core; figures of one run are to be compared
-// with each other only.
+// Measures the time of a scheduling cycle by the number of machines and waiting jobs. A cycle applies the
+// changes of the job table and the machine inventory to the planner's state, plans, and makes the
+// assignments. It runs on one core; compare only figures of the same run.
 //
-//   cold_round/MACHINES/JOBS/LAYOUTS              all is read anew, as after a takeover
-//   round_after_one_change/MACHINES/JOBS/LAYOUTS  one task ended
-//   round_after_report/...                        one task has its image and runs
-//   round_after_new_job/...                       one job came
-//   round_after_lost_rack/...                     40 machines fell silent
+//   cold_round/MACHINES/JOBS/LAYOUTS              planner's state built from scratch, as after a failover
+//   round_after_one_change/MACHINES/JOBS/LAYOUTS  one task has ended
+//   round_after_report/...                        a report has changed the state of one task
+//   round_after_new_job/...                       one job was added
+//   round_after_lost_rack/...                     40 machines have stopped (or resumed) reporting
 //
-// A burst: 50 waiting tasks a job, one machine in 20 with room, the others full with four tasks each, every
-// machine with four of 200 images. LAYOUTS 1: one job in four spreads over racks of 40 machines. Counters:
-// what the plan looked at, and for cold rounds the board's bytes a machine.
+// The workload is a burst: each job has 50 waiting tasks, one machine in 20 is free, and the others are full
+// with four tasks each. Every machine has four images, drawn from 200 (a draw may repeat). With LAYOUTS 1,
+// one job in four spreads over racks of 40 machines. Counters: jobs, machines and future places that the plan
+// considered, and for cold rounds the bytes of planner state per machine.
 
 #include <benchmark/benchmark.h>
 #include <malloc.h>
@@ -34,18 +35,18 @@
 namespace records = wrenusher::records;
 namespace scheduling_cycle = wrenusher::scheduling_cycle;
 namespace topology = wrenusher::topology;
-using wrenusher::StillRuntime;
+using wrenusher::ManualClockRuntime;
 
-constexpr int kImages = 200;
-constexpr std::uint32_t kTasks = 50;
-constexpr std::size_t kFree = 20;
-constexpr std::uint32_t kOnEach = 4;
-constexpr std::uint32_t kRunning = 200;
-constexpr std::size_t kRack = 40;
+constexpr int kImageCount = 200;
+constexpr std::uint32_t kTasksPerJob = 50;
+constexpr std::size_t kFreeMachineInterval = 20;
+constexpr std::uint32_t kTasksPerMachine = 4;
+constexpr std::uint32_t kTasksPerRunningJob = 200;
+constexpr std::size_t kMachinesPerRack = 40;
 
-/// A leader's rooms in the middle of a burst.
+/// The scheduling state of a leader during a burst of jobs.
 struct Burst {
-  StillRuntime runtime;
+  ManualClockRuntime runtime;
   wrenusher::settings::Settings settings;
   estimates::Estimator estimator;
   machine_inventory::MachineInventory inventory{runtime, estimator};
@@ -53,11 +54,11 @@
   scheduling_cycle::SchedulingCycle cycle{runtime, settings, jobs, inventory, estimator};
   std::vector<std::pair<job_table::Job*, std::uint32_t>> running;
   std::map<std::string, std::pair<job_table::Job*, std::uint32_t>>
-      running_jobs;  ///< by type, and its next task
-  std::size_t made = 0;
+      running_jobs;  ///< by machine type: the job that fills the machines, and its next task
+  std::size_t added_jobs = 0;
   bool layouts;
 
-  Burst(std::size_t m, std::size_t j, bool with_layouts) : layouts(with_layouts) {
+  Burst(std::size_t machine_count, std::size_t job_count, bool with_layouts) : layouts(with_layouts) {
     settings.teams = {{"team", 0, 0, 0, 0}};
     auto catalog = std::make_shared<Catalog>();
     catalog->emplace(
@@ -69,19 +70,19 @@
         MachineType{
             "large", {to_amount(64), 0, to_amount(256)}, 60, 0.5, 4, 1.1, from_seconds(30), {"a", "b"}});
     inventory.set_catalog(catalog);
-    if (layouts) inventory.set_topology(racks(m));
+    if (layouts) inventory.set_topology(make_racks(machine_count));
     jobs.reset(1);
-    for (std::size_t i = 0; i < m; ++i) add_machine(i);
-    for (std::size_t i = 0; i < j; ++i) add_job(JobType::array, kTasks);
+    for (std::size_t i = 0; i < machine_count; ++i) add_machine(i);
+    for (std::size_t i = 0; i < job_count; ++i) add_job(JobType::array, kTasksPerJob);
   }
 
   int pick(int n) { return std::uniform_int_distribution<int>(0, n - 1)(runtime.random()); }
   static std::string name(std::size_t i) { return "m-" + std::to_string(1000000 + i); }
 
-  /// Racks by address.
-  static std::shared_ptr<const topology::Topology> racks(std::size_t m) {
+  /// Returns a topology that derives each machine's rack from its address; ten racks share a switch.
+  static std::shared_ptr<const topology::Topology> make_racks(std::size_t machine_count) {
     std::string yaml = "version: 1\nlevels: [switch, rack]\ndomains:\n";
-    for (std::size_t r = 0; r * kRack < m; ++r) {
+    for (std::size_t r = 0; r * kMachinesPerRack < machine_count; ++r) {
       if (r % 10 == 0) yaml += "  s" + std::to_string(r / 10) + ": {level: switch}\n";
       yaml += "  r" + std::to_string(r) + ": {level: rack, in: s" + std::to_string(r / 10) +
               ", machines: [{addr: 10." + std::to_string(r / 256) + "." + std::to_string(r % 256) +
@@ -91,29 +92,30 @@
   }
 
   void add_machine(std::size_t i) {
-    WorkerReport r;
-    r.host = name(i);
-    const std::size_t rack = i / kRack;
-    r.address = "10." + std::to_string(rack / 256) + "." + std::to_string(rack % 256) + "." +
-                std::to_string(i % kRack) + ":80";
-    r.machine_type = pick(2) == 0 ? "small" : "large";
-    r.zone = pick(2) == 0 ? "a" : "b";
-    r.spot = true;
-    r.incarnation = r.sequence = 1;
-    machine_inventory::Machine& m = inventory.get_or_add(r.host);
-    inventory.update_from_report(m, r, true);
-    for (int k = 0; k < 4; ++k) m.images["image-" + std::to_string(pick(kImages))] = 1;
-    if (i % kFree == 0) return;
-    // Full, with four tasks of a job that runs on some machines of its type.
-    auto& [current, next] = running_jobs[r.machine_type];
-    if (current == nullptr || next == kRunning) {
-      current = &add_job(JobType::array, kRunning, r.machine_type == "small" ? to_amount(4) : to_amount(16));
+    WorkerReport report;
+    report.host = name(i);
+    const std::size_t rack = i / kMachinesPerRack;
+    report.address = "10." + std::to_string(rack / 256) + "." + std::to_string(rack % 256) + "." +
+                     std::to_string(i % kMachinesPerRack) + ":80";
+    report.machine_type = pick(2) == 0 ? "small" : "large";
+    report.zone = pick(2) == 0 ? "a" : "b";
+    report.spot = true;
+    report.incarnation = report.sequence = 1;
+    machine_inventory::Machine& machine = inventory.get_or_add(report.host);
+    inventory.update_from_report(machine, report, true);
+    for (int k = 0; k < 4; ++k) machine.images["image-" + std::to_string(pick(kImageCount))] = 1;
+    if (i % kFreeMachineInterval == 0) return;
+    // The machine is filled with four tasks of a job whose tasks run on several machines of this type.
+    auto& [current, next] = running_jobs[report.machine_type];
+    if (current == nullptr || next == kTasksPerRunningJob) {
+      current = &add_job(JobType::array, kTasksPerRunningJob,
+                         report.machine_type == "small" ? to_amount(4) : to_amount(16));
       next = 0;
     }
     job_table::Job& job = *current;
-    for (std::uint32_t n = 0; n < kOnEach; ++n) {
+    for (std::uint32_t n = 0; n < kTasksPerMachine; ++n) {
       const std::uint32_t t = next++;
-      jobs.assign(job, t, m, 1, job_table::TaskState::recovered);
+      jobs.assign(job, t, machine, 1, job_table::TaskState::recovered);
       jobs.set_state(job, job.assignments.at(t), job_table::TaskState::running);
       job.assignments.at(t).running_since = runtime.now() - from_seconds(pick(40));
       running.emplace_back(&job, t);
@@ -123,18 +125,18 @@
   job_table::Job& add_job(JobType type, std::uint32_t tasks, Amount cores = 0) {
     records::JobRecord rec;
     JobSpec& spec = rec.spec;
-    spec.job_id = "req-" + std::to_string(10000000 + made++);
-    spec.job_class = "queue-" + std::to_string(made % 8);
+    spec.job_id = "req-" + std::to_string(10000000 + added_jobs++);
+    spec.job_class = "queue-" + std::to_string(added_jobs % 8);
     spec.team = "team";
     spec.type = type;
     spec.task_count = tasks;
     spec.resources = {cores > 0 ? cores : to_amount(1 + pick(8)), 0, to_amount(4)};
-    spec.image = "image-" + std::to_string(pick(kImages));
+    spec.image = "image-" + std::to_string(pick(kImageCount));
     spec.image_gb = 2;
     spec.spot_allowed = true;
     spec.expected_runtime = from_seconds(60 + pick(40));
     spec.deadline = from_seconds(60 + pick(300));
-    if (layouts && cores == 0 && made % 4 == 0)
+    if (layouts && cores == 0 && added_jobs % 4 == 0)
       spec.layout = Layout{Layout::Spread{"rack", 5, 0, true}, {}, {}};
     rec.accepted_at = runtime.wall_time() - from_seconds(pick(60));
     rec.tasks_per_block = 400;
@@ -142,8 +144,9 @@
     return jobs.add(ref, std::move(rec), 1);
   }
 
-  /// What the cold round placed has its image and runs.
-  void settle() {
+  /// Plans three more times, marks all placed tasks as running with their images fetched, and plans once
+  /// more.
+  void start_placed_tasks() {
     for (int i = 0; i < 3; ++i) plan();
     for (auto& [ref, job] : jobs.jobs()) {
       for (auto& [task, c] : job.assignments) {
@@ -158,13 +161,13 @@
   }
 
   double plan() {
-    const auto began = std::chrono::steady_clock::now();
+    const auto start = std::chrono::steady_clock::now();
     cycle.plan();
-    return std::chrono::duration<double>(std::chrono::steady_clock::now() - began).count();
+    return std::chrono::duration<double>(std::chrono::steady_clock::now() - start).count();
   }
 };
 
-std::unique_ptr<Burst> burst_of(const benchmark::State& state) {
+std::unique_ptr<Burst> make_burst(const benchmark::State& state) {
   spdlog::set_level(spdlog::level::off);
   return std::make_unique<Burst>(static_cast<std::size_t>(state.range(0)),
                                  static_cast<std::size_t>(state.range(1)), state.range(2) == 1);
@@ -178,7 +181,7 @@
 
 void cold_round(benchmark::State& state) {
   for (auto _ : state) {
-    const auto b = burst_of(state);
+    const auto b = make_burst(state);
     const std::size_t before = mallinfo2().uordblks;
     state.SetIterationTime(b->plan());
     state.counters["bytes_a_machine"] =
@@ -188,10 +191,10 @@
 }
 
 template <typename Change>
-void rounds_after(benchmark::State& state, Change change) {
-  const auto b = burst_of(state);
+void measure_rounds_after(benchmark::State& state, Change change) {
+  const auto b = make_burst(state);
   b->plan();
-  b->settle();
+  b->start_placed_tasks();
   for (auto _ : state) {
     b->runtime.clock += from_millis(200);
     change(*b);
@@ -201,7 +204,7 @@
 }
 
 void round_after_one_change(benchmark::State& state) {
-  rounds_after(state, [](Burst& b) {
+  measure_rounds_after(state, [](Burst& b) {
     const auto [job, task] = b.running.back();
     b.running.pop_back();
     b.jobs.finish_task(*job, task);
@@ -209,7 +212,7 @@
 }
 
 void round_after_report(benchmark::State& state) {
-  rounds_after(state, [](Burst& b) {
+  measure_rounds_after(state, [](Burst& b) {
     const auto [job, task] = b.running.back();
     b.running.pop_back();
     b.jobs.set_state(*job, job->assignments.at(task), job_table::TaskState::checkpointing);
@@ -217,22 +220,22 @@
 }
 
 void round_after_new_job(benchmark::State& state) {
-  rounds_after(state, [](Burst& b) { b.add_job(JobType::array, kTasks); });
+  measure_rounds_after(state, [](Burst& b) { b.add_job(JobType::array, kTasksPerJob); });
 }
 
 void round_after_lost_rack(benchmark::State& state) {
   std::size_t rack = 0;
-  rounds_after(state, [&rack, m = static_cast<std::size_t>(state.range(0))](Burst& b) {
-    for (std::size_t i = 0; i < kRack; ++i) {
-      machine_inventory::Machine& x = *b.inventory.find(Burst::name((rack * kRack + i) % m));
-      x.silent = !x.silent;
-      b.inventory.mark_changed(x);
+  measure_rounds_after(state, [&rack, m = static_cast<std::size_t>(state.range(0))](Burst& b) {
+    for (std::size_t i = 0; i < kMachinesPerRack; ++i) {
+      machine_inventory::Machine& machine = *b.inventory.find(Burst::name((rack * kMachinesPerRack + i) % m));
+      machine.silent = !machine.silent;
+      b.inventory.mark_changed(machine);
     }
     ++rack;
   });
 }
 
-void sizes(benchmark::internal::Benchmark* b) {
+void set_sizes(benchmark::internal::Benchmark* b) {
   b->UseManualTime()->Unit(benchmark::kMillisecond);
   for (const int layouts : {0, 1}) {
     b->Args({1000, 100, layouts})->Args({1000, 1000, layouts})->Args({10000, 100, layouts});
@@ -243,10 +246,10 @@
 
 }  // namespace
 
-BENCHMARK(cold_round)->Apply(sizes)->Iterations(3);
-BENCHMARK(round_after_one_change)->Apply(sizes)->Iterations(100);
-BENCHMARK(round_after_report)->Apply(sizes)->Iterations(100);
-BENCHMARK(round_after_new_job)->Apply(sizes)->Iterations(100);
-BENCHMARK(round_after_lost_rack)->Apply(sizes)->Iterations(20);
+BENCHMARK(cold_round)->Apply(set_sizes)->Iterations(3);
+BENCHMARK(round_after_one_change)->Apply(set_sizes)->Iterations(100);
+BENCHMARK(round_after_report)->Apply(set_sizes)->Iterations(100);
+BENCHMARK(round_after_new_job)->Apply(set_sizes)->Iterations(100);
+BENCHMARK(round_after_lost_rack)->Apply(set_sizes)->Iterations(20);
 
 BENCHMARK_MAIN();
--- a/bench/still_runtime.hpp
+++ b/bench/still_runtime.hpp
@@ -1,5 +1,6 @@
 #pragma once
-// A world for benchmarks: its clock stands still, nothing is sent or delivered.
+// A runtime for benchmarks. Its clock moves only when the benchmark sets it; posted callbacks, timers and
+// calls are discarded.
 
 #include <random>
 
@@ -10,7 +11,7 @@
 using namespace time;
 using namespace runtime;
 
-class StillRuntime : public Runtime {
+class ManualClockRuntime : public Runtime {
  public:
   Instant clock{from_seconds(1000)};
   Instant now() const override { return clock; }
--- a/src/config_reader/config_reader.cpp
+++ b/src/config_reader/config_reader.cpp
@@ -86,9 +86,9 @@
     const auto key = field.first.as<std::string>();
     if (known_fields_.contains(key)) continue;
     std::string names;
-    for (const std::string& known : known_fields_) {
+    for (const std::string& known_field : known_fields_) {
       if (!names.empty()) names += ", ";
-      names += known;
+      names += known_field;
     }
     std::string message = location_prefix(file_, field.first.Mark().line + 1);
     if (!name_.empty()) message += name_ + ": ";
@@ -169,7 +169,7 @@
 
 Micros ConfigNode::duration() const {
   const auto parsed = node_.IsScalar() ? parse_duration(node_.Scalar()) : std::nullopt;
-  if (!parsed) fail("must be a duration with a unit (ms, s, m or h), such as 30s");
+  if (!parsed) fail("must be a time with a unit (ms, s, m or h), such as 30s");
   return *parsed;
 }
 
--- a/src/protocol/messages.cpp
+++ b/src/protocol/messages.cpp
@@ -152,7 +152,7 @@
 };
 
 /// Returns whether the value is a map with no other fields than `allowed`. A misspelt layout field must be
-/// refused: if it was ignored, the job would run without the constraint.
+/// refused: if it were ignored, the job would run without the constraint.
 bool has_only_fields(const Value& value, std::initializer_list<std::string_view> allowed) {
   return value.map() != nullptr &&
          std::all_of(value.map()->begin(), value.map()->end(), [&](const Value::Field& field) {
--- a/src/value/value.cpp
+++ b/src/value/value.cpp
@@ -161,24 +161,18 @@
 
 cbor_callbacks make_callbacks() {
   cbor_callbacks callbacks = cbor_empty_callbacks;
-  callbacks.uint8 = [](void* context, std::uint8_t number) {
-    builder(context).add_scalar(std::uint64_t{number});
+  callbacks.uint8 = [](void* context, std::uint8_t n) { builder(context).add_scalar(std::uint64_t{n}); };
+  callbacks.uint16 = [](void* context, std::uint16_t n) { builder(context).add_scalar(std::uint64_t{n}); };
+  callbacks.uint32 = [](void* context, std::uint32_t n) { builder(context).add_scalar(std::uint64_t{n}); };
+  callbacks.uint64 = [](void* context, std::uint64_t n) { builder(context).add_scalar(n); };
+  callbacks.negint8 = [](void* context, std::uint8_t n) {
+    builder(context).add_scalar(-1 - std::int64_t{n});
   };
-  callbacks.uint16 = [](void* context, std::uint16_t number) {
-    builder(context).add_scalar(std::uint64_t{number});
+  callbacks.negint16 = [](void* context, std::uint16_t n) {
+    builder(context).add_scalar(-1 - std::int64_t{n});
   };
-  callbacks.uint32 = [](void* context, std::uint32_t number) {
-    builder(context).add_scalar(std::uint64_t{number});
-  };
-  callbacks.uint64 = [](void* context, std::uint64_t number) { builder(context).add_scalar(number); };
-  callbacks.negint8 = [](void* context, std::uint8_t number) {
-    builder(context).add_scalar(-1 - std::int64_t{number});
-  };
-  callbacks.negint16 = [](void* context, std::uint16_t number) {
-    builder(context).add_scalar(-1 - std::int64_t{number});
-  };
-  callbacks.negint32 = [](void* context, std::uint32_t number) {
-    builder(context).add_scalar(-1 - std::int64_t{number});
+  callbacks.negint32 = [](void* context, std::uint32_t n) {
+    builder(context).add_scalar(-1 - std::int64_t{n});
   };
   callbacks.negint64 = [](void* context, std::uint64_t number) {
     if (number > static_cast<std::uint64_t>(INT64_MAX)) {
--- a/testbed/live/include/wrenusher/testbed/live_testbed.hpp
+++ b/testbed/live/include/wrenusher/testbed/live_testbed.hpp
@@ -1,5 +1,6 @@
 #pragma once
-// A lab on loopback: the models, and real controllers as children that are started again when they end.
+// A testbed on loopback: emulated services, machines and users in real time, and real controllers as child
+// processes, which are restarted when they exit.
 
 #include <uv.h>
 
@@ -14,30 +15,32 @@
 
 struct TestbedOptions {
   Site site;
-  std::string program;  ///< path of the program
-  std::string data;     ///< folder that outlives the lab; empty: one of its own that goes with it
+  std::string program;  ///< path of the controller's executable
+  std::string data;     ///< folder that is kept; empty: a temporary one, removed at the end
   int controllers = 3;
-  int port = 7400;
-  double speed = 1;
-  std::string tunables;  ///< lines of the operators' own settings (YAML); empty: none but the topology
+  int port = 7400;       ///< first of the ports used
+  double speed = 1;      ///< factor by which machines boot, fetch and work faster
+  std::string tunables;  ///< operators' tunables (YAML); empty: only the topology, if there is one
 };
 
-/// What was asked of a lab cannot be done; what() is one line.
+/// Reports a request that a testbed cannot carry out; what() is one line.
 struct TestbedError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-/// A program of the lab's that is called with this as its first argument hands the rest to run_child.
+/// First argument with which the testbed calls its own executable; that process passes the remaining
+/// arguments to run_child.
 inline constexpr const char* kChildFlag = "--child";
-/// Becomes the program that `args` names, to end when its parent does. Returns only on failure.
+/// Replaces this process with the program that `args` names; the kernel kills it when its parent exits.
+/// Returns only on failure.
 int run_child(char** args);
 
-/// A folder that outlives the program when it was asked for by name, and goes with its owner when it was not,
-/// also where the owner fails half made.
+/// A folder that is kept if the caller named it. Otherwise it is a temporary folder that the destructor
+/// removes, also if the constructor of its owner throws.
 class Folder {
  public:
   /// Throws TestbedError.
-  explicit Folder(const std::string& asked);
+  explicit Folder(const std::string& requested_path);
   ~Folder();
   Folder(const Folder&) = delete;
   Folder& operator=(const Folder&) = delete;
@@ -45,35 +48,37 @@
 
  private:
   std::string path_;
-  bool stays_;
+  bool keep_;
 };
 
 class LiveTestbed {
  public:
-  /// Throws TestbedError (a port in use, no such program) and StorageDamaged.
+  /// Throws TestbedError (for example, port in use or program missing) and StorageDamaged.
   LiveTestbed(net::UvRuntime& runtime, TestbedOptions options);
   ~LiveTestbed();
   LiveTestbed(const LiveTestbed&) = delete;
   LiveTestbed& operator=(const LiveTestbed&) = delete;
 
-  /// Where users ask, through the balancer.
+  /// Returns the address to which users send requests; they pass through the balancer.
   Endpoint client_endpoint() const { return loopback(options_.port); }
   Endpoint control() const { return loopback(options_.port + 1); }
   Endpoint client(int controller) const;
   std::string log_of(int controller) const;
   const TestbedOptions& options() const { return options_; }
 
-  /// The controller that leads, by the state service's record; empty when none does.
+  /// Returns the leader's name from its record in the state service; empty if there is none.
   std::string leader() const;
   bool ready() const { return !leader().empty(); }
   std::uint64_t terms() const;
-  /// Ends of controllers so far, asked for or not.
+  /// Returns how many controller processes have exited so far, killed on request or not.
   int exit_count() const { return exit_count_; }
 
-  /// Troubles and work by hand: "kill c0", "cut c0 state", "heal", "outage state 10s", "take m-3 20s", "die
-  /// m-3", "hang m-3 10s", "submit builds 3", "withdraw req-100001". Says what was done; throws TestbedError.
+  /// Injects a fault, or submits, cancels or lists jobs: "kill c0", "cut c0 state", "heal", "outage state
+  /// 10s", "take m-3 20s", "die m-3", "hang m-3 10s", "submit builds 3", "withdraw req-100001", "jobs".
+  /// Returns a line that describes what was done, or the list; throws TestbedError.
   std::string perform(const std::vector<std::string>& words);
-  /// A new job of one of the site's classes; gives its name.
+  /// Submits a new job of one of the site's classes and returns its ID. Throws TestbedError if the
+  /// class is unknown.
   std::string submit(const std::string& queue);
   void submit(const SimulatedJob& job) { users_.submit(job); }
   void cancel(const std::string& job_id) { users_.cancel(job_id); }
@@ -86,29 +91,29 @@
   Machines& machines() { return machines_; }
   const KvService& kv_service() const { return kv_service_; }
   const std::map<std::string, Traffic>& traffic() const { return transport_.traffic(); }
-  /// The process of a controller; nothing while none runs.
+  /// Returns the process ID of a controller; nullopt while it is not running.
   std::optional<int> pid(int controller) const;
-  /// Replaces the topology that all controllers read.
+  /// Replaces the topology file that all controllers read. Throws TestbedError if it cannot be written.
   void write_topology(const std::string& text);
   Value status() const;
 
-  /// Ends the children and removes what is not to be kept; `done` when nothing is left.
+  /// Kills all controllers and calls `done` when none is running any more.
   void stop(std::function<void()> done);
 
  private:
   struct Child;
-  std::string settings_json(int i) const;
+  std::string settings_json(int controller) const;
   std::string topology_path() const;
   std::string tunables_path() const;
   std::string tunables_text() const;
   void write_operators_files();
   void open_ports();
-  void start_child(int i);
-  void child_ended(Child& c);
-  void serve_user(const Request& r, const Responder& answer);
-  void serve_control(const Request& r, const Responder& answer);
-  void track_user(const Request& r, const runtime::CallResult& o, Instant asked);
-  int controller(const std::string& name) const;
+  void start_child(int controller);
+  void child_exited(Child& child);
+  void serve_user(const Request& request, const Responder& respond);
+  void serve_control(const Request& request, const Responder& respond);
+  void check_response(const Request& request, const runtime::CallResult& result, Instant sent_at);
+  int controller_index(const std::string& name) const;
 
   net::UvRuntime& runtime_;
   TestbedOptions options_;
@@ -121,10 +126,10 @@
   Balancer balancer_;
   Users users_;
   std::vector<std::unique_ptr<Child>> children_;
-  int jobs_made_ = 0;
+  int submitted_jobs_ = 0;
   int exit_count_ = 0;
   bool stopping_ = false;
-  std::function<void()> stopped_;
+  std::function<void()> on_stopped_;
 };
 
 }  // namespace wrenusher::testbed
--- a/testbed/live/include/wrenusher/testbed/live_transport.hpp
+++ b/testbed/live/include/wrenusher/testbed/live_transport.hpp
@@ -1,20 +1,20 @@
 #pragma once
-// Package lab live: the lab's models in real time, on sockets of the loopback interface, with real
-// controllers as children. It owns the ports, the children and their files; it may depend on the models and
-// on net.
+// Package testbed/live: runs the testbed's emulated services in real time on loopback sockets, with real
+// controllers as child processes. It owns the ports, the child processes and their files; it may depend on
+// testbed (the emulated services) and net.
 
 #include "wrenusher/net/net.hpp"
 #include "wrenusher/testbed/transport.hpp"
 
 namespace wrenusher::testbed {
 
-/// Sockets of a process of the lab, which holds both ends of most connections.
+/// Maximum number of sockets of a testbed process, which holds both ends of most connections.
 inline constexpr int kTestbedSockets = 60000;
-/// Connections that a process of the lab keeps to one address: a report of every machine at once, none of
-/// which waits for another's connection.
+/// Maximum number of connections that a testbed process keeps to one address. All machines may report at the
+/// same time without waiting for each other's connections.
 inline constexpr int kTestbedPool = 12000;
 
-/// What went over the links of one kind, bodies alone: HTTP's heads are not counted.
+/// Requests and bytes sent over the links of one kind. Only bodies are counted, no HTTP headers.
 struct Traffic {
   std::uint64_t requests = 0;
   std::uint64_t request_bytes = 0;
@@ -23,10 +23,11 @@
 
 class LiveTransport : public Transport {
  public:
-  /// By "who asks>whom path", parties by their role: "worker>controller /hello", "c0>state /multi".
+  /// Returns the traffic by "sender>receiver path". Parties are named by role, but a controller that sends is
+  /// named itself: "worker>controller /hello", "c0>state /multi".
   const std::map<std::string, Traffic>& traffic() const { return traffic_; }
 
-  /// Parties that ask for an address get ports from `first_port` on.
+  /// Parties served with `serve` get ports from `first_port` upwards.
   LiveTransport(net::UvRuntime& runtime, int first_port) : runtime_(runtime), next_port_(first_port) {}
 
   Instant now() const override { return runtime_.now(); }
@@ -37,11 +38,12 @@
   std::optional<Endpoint> serve(const std::string& who, Handler handler) override;
   void unserve(const Endpoint& at) override;
 
-  /// Throws std::runtime_error where the port is taken. Whoever asks there is believed to be `from`.
+  /// Serves `who` at this address; every request that arrives there is attributed to `from`. Throws
+  /// std::runtime_error if the port is in use.
   void serve_at(const Endpoint& at, const std::string& who, const std::string& from, Handler handler);
-  /// Where a party that is no model of ours listens.
+  /// Registers the address of a party that this transport does not serve.
   void name(const Endpoint& at, const std::string& who) { names_[at] = who; }
-  /// The links are whole again, and what was held is delivered.
+  /// Restores all links and delivers the requests that were held.
   void heal();
   Links links;
 
@@ -52,10 +54,10 @@
   int next_port_;
   std::map<std::string, Traffic> traffic_;
   std::map<Endpoint, std::string> names_;
-  std::vector<std::function<void()>> held_messages_;
+  std::vector<std::function<void()>> held_requests_;
 };
 
-/// "127.0.0.1:port".
+/// Returns "127.0.0.1:port".
 Endpoint loopback(int port);
 
 }  // namespace wrenusher::testbed
--- a/testbed/live/live_testbed.cpp
+++ b/testbed/live/live_testbed.cpp
@@ -18,17 +18,18 @@
 namespace {
 
 constexpr Micros kRestartDelay = from_seconds(1);
-constexpr Micros kUserWait = from_seconds(5);
-// Ports, from the lab's first: front door, control, then in tens what each controller needs.
+constexpr Micros kUserRequestTimeout = from_seconds(5);
+// Offsets from the testbed's first port. The first two ports are the balancer's and the control interface's;
+// then come blocks of ten with one port for each controller.
 constexpr int kClientPort = 10;
 constexpr int kPeerPort = 20;
 constexpr int kKvPort = 30;
 constexpr int kCloudPort = 40;
-constexpr int kRelayPort = 50;  // ten for each controller
+constexpr int kRelayPort = 50;  // a block of ten for each controller, one port for each of its peers
 constexpr int kMachinePort = 200;
 constexpr int kMaxControllers = 9;
 
-std::string name_of(int i) {
+std::string controller_name(int i) {
   return "c" + std::to_string(i);
 }
 
@@ -43,7 +44,7 @@
   return out;
 }
 
-std::string words_of(const std::vector<std::string>& words) {
+std::string join_words(const std::vector<std::string>& words) {
   std::string out;
   for (const std::string& w : words) out += (out.empty() ? "" : " ") + w;
   return out;
@@ -51,20 +52,20 @@
 
 }  // namespace
 
-Folder::Folder(const std::string& asked) : path_(asked), stays_(!asked.empty()) {
-  if (stays_) {
+Folder::Folder(const std::string& requested_path) : path_(requested_path), keep_(!requested_path.empty()) {
+  if (keep_) {
     std::error_code error;
     std::filesystem::create_directories(path_, error);
-    if (error) throw TestbedError(path_ + ": cannot be made: " + error.message());
+    if (error) throw TestbedError(path_ + ": cannot be created: " + error.message());
     return;
   }
   path_ = (std::filesystem::temp_directory_path() / "wrenusher-testbed-XXXXXX").string();
-  if (mkdtemp(path_.data()) == nullptr) throw TestbedError(path_ + ": no folder can be made there");
+  if (mkdtemp(path_.data()) == nullptr) throw TestbedError(path_ + ": cannot create a temporary folder");
 }
 
 Folder::~Folder() {
   std::error_code ignored;
-  if (!stays_) std::filesystem::remove_all(path_, ignored);
+  if (!keep_) std::filesystem::remove_all(path_, ignored);
 }
 
 struct LiveTestbed::Child {
@@ -72,7 +73,7 @@
   int number = 0;
   uv_process_t process{};
   bool running = false;
-  Micros back_after = kRestartDelay;  ///< the next time that it ends
+  Micros restart_delay = kRestartDelay;  ///< applies to the next exit only
 };
 
 LiveTestbed::LiveTestbed(net::UvRuntime& runtime, TestbedOptions options)
@@ -90,22 +91,22 @@
     throw TestbedError("--controllers: must be between 1 and " + std::to_string(kMaxControllers));
   if (access(options_.program.c_str(), X_OK) != 0)
     throw TestbedError(options_.program +
-                       ": there is no program to run; build it, or name it with --wrenusher");
+                       ": there is no program to run; build it, or give its path with --wrenusher");
   transport_.links.zone_of = [this](const std::string& name) -> std::string {
     const auto& zones = options_.site.settings.zones;
     for (int i = 0; i < options_.controllers; ++i) {
-      if (name == name_of(i)) return zones[static_cast<std::size_t>(i) % zones.size()];
+      if (name == controller_name(i)) return zones[static_cast<std::size_t>(i) % zones.size()];
     }
     return machines_.zone_of(name);
   };
   open_ports();
   std::vector<std::pair<std::string, Endpoint>> nodes;
   for (int i = 0; i < options_.controllers; ++i) {
-    nodes.emplace_back(name_of(i), client(i));
-    transport_.name(client(i), name_of(i));
+    nodes.emplace_back(controller_name(i), client(i));
+    transport_.name(client(i), controller_name(i));
   }
   machines_.controllers(std::move(nodes));
-  // What users uploaded before an earlier lab on this folder ended is still to be had.
+  // Job descriptions that users uploaded to an earlier testbed on this folder remain available to workers.
   for (const auto& [key, e] : kv_service_.keys()) {
     if (!key.starts_with("job/")) continue;
     if (const auto spec = read_spec(e.value["spec"])) {
@@ -117,7 +118,7 @@
   machines_.start();
   write_operators_files();
   for (int i = 0; i < options_.controllers; ++i) {
-    const std::string file = folder_.path() + "/" + name_of(i) + ".json";
+    const std::string file = folder_.path() + "/" + controller_name(i) + ".json";
     std::ofstream out(file);
     out << settings_json(i);
     if (!out.flush()) throw TestbedError(file + ": cannot be written");
@@ -140,42 +141,46 @@
 }
 
 std::string LiveTestbed::log_of(int controller) const {
-  return folder_.path() + "/" + name_of(controller) + ".log";
+  return folder_.path() + "/" + controller_name(controller) + ".log";
 }
 
-/// Each controller has ports of its own to the state service, the cloud and its peers, so that the lab knows
-/// who asks and can cut one link and not another.
+/// Opens separate ports for each controller to the state service, the cloud and its peers. The port
+/// identifies the sender, so a single link can be cut.
 void LiveTestbed::open_ports() {
   try {
-    transport_.serve_at(
-        client_endpoint(), "front", "user",
-        [this](const std::string&, const Request& r, const Responder& a) { serve_user(r, a); });
-    transport_.serve_at(
-        control(), "control", "",
-        [this](const std::string&, const Request& r, const Responder& a) { serve_control(r, a); });
+    transport_.serve_at(client_endpoint(), "front", "user",
+                        [this](const std::string&, const Request& request, const Responder& respond) {
+                          serve_user(request, respond);
+                        });
+    transport_.serve_at(control(), "control", "",
+                        [this](const std::string&, const Request& request, const Responder& respond) {
+                          serve_control(request, respond);
+                        });
     for (int i = 0; i < options_.controllers; ++i) {
-      const std::string name = name_of(i);
+      const std::string name = controller_name(i);
       transport_.serve_at(loopback(options_.port + kKvPort + i), "state", name,
-                          [this](const std::string& from, const Request& r, const Responder& a) {
-                            kv_service_.serve(from, r, a);
+                          [this](const std::string& from, const Request& request, const Responder& respond) {
+                            kv_service_.serve(from, request, respond);
                           });
       transport_.serve_at(loopback(options_.port + kCloudPort + i), "cloud", name,
-                          [this](const std::string& from, const Request& r, const Responder& a) {
-                            cloud_.serve(from, r, a);
+                          [this](const std::string& from, const Request& request, const Responder& respond) {
+                            cloud_.serve(from, request, respond);
                           });
       for (int k = 0; k < options_.controllers; ++k) {
         if (k == i) continue;
-        transport_.serve_at(loopback(options_.port + kRelayPort + 10 * i + k), name_of(k), name,
-                            [this, k](const std::string&, const Request& r, const Responder& a) {
-                              runtime_.call(loopback(options_.port + kPeerPort + k), r, from_seconds(4),
-                                            [a](const CallResult& o) {
-                                              a(o.answered ? o.response : Response{502, {}, 0});
-                                            });
+        transport_.serve_at(loopback(options_.port + kRelayPort + 10 * i + k), controller_name(k), name,
+                            [this, k](const std::string&, const Request& request, const Responder& respond) {
+                              runtime_.call(
+                                  loopback(options_.port + kPeerPort + k), request, from_seconds(4),
+                                  [respond](const CallResult& result) {
+                                    respond(result.answered ? result.response : Response{502, {}, 0});
+                                  });
                             });
       }
     }
   } catch (const std::runtime_error& e) {
-    throw TestbedError(std::string(e.what()) + "; another lab may be running, or name another --port");
+    throw TestbedError(std::string(e.what()) +
+                       "; another testbed may be running there; choose another --port");
   }
 }
 
@@ -186,7 +191,7 @@
   json peers = json::array();
   for (int k = 0; k < options_.controllers; ++k) {
     if (k != i)
-      peers.push_back({{"host_name", name_of(k)},
+      peers.push_back({{"host_name", controller_name(k)},
                        {"zone", zone(k)},
                        {"peer_addr", loopback(options_.port + kRelayPort + 10 * i + k)}});
   }
@@ -197,13 +202,13 @@
                      {"cpus_max", t.cores_max},
                      {"gpus", t.gpus},
                      {"gpus_max", t.gpus_max}});
-  json aims = json::array();
+  json objectives = json::array();
   for (const auto& o : s.objectives) {
-    json aim = {{"kind", o.kind}, {"class", o.job_class}, {"share", 0.9}, {"times", o.deadline_factor}};
-    if (o.within.count() > 0) aim["within_s"] = to_seconds(o.within);
-    aims.push_back(std::move(aim));
+    json objective = {{"kind", o.kind}, {"class", o.job_class}, {"share", 0.9}, {"times", o.deadline_factor}};
+    if (o.within.count() > 0) objective["within_s"] = to_seconds(o.within);
+    objectives.push_back(std::move(objective));
   }
-  const json all = {{"host_name", name_of(i)},
+  const json all = {{"host_name", controller_name(i)},
                     {"zone", zone(i)},
                     {"client_listen", client(i)},
                     {"peer_listen", loopback(options_.port + kPeerPort + i)},
@@ -215,7 +220,7 @@
                      {{"size", options_.controllers},
                       {"zones", s.zones},
                       {"teams", teams},
-                      {"objectives", aims},
+                      {"objectives", objectives},
                       {"workers",
                        {{"report_s", to_seconds(s.report_interval)},
                         {"lease_s", to_seconds(s.worker_lease)},
@@ -236,17 +241,18 @@
 
 int run_child(char** args) {
   prctl(PR_SET_PDEATHSIG, SIGKILL);
-  if (getppid() == 1) return 1;  // the lab has ended already
+  if (getppid() == 1) return 1;  // the testbed has exited already
   execv(args[0], args);
   return 1;
 }
 
 void LiveTestbed::start_child(int i) {
   Child& c = *children_[static_cast<std::size_t>(i)];
-  const std::string config = folder_.path() + "/" + name_of(i) + ".json";
+  const std::string config = folder_.path() + "/" + controller_name(i) + ".json";
   const int log = open(log_of(i).c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0600);
   if (log < 0) throw TestbedError(log_of(i) + ": cannot be written");
-  // By way of this program, so that it ends with the lab however the lab ends; see run_child.
+  // The controller is started through this executable, see run_child: the kernel then kills it when the
+  // testbed exits, also after a crash.
   std::string self = "/proc/self/exe";
   std::string as_child = kChildFlag;
   std::string program = options_.program;
@@ -262,22 +268,22 @@
   stdio[1].flags = UV_INHERIT_FD;
   stdio[1].data.fd = log;
   stdio[2] = stdio[1];
-  uv_process_options_t how{};
-  how.file = self.c_str();
-  how.args = args.data();
-  how.stdio = stdio;
-  how.stdio_count = 3;
-  how.exit_cb = [](uv_process_t* p, std::int64_t, int) {
+  uv_process_options_t process_options{};
+  process_options.file = self.c_str();
+  process_options.args = args.data();
+  process_options.stdio = stdio;
+  process_options.stdio_count = 3;
+  process_options.exit_cb = [](uv_process_t* p, std::int64_t, int) {
     auto* child = static_cast<Child*>(p->data);
     uv_close(reinterpret_cast<uv_handle_t*>(p), [](uv_handle_t* h) {
-      auto* ended = static_cast<Child*>(h->data);
-      ended->testbed->child_ended(*ended);
+      auto* exited = static_cast<Child*>(h->data);
+      exited->testbed->child_exited(*exited);
     });
     child->running = false;
   };
   c.process = {};
   c.process.data = &c;
-  const int rc = uv_spawn(runtime_.loop(), &c.process, &how);
+  const int rc = uv_spawn(runtime_.loop(), &c.process, &process_options);
   ::close(log);
   if (rc != 0) throw TestbedError(program + ": cannot be started: " + uv_strerror(rc));
   c.running = true;
@@ -293,13 +299,13 @@
   return folder_.path() + "/tunables.yaml";
 }
 
-/// Empty: the controllers are given no tunables.
+/// Returns the text of the tunables file; empty if the controllers get none.
 std::string LiveTestbed::tunables_text() const {
   return options_.tunables + (options_.site.topology_text.empty() ? "" : "topology: topology.yaml\n");
 }
 
-/// Operators' files, which may be changed while the lab runs. Written before any controller is started: one
-/// that starts while its tunables are written reads none, and keeps to the defaults.
+/// Writes the topology and the tunables, which may be changed while the testbed runs. They are written before
+/// any controller starts: a controller that starts during the write reads no tunables and keeps the defaults.
 void LiveTestbed::write_operators_files() {
   if (!options_.site.topology_text.empty() && !config_reader::read_file(topology_path()))
     write_topology(options_.site.topology_text);
@@ -314,7 +320,7 @@
 }
 
 void LiveTestbed::write_topology(const std::string& text) {
-  // Whole or not at all: the controllers look at it while it is written.
+  // Written to a temporary file and renamed, since controllers may read the file at any time.
   const std::string next = topology_path() + ".next";
   std::ofstream out(next);
   out << text;
@@ -323,31 +329,32 @@
   std::filesystem::rename(next, topology_path());
 }
 
-void LiveTestbed::child_ended(Child& c) {
+void LiveTestbed::child_exited(Child& child) {
   ++exit_count_;
   if (!stopping_) {
-    runtime_.after(std::exchange(c.back_after, kRestartDelay), [this, i = c.number] {
+    runtime_.after(std::exchange(child.restart_delay, kRestartDelay), [this, i = child.number] {
       if (!stopping_) start_child(i);
     });
     return;
   }
-  const bool left = std::any_of(children_.begin(), children_.end(), [](const auto& x) { return x->running; });
-  if (!left && stopped_) std::exchange(stopped_, nullptr)();
+  const bool any_running =
+      std::any_of(children_.begin(), children_.end(), [](const auto& x) { return x->running; });
+  if (!any_running && on_stopped_) std::exchange(on_stopped_, nullptr)();
 }
 
 void LiveTestbed::stop(std::function<void()> done) {
   stopping_ = true;
-  stopped_ = std::move(done);
-  bool any = false;
+  on_stopped_ = std::move(done);
+  bool any_running = false;
   for (const auto& c : children_) {
     if (!c->running) continue;
-    any = true;
+    any_running = true;
     uv_process_kill(&c->process, SIGKILL);
   }
-  if (!any && stopped_) std::exchange(stopped_, nullptr)();
+  if (!any_running && on_stopped_) std::exchange(on_stopped_, nullptr)();
 }
 
-// ---------------------------------------------------------------- what it knows
+// ---------------------------------------------------------------- status
 
 std::string LiveTestbed::leader() const {
   const KvEntry* e = kv_service_.find("leader");
@@ -364,7 +371,7 @@
   Value::List controllers;
   for (const auto& c : children_)
     controllers.emplace_back(
-        Value::Map{{"name", name_of(c->number)}, {"running", c->running}, {"at", client(c->number)}});
+        Value::Map{{"name", controller_name(c->number)}, {"running", c->running}, {"at", client(c->number)}});
   Value::List broken;
   for (const std::string& note : checker_.notes()) broken.emplace_back(note);
   std::map<std::string, int> states;
@@ -385,45 +392,48 @@
 
 // ---------------------------------------------------------------- users from outside
 
-/// Any client may ask here; what it is told is watched like what the lab's own users are told.
-void LiveTestbed::serve_user(const Request& r, const Responder& answer) {
-  if (r.method == "POST" && r.target == "/submissions") {
-    // Users upload the description to where workers fetch it.
-    const auto v = decode(r.body);
+/// Serves requests of clients outside the testbed. The checker verifies the responses like those to the
+/// emulated users.
+void LiveTestbed::serve_user(const Request& request, const Responder& respond) {
+  if (request.method == "POST" && request.target == "/submissions") {
+    // The description of a submitted job is made available to the workers, which fetch it from the testbed.
+    const auto v = decode(request.body);
     if (const auto spec = v ? read_spec(*v) : std::nullopt) {
       machines_.describe({*spec, {}, false});
       checker_.submitted(*spec);
     }
   }
-  if (r.target.ends_with("/withdraw")) checker_.asked_cancel(r.target.substr(13, r.target.size() - 22));
-  balancer_.send(r, kUserWait, [this, r, answer, asked = runtime_.now()](const CallResult& o) {
-    track_user(r, o, asked);
-    answer(o.answered ? o.response : Response{503, {}, 1});
-  });
+  if (request.target.ends_with("/withdraw"))
+    checker_.asked_cancel(request.target.substr(13, request.target.size() - 22));
+  balancer_.send(request, kUserRequestTimeout,
+                 [this, request, respond, sent_at = runtime_.now()](const CallResult& result) {
+                   check_response(request, result, sent_at);
+                   respond(result.answered ? result.response : Response{503, {}, 1});
+                 });
 }
 
-void LiveTestbed::track_user(const Request& r, const runtime::CallResult& o, Instant asked) {
-  if (!o.answered || !r.target.starts_with("/submissions")) return;
-  const auto v = decode(o.response.body);
+void LiveTestbed::check_response(const Request& request, const runtime::CallResult& result, Instant sent_at) {
+  if (!result.answered || !request.target.starts_with("/submissions")) return;
+  const auto v = decode(result.response.body);
   const std::string state = v && (*v)["status"].text() != nullptr ? *(*v)["status"].text() : "";
-  if (r.method == "POST" && r.target == "/submissions") {
-    const auto body = decode(r.body);
+  if (request.method == "POST" && request.target == "/submissions") {
+    const auto body = decode(request.body);
     if (body && (*body)["ref"].text() != nullptr)
-      checker_.answered_submit(runtime_.now(), *(*body)["ref"].text(), o.response.status);
-  } else if (r.target.ends_with("/withdraw")) {
-    checker_.answered_cancel(runtime_.now(), r.target.substr(13, r.target.size() - 22), o.response.status,
-                             state, asked);
-  } else if (r.target.size() > 13) {
-    checker_.answered_poll(runtime_.now(), r.target.substr(13), o.response.status, state, asked);
+      checker_.answered_submit(runtime_.now(), *(*body)["ref"].text(), result.response.status);
+  } else if (request.target.ends_with("/withdraw")) {
+    checker_.answered_cancel(runtime_.now(), request.target.substr(13, request.target.size() - 22),
+                             result.response.status, state, sent_at);
+  } else if (request.target.size() > 13) {
+    checker_.answered_poll(runtime_.now(), request.target.substr(13), result.response.status, state, sent_at);
   }
 }
 
-// ---------------------------------------------------------------- by hand
+// ---------------------------------------------------------------- commands
 
-int LiveTestbed::controller(const std::string& name) const {
-  const std::string who = name == "leader" ? leader() : name;
+int LiveTestbed::controller_index(const std::string& name) const {
+  const std::string node = name == "leader" ? leader() : name;
   for (int i = 0; i < options_.controllers; ++i) {
-    if (who == name_of(i)) return i;
+    if (node == controller_name(i)) return i;
   }
   return -1;
 }
@@ -440,7 +450,7 @@
   SimulatedJob j =
       draw_job(options_.site, *c,
                static_cast<int>(runtime_.wall_time().time_since_epoch() / from_seconds(1) % 1000000) * 100 +
-                   ++jobs_made_,
+                   ++submitted_jobs_,
                runtime_.random());
   users_.submit(j);
   return j.spec.job_id;
@@ -448,13 +458,14 @@
 
 std::string LiveTestbed::perform(const std::vector<std::string>& words) {
   const auto word = [&](std::size_t i) -> const std::string& {
-    if (i >= words.size()) throw TestbedError("'" + words_of(words) + "': something is missing behind it");
+    if (i >= words.size())
+      throw TestbedError("'" + join_words(words) + "': an argument is missing at the end");
     return words[i];
   };
-  const auto time = [&](std::size_t i, const char* otherwise) {
-    const std::string& text = i < words.size() ? words[i] : otherwise;
+  const auto duration = [&](std::size_t i, const char* default_text) {
+    const std::string& text = i < words.size() ? words[i] : default_text;
     const auto d = parse_duration(text);
-    if (!d) throw TestbedError("'" + text + "' is no time with its unit, like 10s");
+    if (!d) throw TestbedError("'" + text + "' is not a duration with a unit, like 10s");
     return *d;
   };
   const std::string& verb = word(0);
@@ -465,79 +476,80 @@
     return words[1];
   };
   if (verb == "kill") {
-    const int c = controller(word(1));
+    const int c = controller_index(word(1));
     if (c < 0 || !children_[static_cast<std::size_t>(c)]->running)
       throw TestbedError("no controller " + word(1) + " is running");
     Child& child = *children_[static_cast<std::size_t>(c)];
-    child.back_after = time(2, "1s");
+    child.restart_delay = duration(2, "1s");
     uv_process_kill(&child.process, SIGKILL);
-    char back[32];
-    std::snprintf(back, sizeof back, "%g s", to_seconds(child.back_after));
-    return name_of(c) + " is killed and is started again after " + back;
+    char delay_text[32];
+    std::snprintf(delay_text, sizeof delay_text, "%g s", to_seconds(child.restart_delay));
+    return controller_name(c) + " is killed and restarts after " + delay_text;
   }
   if (verb == "cut") {
-    const LinkCut how = words.size() > 3 && words[3] == "reset" ? LinkCut::reset : LinkCut::hold;
+    const LinkCut cut = words.size() > 3 && words[3] == "reset" ? LinkCut::reset : LinkCut::hold;
     if (word(2) == "all") {
       std::vector<std::string> others{"state", "cloud", "user", ""};
-      for (int i = 0; i < options_.controllers; ++i) others.push_back(name_of(i));
+      for (int i = 0; i < options_.controllers; ++i) others.push_back(controller_name(i));
       for (const std::string& m : machines_.up()) others.push_back(m);
       for (const std::string& o : others) {
-        if (o != words[1]) transport_.links.cut(words[1], o, how);
+        if (o != words[1]) transport_.links.cut(words[1], o, cut);
       }
     } else if (word(1) == "zone") {
-      transport_.links.cut_zone(words[2], how);
+      transport_.links.cut_zone(words[2], cut);
     } else {
-      transport_.links.cut(words[1], words[2], how);
+      transport_.links.cut(words[1], words[2], cut);
     }
-    return words[1] + " and " + words[2] + " are cut off from each other until healed";
+    return words[1] + " and " + words[2] + " are disconnected from each other until 'heal'";
   }
   if (verb == "heal") {
     transport_.heal();
     kv_service_.outage(false);
     cloud_.outage(false);
-    for (int i = 0; i < options_.controllers; ++i) kv_service_.refuse(name_of(i), false);
-    return "all links, the state service and the cloud are whole again";
+    for (int i = 0; i < options_.controllers; ++i) kv_service_.refuse(controller_name(i), false);
+    return "all links, the state service and the cloud are restored";
   }
   if (verb == "outage") {
-    const Micros d = time(2, "10s");
+    const Micros d = duration(2, "10s");
     if (word(1) == "state") {
       kv_service_.outage(true);
       runtime_.after(d, [this] { kv_service_.outage(false); });
     } else if (words[1] == "cloud") {
       cloud_.outage(true);
       runtime_.after(d, [this] { cloud_.outage(false); });
-    } else if (const int c = controller(words[1]); c >= 0) {
-      kv_service_.refuse(name_of(c), true);
-      runtime_.after(d, [this, c] { kv_service_.refuse(name_of(c), false); });
+    } else if (const int c = controller_index(words[1]); c >= 0) {
+      kv_service_.refuse(controller_name(c), true);
+      runtime_.after(d, [this, c] { kv_service_.refuse(controller_name(c), false); });
     } else {
-      throw TestbedError("outage of 'state', 'cloud' or a controller, not '" + words[1] + "'");
+      throw TestbedError("outage: must be 'state', 'cloud' or a controller, not '" + words[1] + "'");
     }
     return words[1] + " has an outage";
   }
   if (verb == "take") {
-    machines_.reclaim(machine(), time(2, "20s"));
-    return words[1] + " will be taken back, if it is a spot machine";
+    machines_.reclaim(machine(), duration(2, "20s"));
+    return words[1] + " will be reclaimed if it is a spot machine";
   }
   if (verb == "die") {
     machines_.die(machine());
-    return words[1] + " has stopped with all that was on it";
+    return words[1] + " has stopped with all its tasks";
   }
   if (verb == "hang") {
-    machines_.hang(machine(), time(2, "10s"));
+    machines_.hang(machine(), duration(2, "10s"));
     return words[1] + " hangs";
   }
   if (verb == "submit") {
     const int n = words.size() > 2 ? std::atoi(words[2].c_str()) : 1;
-    if (n < 1 || n > 1000) throw TestbedError("between 1 and 1000 jobs at a time, not '" + words[2] + "'");
+    if (n < 1 || n > 1000)
+      throw TestbedError("submit: the number of jobs must be between 1 and 1000, not '" + words[2] + "'");
     std::string job_ids;
     for (int i = 0; i < n; ++i) job_ids += (job_ids.empty() ? "" : " ") + submit(word(1));
     return "submitted " + job_ids;
   }
   if (verb == "withdraw") {
     if (!users_.jobs().contains(word(1)))
-      throw TestbedError("no job " + words[1] + " was submitted by this lab");
+      throw TestbedError("no job " + words[1] + " was submitted by this testbed");
     users_.cancel(words[1]);
-    return "asked to withdraw " + words[1];
+    return "requested withdrawal of " + words[1];
   }
   if (verb == "jobs") {
     std::string out;
@@ -547,29 +559,29 @@
               : job.state.empty() ? "sent"
                                   : job.state) +
              "\n";
-    return out.empty() ? "no job was submitted by this lab yet" : out.substr(0, out.size() - 1);
+    return out.empty() ? "no job was submitted by this testbed yet" : out.substr(0, out.size() - 1);
   }
   throw TestbedError("'" + verb +
                      "' is none of kill, cut, heal, outage, take, die, hang, submit, withdraw, jobs");
 }
 
-void LiveTestbed::serve_control(const Request& r, const Responder& answer) {
-  if (r.method == "GET" && r.target == "/status") {
-    answer(reply(200, status()));
+void LiveTestbed::serve_control(const Request& request, const Responder& respond) {
+  if (request.method == "GET" && request.target == "/status") {
+    respond(reply(200, status()));
     return;
   }
-  const auto v = decode(r.body);
+  const auto v = decode(request.body);
   const Value::List* list = v ? (*v)["words"].list() : nullptr;
-  if (r.method != "POST" || r.target != "/act" || list == nullptr || list->empty()) {
-    answer(malformed("GET /status, or POST /act with a list of words"));
+  if (request.method != "POST" || request.target != "/act" || list == nullptr || list->empty()) {
+    respond(malformed("expected GET /status, or POST /act with a list of words"));
     return;
   }
   std::vector<std::string> words;
   for (const Value& w : *list) words.push_back(w.text() != nullptr ? *w.text() : "");
   try {
-    answer(reply(200, Value::Map{{"said", perform(words)}}));
+    respond(reply(200, Value::Map{{"said", perform(words)}}));
   } catch (const TestbedError& e) {
-    answer(malformed(e.what()));
+    respond(malformed(e.what()));
   }
 }
 
--- a/testbed/live/live_transport.cpp
+++ b/testbed/live/live_transport.cpp
@@ -8,13 +8,15 @@
 namespace {
 
 constexpr int kMaxPort = 65000;
-/// Ports in a row that others may hold.
-constexpr int kTriedPorts = 200;
+/// Ports that `serve` tries before it gives up; other processes may use some of them.
+constexpr int kMaxPortAttempts = 200;
 
-/// Machines are alike; controllers are told apart where they ask.
-std::string role_of(const std::string& party, bool asks) {
+/// Returns the role under which the party's traffic is counted. All machines share one role; a controller
+/// keeps its own name as the sender and shares one role as the receiver.
+std::string role_of(const std::string& party, bool is_sender) {
   if (party.starts_with("m-")) return "worker";
-  if (!asks && party.size() > 1 && party.front() == 'c' && std::isdigit(party[1]) != 0) return "controller";
+  if (!is_sender && party.size() > 1 && party.front() == 'c' && std::isdigit(party[1]) != 0)
+    return "controller";
   return party;
 }
 
@@ -37,15 +39,17 @@
       Traffic& traffic = traffic_of(from, names_[to], request.target);
       ++traffic.requests;
       traffic.request_bytes += request.body.size();
-      runtime_.call(to, std::move(request), timeout, [&traffic, done = std::move(done)](const CallResult& o) {
-        if (o.answered) traffic.response_bytes += o.response.body.size();
-        done(o);
-      });
+      runtime_.call(to, std::move(request), timeout,
+                    [&traffic, done = std::move(done)](const CallResult& result) {
+                      if (result.answered) traffic.response_bytes += result.response.body.size();
+                      done(result);
+                    });
       return;
     }
     case LinkCut::hold:
-      // It arrives once the link is whole, when nobody waits for the answer any more.
-      held_messages_.push_back([this, to, request = std::move(request), timeout] {
+      // The request is delivered after the link is restored; the caller has timed out, so the response is
+      // dropped.
+      held_requests_.push_back([this, to, request = std::move(request), timeout] {
         runtime_.call(to, request, timeout, [](const CallResult&) {});
       });
       runtime_.after(timeout, [done = std::move(done)] { done({false, true, {}}); });
@@ -57,13 +61,13 @@
 }
 
 std::optional<Endpoint> LiveTransport::serve(const std::string& who, Handler handler) {
-  for (int i = 0; i < kTriedPorts && next_port_ < kMaxPort; ++i) {
+  for (int i = 0; i < kMaxPortAttempts && next_port_ < kMaxPort; ++i) {
     const Endpoint at = loopback(next_port_++);
     try {
       serve_at(at, who, "", handler);
       return at;
     } catch (const std::runtime_error&) {
-      continue;  // somebody else's
+      continue;  // port used by another process
     }
   }
   return std::nullopt;
@@ -73,20 +77,21 @@
                              Handler handler) {
   runtime_.listen(
       at, kTestbedSockets,
-      [this, who, from, handler = std::move(handler)](const Request& r, const Responder& answer) {
+      [this, who, from, handler = std::move(handler)](const Request& request, const Responder& respond) {
         const LinkCut cut = links.asking(from, who);
         if (cut == LinkCut::none) {
-          Traffic& traffic = traffic_of(from, who, r.target);
+          Traffic& traffic = traffic_of(from, who, request.target);
           ++traffic.requests;
-          traffic.request_bytes += r.body.size();
-          handler(from, r, [&traffic, answer](const Response& response) {
+          traffic.request_bytes += request.body.size();
+          handler(from, request, [&traffic, respond](const Response& response) {
             traffic.response_bytes += response.body.size();
-            answer(response);
+            respond(response);
           });
         } else if (cut == LinkCut::hold) {
-          held_messages_.push_back([handler, from, r] { handler(from, r, [](const Response&) {}); });
+          held_requests_.push_back(
+              [handler, from, request] { handler(from, request, [](const Response&) {}); });
         }
-        // Nothing is said through a cut; the other side's patience ends it.
+        // A request over a cut link gets no response; it ends with the sender's timeout.
       });
   names_[at] = who;
 }
@@ -98,9 +103,9 @@
 
 void LiveTransport::heal() {
   links.heal();
-  auto held = std::move(held_messages_);
-  held_messages_.clear();
-  for (auto& f : held) runtime_.after(from_millis(1), std::move(f));
+  auto requests = std::move(held_requests_);
+  held_requests_.clear();
+  for (auto& deliver : requests) runtime_.after(from_millis(1), std::move(deliver));
 }
 
 }  // namespace wrenusher::testbed
