--- a/src/job_table/job_table.cpp
+++ b/src/job_table/job_table.cpp
@@ -373,7 +373,8 @@
   }
   if (!job.record.cancelled &&
       job.assignments.size() + job.done.size() + job.waiting.size() != spec.task_count)
-    return "some tasks of " + spec.job_id + " are neither waiting, assigned nor done";
+    return "the counts of waiting, assigned and done tasks of " + spec.job_id +
+           " do not add up to its task count";
   return {};
 }
 
--- a/src/provisioner/include/wrenusher/provisioner/zone_loss_detector.hpp
+++ b/src/provisioner/include/wrenusher/provisioner/zone_loss_detector.hpp
@@ -24,7 +24,8 @@
   }
   /// Marks zones with silent machines as lost or reachable, depending on which machines are usable.
   void update(const events::Workload& workload, time::Instant now);
-  /// Returns whether the zone is lost and its next probe is not due yet.
+  /// Returns false if a probe of the zone is due, even if the zone is lost; otherwise whether the zone is
+  /// lost.
   bool is_lost(const std::string& zone, time::Instant now) const;
   /// Returns whether the zone is lost, and if so schedules its next probe. To be called before machines are
   /// rented in the zone: in a lost zone one machine is enough to check whether it is reachable again.
--- a/src/provisioner/rental_planner.cpp
+++ b/src/provisioner/rental_planner.cpp
@@ -121,7 +121,8 @@
          placement::fits_machine_type(demand.spec, input_.catalog.at(machine_type));
 }
 
-/// Returns the total backlog of all machine types that the demand can run on.
+/// Returns the cores of all machine types that the demand can run on, and the core seconds of the
+/// demands processed so far, which wait for these cores.
 TypeBacklog RentalPlanner::combined_backlog(const Workload::Demand& demand) const {
   TypeBacklog combined;
   for (const auto& [machine_type, backlog] : backlogs_) {
--- a/src/reconciler/include/wrenusher/reconciler/reconciler.hpp
+++ b/src/reconciler/include/wrenusher/reconciler/reconciler.hpp
@@ -4,8 +4,8 @@
 // the machine no longer exists, proves that a task no longer runs on its machine.
 //
 // A report lists the tasks on the worker's machine. A worker sends reports by itself, periodically, and also
-// in reply to the leader's calls (/orders). The parameter `is_heartbeat` marks a report that the worker sent
-// by itself; it does not refer to the heartbeats between controllers.
+// in reply to the leader's calls (/orders). The parameter `worker_initiated` marks a report that the worker
+// sent by itself.
 //
 // It may depend on time, value, runtime, protocol, events, job_table, machine_inventory, estimates,
 // usage_metrics and log.
@@ -56,13 +56,13 @@
     bool usable_changed = false;                      ///< the machine became usable, or stopped being so
     bool tasks_released = false;                      ///< fewer tasks are assigned to the machine than before
     std::vector<DirectCommands> stops;                ///< to be sent at once
-    std::vector<MachineCordoned> machines_to_cordon;  ///< machines on which tasks of several jobs fail
+    std::vector<MachineCordoned> machines_to_cordon;  ///< machines considered the cause of task failures
   };
   /// Updates the job table and the inventory from a report.
   /// @param token_accepted the worker has accepted this term's fencing token
-  /// @param is_heartbeat the worker sent the report by itself, not as the reply to /orders. A task whose
+  /// @param worker_initiated the worker sent the report by itself, not as the reply to /orders. A task whose
   ///        start was sent before such a report is either listed in it or will never start.
-  Result apply(const WorkerReport& report, bool token_accepted, bool is_heartbeat);
+  Result apply(const WorkerReport& report, bool token_accepted, bool worker_initiated);
   /// Returns the commands for the worker, given its newest report.
   [[nodiscard]] std::vector<WorkerCommand> commands_for(const Machine& machine,
                                                         const WorkerReport& report) const;
@@ -77,7 +77,7 @@
   struct Update {
     Machine& machine;
     const WorkerReport& report;
-    bool is_heartbeat;            ///< as passed to `apply`
+    bool worker_initiated;        ///< as passed to `apply`
     std::uint64_t report_number;  ///< copied to the assignments that the report lists
     Result result;
   };
--- a/src/reconciler/reconciler.cpp
+++ b/src/reconciler/reconciler.cpp
@@ -66,7 +66,7 @@
 
 }  // namespace
 
-Reconciler::Result Reconciler::apply(const WorkerReport& report, bool token_accepted, bool is_heartbeat) {
+Reconciler::Result Reconciler::apply(const WorkerReport& report, bool token_accepted, bool worker_initiated) {
   Machine& machine = machines_.get_or_add(report.host);
   if (machine.incarnation != 0 && report.incarnation > machine.incarnation)
     log::info("machine_new_incarnation",
@@ -74,7 +74,7 @@
               log::with("machine", report.host), log::with("incarnation", report.incarnation));
   const bool was_usable = machine.usable();
   machines_.update_from_report(machine, report, token_accepted);
-  Update update{machine, report, is_heartbeat, ++report_count_, {}};
+  Update update{machine, report, worker_initiated, ++report_count_, {}};
   update.result.usable_changed = machine.usable() != was_usable;
   const std::uint32_t assigned_before = machine.use.assignments;
   // Present tasks are applied before exited ones, so that a refused start does not hide an older attempt.
@@ -219,7 +219,8 @@
   }
   machine.task_failures[task.job_id] = now;
   if (count_jobs_failing_only_on(machine) >= kFailingJobsToCordon && !machine.cordoned)
-    update.result.machines_to_cordon.push_back({machine.name, "tasks of several jobs failed on it"});
+    update.result.machines_to_cordon.push_back(
+        {machine.name, "tasks of several jobs failed only on this machine"});
 }
 
 /// Pauses a job that fails on every machine, so that none of these machines counts as the cause.
@@ -271,7 +272,7 @@
       // Starts are sent only in replies to reports that the worker sent by itself. A task whose start was
       // sent before such a report is either listed in it or will never start; a report in a reply to /orders
       // does not prove this.
-      if (update.is_heartbeat && (assignment.stopping || !update.machine.usable()))
+      if (update.worker_initiated && (assignment.stopping || !update.machine.usable()))
         jobs_.release(job, task, "not started", true);
       break;
     case TaskState::recovered:
@@ -279,7 +280,7 @@
       // earlier leader's start, and this leader sends no start for such a task. So a report in a reply to
       // /orders is sufficient proof as well, unless a start was sent in this term before the records were
       // read again.
-      if (update.is_heartbeat || !assignment.start_in_flight)
+      if (update.worker_initiated || !assignment.start_in_flight)
         jobs_.release(job, task, "never started, or lost before this term", true);
       break;
     default:
--- a/src/usage_metrics/usage_metrics.cpp
+++ b/src/usage_metrics/usage_metrics.cpp
@@ -66,13 +66,15 @@
   for (const auto& [machine_class, cost] : by_class_) {
     if (cost.total() <= 0) continue;
     const double percent = 100 / cost.total();
-    log::info("spent",
-              "cost {money:.2f} for {kind} {type}: running {run:.0f}%, waiting for start {wait:.0f}%, spare "
-              "{spare:.0f}%, idle {idle:.0f}%, boot {boot:.0f}%",
-              log::with("money", cost.total()), log::with("kind", machine_class.second ? "spot" : "ordinary"),
-              log::with("type", machine_class.first), log::with("run", cost.run * percent),
-              log::with("wait", cost.wait * percent), log::with("spare", cost.spare * percent),
-              log::with("idle", cost.idle * percent), log::with("boot", cost.boot * percent));
+    log::info(
+        "spent",
+        "cost {money:.2f} for {kind} {type}: running tasks {run:.0f}%, reserved for tasks not yet running "
+        "{wait:.0f}%, unreserved on machines in use {spare:.0f}%, machines without tasks {idle:.0f}%, "
+        "booting machines {boot:.0f}%",
+        log::with("money", cost.total()), log::with("kind", machine_class.second ? "spot" : "ordinary"),
+        log::with("type", machine_class.first), log::with("run", cost.run * percent),
+        log::with("wait", cost.wait * percent), log::with("spare", cost.spare * percent),
+        log::with("idle", cost.idle * percent), log::with("boot", cost.boot * percent));
   }
   by_class_.clear();
 }
--- a/src/value/include/wrenusher/value/range_set.hpp
+++ b/src/value/include/wrenusher/value/range_set.hpp
@@ -29,8 +29,8 @@
   /// Serializes the numbers from `first` to `last`, inclusive, as a flat list of range ends:
   /// [first, last, first, last, ...].
   Value write(std::uint32_t first, std::uint32_t last) const;
-  /// Adds the ranges of a list that `write` returned. Returns false when the list is malformed or contains a
-  /// number of `limit` or above; ranges before the invalid one have then been added.
+  /// Adds the ranges of a list in the format of `write`. Returns false if the list is malformed or a number
+  /// in it is not below `limit`; the ranges before the invalid one have then been added.
   bool read(const Value& value, std::uint32_t limit);
   bool operator==(const RangeSet& other) const { return ranges_ == other.ranges_; }
 
--- a/testbed/models/include/wrenusher/testbed/checker.hpp
+++ b/testbed/models/include/wrenusher/testbed/checker.hpp
@@ -69,7 +69,8 @@
   /// Checks for conditions that exceed their time limit. To be called periodically.
   void check(Instant now);
 
-  // Additional rules for operators.
+  // Rules beyond the protocol, on what operators expect: jobs are answered and start in time, and no group of
+  // jobs is starved.
   /// Records that no fault is active from now on. Every job must then be answered individually, and must run
   /// where there is room.
   void troubles_over(Instant now) { faults_ended_ = now; }
@@ -121,7 +122,7 @@
     std::string zone;
     topology::MachineLocation place;
   };
-  /// State of a job for the operators' rules.
+  /// The history of a job: its acceptance, last answer and starts, and since when there has been room for it.
   struct Job {
     std::optional<Instant> accepted;
     std::optional<Instant> answered;  ///< time of the last answer
--- a/testbed/scale/include/wrenusher/testbed/cell_result.hpp
+++ b/testbed/scale/include/wrenusher/testbed/cell_result.hpp
@@ -65,7 +65,7 @@
   LatencySummary start_wait;             ///< from submission to the first start, for ordinary tasks
   LatencySummary urgent_start_wait;      ///< from submission to the first start, for urgent tasks
   LatencySummary submission_wait;        ///< until a submission is answered
-  LatencySummary change_wait;            ///< until the leader's record shows a new topology version in force
+  LatencySummary change_wait;            ///< from writing a topology file until `epoch` names it
   double lab_cores = 0;                  ///< of the testbed process, which runs the models
   double lab_memory_mb = 0;              ///< of the testbed process
   double lab_lag_p99 = 0;                ///< delay of the testbed's timers, 99th percentile in seconds
--- a/testbed/scale/include/wrenusher/testbed/cell_run.hpp
+++ b/testbed/scale/include/wrenusher/testbed/cell_run.hpp
@@ -16,7 +16,8 @@
 /// and tasks that run longer than the scale run.
 Site site_of(const CellLoad& load);
 
-/// Runs one cell and measures it.
+/// Runs one cell and measures it. A cell is an independent cluster: controllers, state service, cloud,
+/// workers and users.
 class CellRun {
  public:
   /// Creates the testbed of the cell. Throws TestbedError.
--- a/testbed/sim/day.cpp
+++ b/testbed/sim/day.cpp
@@ -357,7 +357,7 @@
            of("replaced_p95", "%.1f") + ")\n";
   }
   const auto total = [&](const char* name, const char* how) { return cell(days, name, how); };
-  out += "work done " + total("core_seconds_done", "%.0f") + " core s, done again " +
+  out += "work done " + total("core_seconds_done", "%.0f") + " core s, lost with stopped tasks " +
          total("core_seconds_lost", "%.0f") + "; money " + total("money", "%.2f") + "; machines rented " +
          total("machines_rented", "%.0f") + "\n";
   out += "state service " + total("state_requests", "%.0f") + " requests, " + total("state_writes", "%.0f") +
--- a/testbed/sim/include/wrenusher/testbed/world.hpp
+++ b/testbed/sim/include/wrenusher/testbed/world.hpp
@@ -196,8 +196,8 @@
   void cloud_outage(bool on) { cloud_.outage(on); }
   void die(const std::string& host) { machines_.die(host); }
   void hang(const std::string& host, Micros how_long) { machines_.hang(host, how_long); }
-  /// Cancels up to `count` running jobs with a long remaining runtime within 0.2 s, and hangs up to 8 of
-  /// their machines for `hang_for`.
+  /// Cancels up to `count` running jobs with a long remaining runtime, each at a random time within the next
+  /// 0.2 s, and at once makes up to 8 of the machines that run their tasks hang for `hang_for`.
   void cancel_many(int count, Micros hang_for);
   /// Reclaims the machine, as the cloud does with spot machines, after `notice`.
   void take(const std::string& host, Micros notice) { machines_.reclaim(host, notice); }
--- a/tests/cancelled_test.cpp
+++ b/tests/cancelled_test.cpp
@@ -340,7 +340,7 @@
 
 // WRENUSHER_MEETINGS: number of scenarios drawn; higher numbers are for long runs outside CI. A failure
 // prints its seed.
-TEST(CancellationTest, RandomGapsKeepCancellationRules) {
+TEST(CancellationTest, CancellationRulesHoldUnderRandomFaults) {
   const char* count_text = std::getenv("WRENUSHER_MEETINGS");
   const char* first_seed_text = std::getenv("WRENUSHER_SEED");
   const std::uint64_t from = first_seed_text != nullptr ? std::strtoull(first_seed_text, nullptr, 10) : 1000;
--- a/tests/capacity_test.cpp
+++ b/tests/capacity_test.cpp
@@ -235,7 +235,7 @@
 }
 
 // Announcements that no request waits for any more must not pile up while a peer is unreachable.
-TEST(CapacityTest, DropsOldAnnouncementsForAnUnreachablePeer) {
+TEST(CapacityTest, DropsOldAnnouncementsQueuedForUnreachablePeer) {
   PeerPair nodes;
   for (int i = 0; i < kItemCount; ++i) {
     nodes.receiver.peer.on_announcement({job_ref(i), events::JobStage::finished});
@@ -403,7 +403,7 @@
   EXPECT_LT(comparisons, std::size_t{kItemCount / 10});
 }
 
-TEST(CapacityTest, JobIndexReadsLiveJobsPageByPageAndServesManyWaitingQueries) {
+TEST(CapacityTest, JobIndexReadsLiveJobsInPagesAndAnswersManyPollsAfterOneRead) {
   JobApiFixture fixture;
   fixture.api.start();
   int pages = 0;
--- a/tests/formats_test.cpp
+++ b/tests/formats_test.cpp
@@ -192,7 +192,7 @@
   EXPECT_TRUE(read_spec(with_field(valid, "unheard_of", "x")));
 }
 
-TEST(BlockRecordTest, ReadsWrittenBlockWithinSizeLimit) {
+TEST(BlockRecordTest, BlockOfMaxTasksFitsSizeLimitAndReadsBack) {
   EXPECT_TRUE(rc::check([] {
     const double value_kb = *rc::gen::elementOf(std::vector<double>{1, 4, 16, 64});
     const std::uint32_t size = records::max_tasks_per_block(value_kb);
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -290,7 +290,7 @@
   }
   /// Applies a report of a machine that lists task 0 with this status, or does not list it if there is none.
   void apply_report(const char* host, std::uint64_t attempt, std::optional<TaskStatus> status,
-                    const char* exit_reason, bool token_accepted, bool is_heartbeat = true) {
+                    const char* exit_reason, bool token_accepted, bool worker_initiated = true) {
     WorkerReport report;
     report.host = host;
     report.address = "10.1.0.1:9000";
@@ -298,7 +298,7 @@
     report.zone = "a";
     report.incarnation = report.sequence = report.fencing_token = 1;
     if (status) report.tasks.push_back({spec.job_id, 0, attempt, *status, exit_reason, false});
-    reconciler.apply(report, token_accepted, is_heartbeat);
+    reconciler.apply(report, token_accepted, worker_initiated);
   }
   double cores_used() const {
     const auto it = jobs.team_usage().find("red");
@@ -333,7 +333,7 @@
 
 // Guards against freeing quota on a delayed copy of a report from before the term: a task of a gang may have
 // been started on the machine again under the same attempt since.
-TEST(QuotaTest, ReportFromBeforeTermFreesNoQuota) {
+TEST(QuotaTest, QuotaStaysUsedUntilWorkerAcceptsTermToken) {
   for (const bool listed_first : {false, true}) {
     for (const bool exited : {false, true}) {
       ReconcilerFixture fixture;
@@ -368,7 +368,7 @@
 
 // The start command of an assignment that the leader made before it read the records again may still be in
 // flight. The worker's reply to a direct command does not prove that the start command will not arrive.
-TEST(QuotaTest, AssignmentOfThisTermReadAgainIsReleasedOnlyByHeartbeat) {
+TEST(QuotaTest, AssignmentOfThisTermReadAgainIsReleasedOnlyByWorkerInitiatedReport) {
   for (const bool from_this_term : {false, true}) {
     ReconcilerFixture fixture;
     fixture.restore_block(from_this_term ? kTermStartVersion + 5 : kTermStartVersion - 5);
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -248,7 +248,7 @@
 
 // Guards against starvation of large jobs. Without a bound on the time that a large job is shed while smaller
 // ones arrive, none of a class's largest jobs started within four minutes in randomly generated workloads.
-TEST(PlacementIndexTest, ServesOverdueLargeJobBeforeNewJobs) {
+TEST(PlacementIndexTest, ServesLargeJobThatWaitedTooLongBeforeNewJobs) {
   Scenario scenario;
   scenario.input.now = WallTime{from_seconds(1000)};
   scenario.input.starting_cores = {{&scenario.small, to_amount(16)}};
@@ -381,7 +381,7 @@
   EXPECT_EQ(plan.shortages[0].expected_soon, 2U);
 }
 
-TEST(PlacementIndexTest, CountsFuturePlaceOnceIfImageIsCachedAndFetched) {
+TEST(PlacementIndexTest, CountsMachineOnceIfImageIsBothCachedAndBeingFetched) {
   // Machines are looked up by image name. If one were listed twice, two tasks would wait for the same place,
   // and the second would wait longer than the fetch would have taken.
   Scenario scenario;
--- a/tests/questions_test.cpp
+++ b/tests/questions_test.cpp
@@ -80,8 +80,9 @@
   EXPECT_LE(requests_per_second[1], requests_per_second[0] * 1.2 + 1);
 }
 
-// Once the rate limit is used up, six times as many polls send no additional requests.
-TEST(PollLoadTest, ManyPollsAreAnsweredWithinLowRateLimit) {
+// Polls arrive at six times the rate limit of requests to the state service. Once the node's share of the
+// limit is used up, more polls cause no additional requests, and nearly all of them are answered.
+TEST(PollLoadTest, ManyPollsStayWithinLowStateRequestLimit) {
   LoadedCluster cluster(12, 60, 100, 40);
   const int follower_index = follower(cluster.world);
   const std::uint64_t before = cluster.request_count(follower_index);
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -463,7 +463,7 @@
   }
 }
 
-TEST(FaultCombinationTest, EveryPairOfFaults) {
+TEST(FaultCombinationTest, EveryPairOfFaultsBreaksNoRuleAndAllJobsEnd) {
   std::uint64_t seed = 700;
   for (const Fault& first : kFaults) {
     for (const Fault& second : kFaults) {
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -162,7 +162,7 @@
   return results;
 }
 
-TEST(SlopesTest, PredictsUsageOfOtherSizes) {
+TEST(SlopesTest, PredictsUsageOfUnmeasuredCellSize) {
   const Slopes s = slopes_of(cells_with_known_costs());
   EXPECT_NEAR(s.at("leader_cores_per_report").fit.slope, 0.0001, 1e-9);
   EXPECT_NEAR(s.at("leader_cores_per_start").fit.slope, 0.0003, 1e-9);
--- a/tests/testbed_limits_test.cpp
+++ b/tests/testbed_limits_test.cpp
@@ -195,7 +195,8 @@
   }
 }
 
-TEST(CancellationFaultTest, SiteFileDefinesMassCancelAndMuteMachine) {
+// A mute machine answers the controllers' requests, but its own requests reach no controller.
+TEST(CancellationFaultTest, ReadsMassCancelAndMuteMachineFromSiteFile) {
   std::string yaml = small_site_yaml();
   yaml +=
       "troubles:\n"
--- a/tests/topology_test.cpp
+++ b/tests/topology_test.cpp
@@ -253,7 +253,7 @@
 
 }  // namespace
 
-TEST(DomainFailureDetectorTest, SilentRackIsSuspectedAtOnceAndTrustedInSteps) {
+TEST(DomainFailureDetectorTest, SuspectsSilentRackAtOnceAndTrustsItGraduallyOnceItReports) {
   RackFixture racks;
   EXPECT_EQ(racks.advance("abc"), 0U);
   for (int i = 0; i < 3; ++i) EXPECT_EQ(racks.advance("bc"), 0U);
--- a/tests/users_test.cpp
+++ b/tests/users_test.cpp
@@ -73,7 +73,7 @@
   EXPECT_EQ(world.ask(0, {"GET", "/ready", {}})->status, 200);  // an outage that all nodes share
 }
 
-TEST(JobApiTest, ManyPollsShareRequestsAndDelayNoWrites) {
+TEST(JobApiTest, ManyPollsShareStateServiceReadsAndDelayNoWrites) {
   // A few hundred polls per second at the leader once used up the request rate limit, one read each.
   // Scheduling writes waited until there were no polls, and nothing was committed for minutes.
   Settings settings = World::small_site();
--- a/tests/world_test.cpp
+++ b/tests/world_test.cpp
@@ -533,7 +533,7 @@
   expect_kept(world);
 }
 
-TEST(LayoutSimulationTest, NodeWithOtherTopologyLeadsOnlyIfNoOtherNodeCan) {
+TEST(LayoutSimulationTest, NodeWhoseTopologyFileDiffersLeadsOnlyIfNoOtherNodeCan) {
   const Site site = racks_site();
   World world(43, site);
   world.run(from_seconds(15));
