--- a/src/job_api/refusals.cpp
+++ b/src/job_api/refusals.cpp
@@ -17,7 +17,7 @@
 }  // namespace
 
 Response not_a_map() {
-  return error_response({400, "not_a_map", "The body must be a single CBOR map with text keys.", "", 0});
+  return error_response({400, "not_a_map", "The body must be one CBOR map keyed by text.", "", 0});
 }
 
 Response bad_field(const InvalidField& fault) {
@@ -26,11 +26,11 @@
 
 Response too_large() {
   return error_response(
-      {400, "too_large", "The job description exceeds the size limit of the state service.", "flavors", 0});
+      {400, "too_large", "The description is larger than the state service takes.", "flavors", 0});
 }
 
 Response not_kept() {
-  return error_response({400, "not_kept", "The state service rejected the job description.", "", 0});
+  return error_response({400, "not_kept", "The state service does not take this description.", "", 0});
 }
 
 Response never_runs(const InvalidField& fault) {
@@ -38,41 +38,41 @@
 }
 
 Response unknown_job(const std::string& job_id) {
-  return error_response({404, "unknown_job", "No job with this identifier has been accepted.", job_id, 0});
+  return error_response({404, "unknown_job", "No job of this name has been accepted.", job_id, 0});
 }
 
 Response no_such_path() {
   return error_response(
-      {404, "no_such_path",
-       "Available paths: /submissions, /submissions/{ref}, /submissions/{ref}/withdraw and /ready.", "", 0});
+      {404, "no_such_path", "There is /submissions, /submissions/{ref}, its /withdraw, and /ready.", "", 0});
 }
 
 Response wrong_method(const char* allowed_method) {
   return error_response(
-      {405, "wrong_method", std::string("This path accepts only ") + allowed_method + ".", "", 0});
+      {405, "wrong_method", std::string("This is asked with ") + allowed_method + ".", "", 0});
 }
 
 Response state_unreachable() {
-  return error_response({503, "state_unreachable", "The state service is not responding.", "", kRetryAfterS});
+  return error_response(
+      {503, "state_unreachable", "The state service gives no answer at present.", "", kRetryAfterS});
 }
 
 Response busy() {
-  return error_response({503, "busy", "Too many requests are queued on this node.", "", kRetryAfterS});
+  return error_response({503, "busy", "Too many questions wait here at present.", "", kRetryAfterS});
 }
 
 Response not_ready() {
   return error_response(
-      {503, "not_ready", "A peer can reach the state service, but this node cannot.", "", kRetryAfterS});
+      {503, "not_ready", "A peer has the state service and this node has not.", "", kRetryAfterS});
 }
 
 Response types_unknown() {
   return error_response(
-      {503, "types_unknown", "The cloud's machine types have not been received yet.", "", kSyncRetryAfterS});
+      {503, "types_unknown", "The cloud has not told its machine types yet.", "", kSyncRetryAfterS});
 }
 
 Response topology_unknown() {
   return error_response({503, "topology_unknown",
-                         "This node does not have the active topology, which is needed to check a layout.",
+                         "This node has not the topology that is in force, by which a layout is judged.",
                          "layout", kSyncRetryAfterS});
 }
 
--- a/src/job_api/submission_handler.cpp
+++ b/src/job_api/submission_handler.cpp
@@ -76,7 +76,7 @@
   if (auto fault = protocol::never_runs(spec, catalog, team)) return fault;
   if (!spec.layout) return std::nullopt;
   if (!topology_.topology)
-    return InvalidField{"layout", "its layout requires failure domains, but no topology is configured"};
+    return InvalidField{"layout", "no topology is set up here, so there are no domains"};
   return topology_.topology->unsatisfiable_field(spec, catalog);
 }
 
--- a/src/net/net.cpp
+++ b/src/net/net.cpp
@@ -186,11 +186,9 @@
       return;
     }
     if (refused) {
-      send_response(
-          error_response({503, "too_many_connections",
-                          "This node has reached its connection limit; other nodes may accept the request.",
-                          "", 3}),
-          false);
+      send_response(error_response({503, "too_many_connections",
+                                    "This node has no connection to spare; others may.", "", 3}),
+                    false);
       return;
     }
     std::weak_ptr<InboundConnection> weak = weak_from_this();
@@ -221,7 +219,7 @@
       uv_read_stop(stream);
       self->send_response(
           self->too_large ? error_response({400, "too_large", "The body is larger than 64 KiB.", "", 0})
-                          : error_response({400, "not_http", "The request is not valid HTTP/1.1.", "", 0}),
+                          : error_response({400, "not_http", "This is not a request in HTTP/1.1.", "", 0}),
           false);
     }
   }
--- a/src/protocol/messages.cpp
+++ b/src/protocol/messages.cpp
@@ -128,7 +128,7 @@
   }
   double number(const char* field, double max) {
     const auto number = read_number(value_[field], max);
-    if (!number) fail(field, "must be a number from 0 to 1,000,000,000");
+    if (!number) fail(field, "must be a number from 0 to a thousand million");
     return number.value_or(0);
   }
   bool boolean(const char* field) {
@@ -167,7 +167,7 @@
     return part["must"].boolean();
   };
   if (!has_only_fields(value, {"spread", "together", "devices"})) {
-    reader.fail("layout", "must be a map with no other fields than spread, together and devices");
+    reader.fail("layout", "must be a map of spread, together and devices");
     return std::nullopt;
   }
   if (const Value& spread = value["spread"]; !spread.is_null()) {
@@ -414,20 +414,19 @@
 }
 
 std::optional<InvalidField> never_runs(const JobSpec& spec, const Catalog& catalog, const Team* team) {
-  if (team == nullptr) return InvalidField{"owner", "the team '" + spec.team + "' is not configured"};
+  if (team == nullptr) return InvalidField{"owner", "the team '" + spec.team + "' is not known"};
   const bool all_at_once = spec.type != JobType::array;
   const Resources needed =
       all_at_once ? spec.resources * static_cast<std::int64_t>(spec.task_count) : spec.resources;
-  const char* subject = all_at_once ? "all tasks together need" : "a task needs";
+  const char* subject = all_at_once ? "all its tasks together need" : "a task needs";
   if (team->cores_max > 0 && needed.cores > to_amount(team->cores_max))
-    return InvalidField{"cores", std::string(subject) + " more cores than the team's quota"};
+    return InvalidField{"cores", std::string(subject) + " more cores than the team may use"};
   if (team->gpus_max > 0 && needed.gpus > to_amount(team->gpus_max))
-    return InvalidField{"cards", std::string(subject) + " more cards than the team's quota"};
+    return InvalidField{"cards", std::string(subject) + " more cards than the team may use"};
   // Gangs and services run all their tasks at the same time, so they cannot be spread over zones and stay in
   // one zone. An array may run with only half of its tasks at a time.
   if (all_at_once && spec.task_count > 1 && spec.spread_zones && (spec.single_zone || !spec.zone.empty()))
-    return InvalidField{"scatter",
-                        "the tasks must be spread over zones, but the job restricts them to one zone"};
+    return InvalidField{"scatter", "its tasks must be in one zone and may not be"};
   for (const auto& [type_name, machine_type] : catalog) {
     if (!spec.resources.fits(machine_type.capacity)) continue;
     for (const std::string& zone : machine_type.zones) {
@@ -437,7 +436,7 @@
   return InvalidField{spec.machine_types.empty() && spec.zone.empty() ? "cores"
                       : spec.machine_types.empty()                    ? "site"
                                                                       : "flavors",
-                      "a task does not fit on any machine type and zone that the job allows"};
+                      "a task fits no machine type that the job allows"};
 }
 
 }  // namespace wrenusher::protocol
--- a/src/worker_gateway/refusals.cpp
+++ b/src/worker_gateway/refusals.cpp
@@ -10,11 +10,11 @@
 using value::Value;
 
 Response wrong_method() {
-  return error_response({405, "wrong_method", "Reports must be sent with POST.", "", 0});
+  return error_response({405, "wrong_method", "This is asked with POST.", "", 0});
 }
 
 Response bad_report() {
-  return error_response({400, "bad_report", "The request body is not a valid report of a worker.", "", 0});
+  return error_response({400, "bad_report", "The body is no report of a worker.", "", 0});
 }
 
 Response redirect(const std::string& leader) {
@@ -24,8 +24,7 @@
 
 Response cancellations_unknown() {
   return error_response({503, "cancellations_unknown",
-                         "The list of cancelled jobs may be incomplete on this node, so it renews no lease.",
-                         "", 1});
+                         "What was cancelled may not be known here, so that no lease is renewed.", "", 1});
 }
 
 }  // namespace wrenusher::worker_gateway::refusals
